--- a/src/domain/scheduling/_cache_cost.ts
+++ b/src/domain/scheduling/_cache_cost.ts
@@ -1,43 +1,46 @@
 /**
- * What it costs to run a request where its prompt's prefix is not cached.
+ * Estimates the cost of running a request on a backend server whose cache lacks
+ * its prompt prefix.
  *
  * @module
  */
 import { BLOCK_TOKENS } from './prompt.js';
 import type { ServerCandidate } from './server_choice.js';
-import type { ServerWorkNow } from './_server_fit.js';
+import type { ServerEstimate } from './_server_fit.js';
 import type { ServerState } from './server_state.js';
 import type { SlotDemand } from './slot_demand.js';
 
 const MS_PER_SECOND = 1000;
 
-/** Fewest tokens computed again for which a slot is kept free for a moment. */
-const MIN_HELD_TOKENS = 256;
+/** Fewest recomputed tokens for which delaying a request is worthwhile. */
+const MIN_DELAY_TOKENS = 256;
 
 /**
- * Least time for which streams stand still, summed over them, that a slot is
- * kept free for, in milliseconds. It is the longest time that the slot is free.
+ * Least total stall, summed over all streams of a backend server, for which
+ * delaying a request is worthwhile, in milliseconds. The delay leaves the slot
+ * idle for no longer than this.
  */
-const MIN_GAIN_MS = 200;
+const MIN_STALL_MS = 200;
 
 /**
- * Streams that a repeated prefill holds up, for each that runs there now: those
- * and the ones that come while it is under way.
+ * Streams that a recomputed prefill stalls, as a multiple of the streams that
+ * run now: those streams, and the ones that start during the prefill.
  */
-const SHARED_COST_FACTOR = 2;
+const STALLED_STREAMS_FACTOR = 2;
 
 /**
- * Predicts what is computed again when a request runs on a backend server,
- * although the cache of some other one holds it. A prefill that is under way
- * there does not count: what is sent beside it is computed twice.
+ * Predicts how many prompt tokens a backend server has to recompute although
+ * the cache of another one holds them. A prefill in progress on the server does
+ * not count as cached: a request that joins it computes the same prefix a
+ * second time.
  *
- * @param server - where it would run
- * @param usable - all that may serve it
+ * @param server - backend server that would run the request
+ * @param usable - all backend servers that may serve the request
  * @param demand - the request
  * @param nowMs - monotonic time in milliseconds
- * @returns prompt tokens; 0 below a block
+ * @returns prompt tokens; 0 if less than one block
  */
-export function predictRepeated(
+export function predictRecomputedTokens(
   server: ServerState,
   usable: readonly ServerState[],
   demand: SlotDemand,
@@ -45,74 +48,76 @@
 ): number {
   const { blockHashes } = demand;
   if (blockHashes.length === 0) return 0;
-  const most = computeMostHeld(usable, demand, nowMs);
-  const repeated = most - server.hints.countHeldTokens(blockHashes, nowMs, false);
-  return repeated < BLOCK_TOKENS ? 0 : repeated;
+  const mostCachedTokens = computeMostCachedTokens(usable, demand, nowMs);
+  const recomputedTokens =
+    mostCachedTokens - server.hints.countCachedTokens(blockHashes, nowMs, false);
+  return recomputedTokens < BLOCK_TOKENS ? 0 : recomputedTokens;
 }
 
 /**
- * Tells whether to keep a slot free for a moment rather than compute a prefix
- * again. An engine prefills between the steps of all its streams: each of them
- * stands still meanwhile.
+ * Returns whether to leave a slot idle for a moment rather than recompute a
+ * prefix there. An engine interleaves prefill with the decode steps of its
+ * streams, so a prefill stalls all of them.
  *
- * @param server - where the slot is
- * @param usable - all that may serve the request
+ * @param server - backend server with the free slot
+ * @param usable - all backend servers that may serve the request
  * @param demand - the request
  * @param nowMs - monotonic time in milliseconds
  */
-export function isWorthHolding(
+export function isWorthDelaying(
   server: ServerState,
   usable: readonly ServerState[],
   demand: SlotDemand,
   nowMs: number,
 ): boolean {
-  const repeated = predictRepeated(server, usable, demand, nowMs);
-  if (repeated < MIN_HELD_TOKENS) return false;
-  return computePrefillMs(server, repeated) * server.held.size >= MIN_GAIN_MS;
+  const recomputedTokens = predictRecomputedTokens(server, usable, demand, nowMs);
+  if (recomputedTokens < MIN_DELAY_TOKENS) return false;
+  return computePrefillMs(server, recomputedTokens) * server.held.size >= MIN_STALL_MS;
 }
 
 /**
- * Builds candidates for a choice. What a repeated prefill costs the streams
- * beside it counts as if the request itself took longer.
+ * Builds the candidates for a choice of backend server. The stall that a
+ * recomputed prefill causes to other streams is added to the request's own
+ * finish time.
  *
- * @param chosen - those that may be taken
- * @param warm - those whose caches are compared with; none for a choice by
- *   finishing time alone
+ * @param estimates - backend servers that may be chosen
+ * @param comparedServers - backend servers whose caches are compared with;
+ *   empty for a choice by finish time alone
  * @param demand - the request
  * @param nowMs - monotonic time in milliseconds
- * @returns a candidate for each
+ * @returns one candidate for each estimate
  */
 export function buildCandidates(
-  chosen: readonly ServerWorkNow[],
-  warm: readonly ServerState[],
+  estimates: readonly ServerEstimate[],
+  comparedServers: readonly ServerState[],
   demand: SlotDemand,
   nowMs: number,
 ): ServerCandidate[] {
-  const mostHeld = computeMostHeld(warm, demand, nowMs);
-  return chosen.map(({ server, workMs }) => {
+  const mostCachedTokens = computeMostCachedTokens(comparedServers, demand, nowMs);
+  return estimates.map(({ server, workMs }) => {
     const { hints, held, outstandingMs, reportedLoad, spec } = server;
-    const window = server.window.getSize(nowMs);
-    const heldTokens = hints.countHeldTokens(demand.blockHashes, nowMs, true);
-    const repeated = Math.max(0, mostHeld - heldTokens);
-    const sharedMs = computePrefillMs(server, repeated) * held.size * SHARED_COST_FACTOR;
+    const windowSize = server.window.getSize(nowMs);
+    const ownCachedTokens = hints.countCachedTokens(demand.blockHashes, nowMs, true);
+    const recomputedTokens = Math.max(0, mostCachedTokens - ownCachedTokens);
+    const stallMs = computePrefillMs(server, recomputedTokens) * held.size * STALLED_STREAMS_FACTOR;
     return {
       id: spec.id,
-      finishMs: workMs + outstandingMs / window + sharedMs,
+      finishMs: workMs + outstandingMs / windowSize + stallMs,
       cachedTokens: hints.predictCachedTokens(demand.blockHashes, nowMs),
-      utilization: held.size / window,
+      utilization: held.size / windowSize,
       reportedLoad,
     };
   });
 }
 
-/** Tokens of the prompt that the warmest of them holds. */
-function computeMostHeld(
+/** Computes the most prompt tokens that any one of the servers has cached. */
+function computeMostCachedTokens(
   servers: readonly ServerState[],
   { blockHashes }: SlotDemand,
   nowMs: number,
 ): number {
   return servers.reduce(
-    (most, { hints }) => Math.max(most, hints.countHeldTokens(blockHashes, nowMs, true)),
+    (most, { hints }) => Math.max(most, hints.countCachedTokens(blockHashes, nowMs, true)),
     0,
   );
 }
--- a/src/domain/scheduling/_fair_tier.ts
+++ b/src/domain/scheduling/_fair_tier.ts
@@ -1,26 +1,26 @@
 /**
  * One tier of the fair queue: start-time fair queuing between client accounts,
- * earliest deadline first inside an account.
+ * and earliest deadline first within an account.
  *
  * @module
  */
 import type { SlotDemand, WaitingDemand } from './slot_demand.js';
 
-/** What one account has waiting in one tier. */
+/** Waiting demands of one account in one tier. */
 interface Flow {
   readonly accountId: string;
   weight: number;
-  /** Virtual time at which its next demand starts. */
+  /** Virtual start time of the account's next demand. */
   startTag: number;
-  /** Sorted by deadline. */
+  /** Sorted by deadline, earliest first. */
   readonly items: WaitingDemand[];
   workMs: number;
 }
 
-/** Smallest weight, so that a fault in a contract can't make tags infinite. */
+/** Smallest weight, so that a faulty contract cannot produce infinite start tags. */
 const MIN_WEIGHT = 0.001;
 
-/** Start-time fair queuing over predicted work. */
+/** Start-time fair queuing by predicted work. */
 export class FairTier {
   readonly #flows = new Map<string, Flow>();
 
@@ -30,29 +30,29 @@
 
   #workMs = 0;
 
-  /** How many wait. */
+  /** Number of waiting demands. */
   get size(): number {
     return this.#size;
   }
 
-  /** Predicted work of all that wait, in milliseconds. */
+  /** Total predicted work of the waiting demands, in milliseconds. */
   get workMs(): number {
     return this.#workMs;
   }
 
-  /** @param waiting - the demand to be added */
+  /** Adds a demand. @param waiting - the demand */
   add(waiting: WaitingDemand): void {
     const { demand } = waiting;
     const flow = this.#getFlow(demand);
     if (flow.items.length === 0) flow.startTag = Math.max(flow.startTag, this.#virtualTime);
     flow.weight = Math.max(MIN_WEIGHT, demand.weight);
-    flow.items.splice(countEarlier(flow.items, demand), 0, waiting);
+    flow.items.splice(findInsertIndex(flow.items, demand), 0, waiting);
     flow.workMs += waiting.workMs;
     this.#workMs += waiting.workMs;
     this.#size += 1;
   }
 
-  /** @param waiting - the demand to be taken out without having been granted */
+  /** Removes a demand that was not granted. @param waiting - the demand */
   remove(waiting: WaitingDemand): void {
     const flow = this.#flows.get(waiting.demand.accountId);
     const index = flow?.items.indexOf(waiting) ?? -1;
@@ -61,10 +61,10 @@
     flow.workMs -= waiting.workMs;
     this.#workMs -= waiting.workMs;
     this.#size -= 1;
-    if (this.#size === 0) this.#startOver();
+    if (this.#size === 0) this.#reset();
   }
 
-  /** @param waiting - the demand that is granted; its account pays for its work */
+  /** Removes a granted demand and charges its work to its account. @param waiting - the demand */
   grant(waiting: WaitingDemand): void {
     const flow = this.#flows.get(waiting.demand.accountId);
     if (flow) {
@@ -74,7 +74,7 @@
     this.remove(waiting);
   }
 
-  /** @returns the demand that goes first; undefined when none waits */
+  /** @returns the next demand in fair order; undefined if the tier is empty */
   findFirst(): WaitingDemand | undefined {
     let first: Flow | undefined;
     this.#flows.forEach((flow) => {
@@ -84,43 +84,43 @@
   }
 
   /**
-   * Lists what waits: first the next of each account in turn, then the second of
-   * each, and so on.
+   * Lists waiting demands round-robin over accounts: first the next demand of
+   * each account, then the second of each, and so on.
    *
-   * @param most - how many at most
-   * @param leadMs - only of accounts this near their turn, in milliseconds of
-   *   work for a weight of 1; by default of all
-   * @returns them
+   * @param maxCount - most demands to list
+   * @param maxLeadMs - lists only accounts whose turn is at most this far
+   *   ahead, in milliseconds of work for a weight of 1; by default all accounts
+   * @returns the demands
    */
-  list(most: number, leadMs = Infinity): WaitingDemand[] {
+  list(maxCount: number, maxLeadMs = Infinity): WaitingDemand[] {
     const flows = [...this.#flows.values()]
       .filter((flow) => flow.items.length > 0)
       .sort(compareFlows);
-    const limit = (flows[0]?.startTag ?? 0) + leadMs;
-    const near = flows.filter((flow) => flow.startTag <= limit);
-    const count = near.reduce((sum, flow) => sum + flow.items.length, 0);
+    const maxStartTag = (flows[0]?.startTag ?? 0) + maxLeadMs;
+    const eligible = flows.filter((flow) => flow.startTag <= maxStartTag);
+    const count = eligible.reduce((sum, flow) => sum + flow.items.length, 0);
     const listed: WaitingDemand[] = [];
-    for (let rank = 0; listed.length < Math.min(most, count); rank += 1)
-      listed.push(...near.flatMap((flow) => flow.items[rank] ?? []));
-    return listed.slice(0, most);
+    for (let rank = 0; listed.length < Math.min(maxCount, count); rank += 1)
+      listed.push(...eligible.flatMap((flow) => flow.items[rank] ?? []));
+    return listed.slice(0, maxCount);
   }
 
-  /** @param demand - a new demand. @returns work that would be granted before it, in milliseconds */
-  computeWorkAhead(demand: SlotDemand): number {
-    const own = this.#flows.get(demand.accountId);
+  /** @param demand - a new demand. @returns work granted before the new demand, in milliseconds */
+  computeWorkAheadMs(demand: SlotDemand): number {
+    const ownFlow = this.#flows.get(demand.accountId);
     const weight = Math.max(MIN_WEIGHT, demand.weight);
-    const ownAheadMs = own ? computeEarlierWork(own, demand) : 0;
-    const startTag = Math.max(own?.startTag ?? 0, this.#virtualTime) + ownAheadMs / weight;
+    const ownAheadMs = ownFlow ? computeEarlierWorkMs(ownFlow, demand) : 0;
+    const startTag = Math.max(ownFlow?.startTag ?? 0, this.#virtualTime) + ownAheadMs / weight;
     let aheadMs = ownAheadMs;
     this.#flows.forEach((flow) => {
-      if (flow === own) return;
-      const turnsMs = (startTag - flow.startTag) * flow.weight;
-      aheadMs += Math.min(flow.workMs, Math.max(0, turnsMs));
+      if (flow === ownFlow) return;
+      const shareMs = (startTag - flow.startTag) * flow.weight;
+      aheadMs += Math.min(flow.workMs, Math.max(0, shareMs));
     });
     return aheadMs;
   }
 
-  /** @returns the last demand of the account with the most waiting for its weight */
+  /** @returns the last demand of the account with the most waiting work per unit of weight */
   pickVictim(): WaitingDemand | undefined {
     let heaviest: Flow | undefined;
     this.#flows.forEach((flow) => {
@@ -141,10 +141,11 @@
   }
 
   /**
-   * Forgets the tags when the tier is empty. An account that used idle room
-   * would otherwise be made to pay for it when others come later.
+   * Resets all start tags once the tier is empty. Otherwise an account that
+   * used idle capacity would be penalized for it when other accounts arrive
+   * later.
    */
-  #startOver(): void {
+  #reset(): void {
     this.#flows.clear();
     this.#virtualTime = 0;
     this.#workMs = 0;
@@ -156,8 +157,8 @@
   return (a.items[0]?.demand.deadlineAtMs ?? 0) - (b.items[0]?.demand.deadlineAtMs ?? 0);
 }
 
-/** Counts the demands, sorted by deadline, that a new one goes behind. */
-function countEarlier(items: readonly WaitingDemand[], demand: SlotDemand): number {
+/** Finds where a new demand goes in a list sorted by deadline, behind equal deadlines. */
+function findInsertIndex(items: readonly WaitingDemand[], demand: SlotDemand): number {
   let low = 0;
   let high = items.length;
   while (low < high) {
@@ -169,8 +170,8 @@
   return low;
 }
 
-function computeEarlierWork(flow: Flow, demand: SlotDemand): number {
+function computeEarlierWorkMs(flow: Flow, demand: SlotDemand): number {
   return flow.items
-    .slice(0, countEarlier(flow.items, demand))
+    .slice(0, findInsertIndex(flow.items, demand))
     .reduce((sum, waiting) => sum + waiting.workMs, 0);
 }
--- a/src/domain/scheduling/_slot_placer.ts
+++ b/src/domain/scheduling/_slot_placer.ts
@@ -1,5 +1,5 @@
 /**
- * Where waiting demands could run, in one round of grants.
+ * Places waiting demands on backend servers during one round of grants.
  *
  * @module
  */
@@ -9,13 +9,13 @@
 import { Tier } from './tier.js';
 import type { Placer } from './waiting_queue.js';
 
-/** What a round of grants looks at. */
+/** Inputs of one round of grants. */
 export interface SlotPlacerOptions {
   readonly pool: ServerPool;
   readonly offered: OfferedLoad;
   /** Monotonic time of the round in milliseconds. */
   readonly nowMs: number;
-  /** Gives random numbers in [0, 1). */
+  /** Returns random numbers in [0, 1). */
   readonly nextFraction: () => number;
 }
 
@@ -23,57 +23,65 @@
 export class SlotPlacer implements Placer<string> {
   readonly #options: SlotPlacerOptions;
 
-  readonly #late = new Set<SlotDemand>();
+  readonly #unreachable = new Set<SlotDemand>();
 
-  /** The highest tier of what is late. */
-  #lateTier: Tier | undefined;
+  /** Highest tier among the unreachable demands. */
+  #unreachableTier: Tier | undefined;
 
-  /** @param options - what it looks at */
+  /** @param options - inputs of the round */
   constructor(options: SlotPlacerOptions) {
     this.#options = options;
   }
 
-  /** @returns demands that came to their turn and would run in vain anywhere, lowest tier first */
-  listLate(): SlotDemand[] {
-    return [...this.#late].sort((a, b) => b.tier - a.tier);
+  /**
+   * @returns demands that came to their turn and would miss their deadlines on
+   *   any server, lowest tier first
+   */
+  listUnreachable(): SlotDemand[] {
+    return [...this.#unreachable].sort((a, b) => b.tier - a.tier);
   }
 
-  /** Nothing goes past a higher tier's demand that is about to be refused: it closes the lower tiers. */
-  hasRoom(tier: Tier, isAged: boolean): boolean {
+  /**
+   * Reports no capacity below the tier of a demand that is about to be refused,
+   * because its refusal closes all lower tiers.
+   */
+  hasCapacity(tier: Tier, isAged: boolean): boolean {
     const { pool, nowMs } = this.#options;
-    if (this.#lateTier !== undefined && tier > this.#lateTier) return false;
-    return (isAged || this.#mayHoldMore(tier)) && pool.hasRoom(tier, isAged, nowMs);
+    if (this.#unreachableTier !== undefined && tier > this.#unreachableTier) return false;
+    return (isAged || this.#isBelowTierLimit(tier)) && pool.hasCapacity(tier, isAged, nowMs);
   }
 
-  pickPlace({ demand }: WaitingDemand, isAged: boolean): string | undefined {
+  pickTarget({ demand }: WaitingDemand, isAged: boolean): string | undefined {
     const { pool, nowMs, nextFraction } = this.#options;
-    const place = pool.pickServer(demand, isAged, nowMs, nextFraction);
-    if (place === undefined && pool.isTooLate(demand, nowMs)) this.#noteLate(demand);
-    return place;
+    const target = pool.pickServer(demand, isAged, nowMs, nextFraction);
+    if (target === undefined && pool.isTooLate(demand, nowMs)) this.#recordUnreachable(demand);
+    return target;
   }
 
-  predictRepeated({ demand }: WaitingDemand, place: string): number {
-    return this.#options.pool.predictRepeated(demand, place, this.#options.nowMs);
+  predictRecomputedTokens({ demand }: WaitingDemand, target: string): number {
+    return this.#options.pool.predictRecomputedTokens(demand, target, this.#options.nowMs);
   }
 
-  isWorthHolding({ demand }: WaitingDemand, place: string): boolean {
-    return this.#options.pool.isWorthHolding(demand, place, this.#options.nowMs);
+  isWorthDelaying({ demand }: WaitingDemand, target: string): boolean {
+    return this.#options.pool.isWorthDelaying(demand, target, this.#options.nowMs);
   }
 
-  #noteLate(demand: SlotDemand): void {
-    this.#late.add(demand);
-    if (this.#lateTier === undefined || demand.tier < this.#lateTier) this.#lateTier = demand.tier;
+  #recordUnreachable(demand: SlotDemand): void {
+    this.#unreachable.add(demand);
+    if (this.#unreachableTier === undefined || demand.tier < this.#unreachableTier)
+      this.#unreachableTier = demand.tier;
   }
 
   /**
-   * Keeps lower tiers to what higher ones don't need. Their long requests would
-   * else hold the slots that come free for a minute, and the urgent ones of that
-   * minute would wait or run too late.
+   * Returns whether a tier leaves enough slots for the load that higher tiers
+   * have recently offered. Otherwise long requests of lower tiers would occupy
+   * freed slots for a minute, while urgent requests would wait or miss their
+   * deadlines.
    */
-  #mayHoldMore(tier: Tier): boolean {
+  #isBelowTierLimit(tier: Tier): boolean {
     const { pool, offered, nowMs } = this.#options;
-    if (!pool.strategy.reservesByDemand || tier === Tier.Urgent) return true;
-    const kept = offered.predictSlotsAbove(tier, nowMs);
-    return pool.countHeldFrom(tier) < Math.max(1, pool.computeWindow(nowMs) - kept);
+    if (!pool.strategy.hasAdaptiveReserve || tier === Tier.Urgent) return true;
+    const reservedSlots = offered.predictSlotsAbove(tier, nowMs);
+    return pool.countHeldAtOrBelow(tier) < Math.max(1, pool.computeWindow(nowMs) - reservedSlots);
   }
 }
--- a/src/domain/scheduling/_wait_predictor.ts
+++ b/src/domain/scheduling/_wait_predictor.ts
@@ -1,5 +1,5 @@
 /**
- * Predicted waits of one dispatch group.
+ * Predicts waiting times in the queue of one dispatch group.
  *
  * @module
  */
@@ -9,44 +9,46 @@
 import type { Tier } from './tier.js';
 import type { WaitingQueue } from './waiting_queue.js';
 
-/** Predicts waits from the queue's work and the measured drain rate. */
+/** Predicts waiting times from the queued work and the measured drain rate. */
 export class WaitPredictor {
   readonly #queue: WaitingQueue;
 
   readonly #pool: ServerPool;
 
-  readonly #drain: DrainMeter;
+  readonly #drainMeter: DrainMeter;
 
   /**
-   * @param queue - what waits
-   * @param pool - who serves it
+   * @param queue - the group's queue
+   * @param pool - backend servers that serve the queue
    * @param nowMs - monotonic time in milliseconds
    */
   constructor(queue: WaitingQueue, pool: ServerPool, nowMs: number) {
     this.#queue = queue;
     this.#pool = pool;
-    this.#drain = new DrainMeter(nowMs);
+    this.#drainMeter = new DrainMeter(nowMs);
   }
 
   /**
-   * Takes in the time since the last call.
+   * Accounts for the time since the last call.
    *
    * @param nowMs - monotonic time in milliseconds
-   * @param doneMs - predicted work of slots that were given back now, in milliseconds
+   * @param completedWorkMs - predicted work of the slots released now, in
+   *   milliseconds
    */
-  observe(nowMs: number, doneMs = 0): void {
-    this.#drain.observe(nowMs, this.#queue.size > 0, doneMs);
+  observe(nowMs: number, completedWorkMs = 0): void {
+    this.#drainMeter.observe(nowMs, this.#queue.size > 0, completedWorkMs);
   }
 
   /**
-   * Predicts how long the queue of a tier and those above takes to drain.
+   * Predicts how long the queue of a tier and all higher tiers takes to drain.
    *
    * @param tier - the tier
    * @param nowMs - monotonic time in milliseconds
-   * @returns time in milliseconds; 0 when none waits, whether or not there is room
+   * @returns time in milliseconds; 0 if none of them has waiting requests, even
+   *   without capacity
    */
-  predictBacklog(tier: Tier, nowMs: number): number {
-    return this.#queue.computeWork(tier) / this.#computeRate(nowMs);
+  predictBacklogMs(tier: Tier, nowMs: number): number {
+    return this.#queue.computeWorkMs(tier) / this.#computeDrainRate(nowMs);
   }
 
   /**
@@ -54,10 +56,10 @@
    *
    * @param tier - the tier
    * @param nowMs - monotonic time in milliseconds
-   * @returns the wait in milliseconds; 0 when there is room
+   * @returns the wait in milliseconds; 0 if there is capacity
    */
-  predictTierWait(tier: Tier, nowMs: number): number {
-    return this.#predict(this.#queue.computeWork(tier), tier, nowMs);
+  predictTierWaitMs(tier: Tier, nowMs: number): number {
+    return this.#predictMs(this.#queue.computeWorkMs(tier), tier, nowMs);
   }
 
   /**
@@ -65,19 +67,20 @@
    *
    * @param demand - the request
    * @param nowMs - monotonic time in milliseconds
-   * @returns the wait in milliseconds; 0 when there is room
+   * @returns the wait in milliseconds; 0 if there is capacity
    */
-  predictWait(demand: SlotDemand, nowMs: number): number {
-    return this.#predict(this.#queue.computeWorkAhead(demand), demand.tier, nowMs);
+  predictWaitMs(demand: SlotDemand, nowMs: number): number {
+    return this.#predictMs(this.#queue.computeWorkAheadMs(demand), demand.tier, nowMs);
   }
 
-  #predict(workMs: number, tier: Tier, nowMs: number): number {
-    if (workMs === 0 && this.#pool.hasRoom(tier, false, nowMs)) return 0;
-    // Even the first in the queue waits until one of those that run has ended.
-    return (workMs + this.#pool.meanHeldWorkMs) / this.#computeRate(nowMs);
+  #predictMs(workMs: number, tier: Tier, nowMs: number): number {
+    if (workMs === 0 && this.#pool.hasCapacity(tier, false, nowMs)) return 0;
+    // Even the first request in the queue waits until one of the running
+    // requests ends.
+    return (workMs + this.#pool.meanHeldWorkMs) / this.#computeDrainRate(nowMs);
   }
 
-  #computeRate(nowMs: number): number {
-    return this.#drain.computeRate(this.#pool.computeWindow(nowMs));
+  #computeDrainRate(nowMs: number): number {
+    return this.#drainMeter.computeRate(this.#pool.computeWindow(nowMs));
   }
 }
--- a/src/domain/scheduling/_warm_search.ts
+++ b/src/domain/scheduling/_warm_search.ts
@@ -1,5 +1,6 @@
 /**
- * Search for a demand whose prompt prefix the free place's cache holds.
+ * Searches a tier for a demand whose prompt prefix is in the cache of a free
+ * backend server.
  *
  * @module
  */
@@ -8,40 +9,41 @@
 import type { Placement, Placer } from './waiting_queue.js';
 
 /**
- * Most demands of one tier that are looked at for one slot. It bounds the time
- * of a grant; a slot is left unused by it only where as many demands in a row
- * exclude the same backend servers.
+ * Most demands of one tier that are examined for one slot, which bounds the
+ * time of a grant. This limit leaves a usable slot idle only if that many
+ * demands in a row exclude the same backend servers.
  */
-export const MAX_LOOKED_AT = 16;
+export const MAX_EXAMINED = 16;
 
 /**
  * Predicted work, for a weight of 1, by which an account's turn may be brought
- * forward, in milliseconds. Shares still converge, since what is granted early
- * is paid for: no account gets further ahead of its share than this.
+ * forward, in milliseconds. Shares still converge because early grants are
+ * charged: no account gets further ahead of its share than this.
  */
 export const MAX_LEAD_MS = 10_000;
 
 /**
- * Longest time after its last grant, or after its first demand came, for which a
- * tier keeps slots free for want of a prefix, in milliseconds.
+ * Longest time since a tier's last grant, or since its first demand arrived,
+ * for which the tier leaves slots idle to wait for a cached prefix, in
+ * milliseconds.
  */
-export const MAX_HOLD_MS = 150;
+export const MAX_CACHE_DELAY_MS = 150;
 
-/** The tier's first demand waits for a warmer place; nothing goes ahead of it into this one. */
-export const ON_HOLD = Symbol('on hold');
+/** Search result: the tier's first demand waits for a warmer cache, and no other overtakes it. */
+export const DELAYED = Symbol('delayed');
 
 /**
- * Chooses among the first demands of one tier. The first one has every place
- * that suits it; one further back goes ahead of it only into a place where less
- * is computed again.
+ * Selects the next demand of one tier. The first demand may take any target
+ * that suits it. A later demand overtakes it only for a target where fewer
+ * tokens are recomputed.
  */
 export class WarmSearch {
-  /** Since when a tier keeps slots free. */
-  readonly #heldSinceMs = new Map<FairTier, number>();
+  /** Time since which each tier has left slots idle. */
+  readonly #delayedSinceMs = new Map<FairTier, number>();
 
-  /** @param queue - a tier of which something was granted, or nothing waits any more */
-  release(queue: FairTier): void {
-    this.#heldSinceMs.delete(queue);
+  /** Ends the delay of a tier after a grant, or once it is empty. @param queue - the tier */
+  clearDelay(queue: FairTier): void {
+    this.#delayedSinceMs.delete(queue);
   }
 
   /**
@@ -49,75 +51,79 @@
    *
    * @param queue - the tier
    * @param nowMs - monotonic time in milliseconds
-   * @param placer - where demands could run
-   * @returns the demand and its place; {@link ON_HOLD}; undefined when none has a place
+   * @param placer - finds targets for demands
+   * @returns the demand and its target; {@link DELAYED}; undefined if no demand
+   *   has a target
    */
   find<P>(
     queue: FairTier,
     nowMs: number,
     placer: Placer<P>,
-  ): Placement<P> | typeof ON_HOLD | undefined {
+  ): Placement<P> | typeof DELAYED | undefined {
     const first = queue.findFirst();
-    const head = first && findPlacement([first], placer);
-    const least = findWarmest(queue, placer, head);
-    if (!least) return findPlacement(queue.list(MAX_LOOKED_AT), placer);
-    const isCold = placer.isWorthHolding?.(least.waiting, least.place) === true;
-    return isCold && this.#mayHold(queue, nowMs) ? ON_HOLD : least;
+    const firstPlacement = first && findPlacement([first], placer);
+    const warmest = findWarmest(queue, placer, firstPlacement);
+    if (!warmest) return findPlacement(queue.list(MAX_EXAMINED), placer);
+    const isDelayUseful = placer.isWorthDelaying?.(warmest.waiting, warmest.target) === true;
+    return isDelayUseful && this.#mayDelay(queue, nowMs) ? DELAYED : warmest;
   }
 
-  #mayHold(queue: FairTier, nowMs: number): boolean {
-    const sinceMs = this.#heldSinceMs.get(queue) ?? nowMs;
-    this.#heldSinceMs.set(queue, sinceMs);
-    return nowMs - sinceMs < MAX_HOLD_MS;
+  #mayDelay(queue: FairTier, nowMs: number): boolean {
+    const sinceMs = this.#delayedSinceMs.get(queue) ?? nowMs;
+    this.#delayedSinceMs.set(queue, sinceMs);
+    return nowMs - sinceMs < MAX_CACHE_DELAY_MS;
   }
 }
 
 /**
- * Finds the first demand that has a place.
+ * Finds the first demand that has a target.
  *
- * @param inOrder - the demands
- * @param placer - where they could run
- * @param isAged - whether they are put ahead
- * @returns the demand and its place; undefined when none has one
+ * @param demands - demands in the order in which they are tried
+ * @param placer - finds targets for demands
+ * @param isAged - whether aging lets the demands run out of turn
+ * @returns the demand and its target; undefined if no demand has one
  */
 export function findPlacement<P>(
-  inOrder: readonly WaitingDemand[],
+  demands: readonly WaitingDemand[],
   placer: Placer<P>,
   isAged = false,
 ): Placement<P> | undefined {
-  for (const waiting of inOrder) {
-    const place = placer.pickPlace(waiting, isAged);
-    if (place !== undefined) return { waiting, place };
+  for (const waiting of demands) {
+    const target = placer.pickTarget(waiting, isAged);
+    if (target !== undefined) return { waiting, target };
   }
   return undefined;
 }
 
 /**
- * Finds the demand with the fewest repeated tokens, the first of them, among
- * those that are near their turn.
+ * Finds the demand with the fewest recomputed tokens among those near their
+ * turn; the earliest of several.
  *
  * @param queue - the tier
- * @param placer - where demands could run
- * @param head - the tier's first demand, if it has a place
- * @returns the demand and its place; undefined when none of them has one
+ * @param placer - finds targets for demands
+ * @param firstPlacement - placement of the tier's first demand, if it has a
+ *   target
+ * @returns the demand and its target; undefined if none of them has one
  */
 function findWarmest<P>(
   queue: FairTier,
   placer: Placer<P>,
-  head: Placement<P> | undefined,
+  firstPlacement: Placement<P> | undefined,
 ): Placement<P> | undefined {
-  let warmest = head;
-  let least = head ? (placer.predictRepeated?.(head.waiting, head.place) ?? 0) : Infinity;
-  if (least === 0) return head;
-  for (const waiting of queue.list(MAX_LOOKED_AT, MAX_LEAD_MS)) {
-    const place = placer.pickPlace(waiting, false);
-    const repeated =
-      place === undefined ? Infinity : (placer.predictRepeated?.(waiting, place) ?? 0);
-    if (place !== undefined && repeated < least) {
-      warmest = { waiting, place };
-      least = repeated;
+  let warmest = firstPlacement;
+  let fewestTokens = firstPlacement
+    ? (placer.predictRecomputedTokens?.(firstPlacement.waiting, firstPlacement.target) ?? 0)
+    : Infinity;
+  if (fewestTokens === 0) return firstPlacement;
+  for (const waiting of queue.list(MAX_EXAMINED, MAX_LEAD_MS)) {
+    const target = placer.pickTarget(waiting, false);
+    const recomputedTokens =
+      target === undefined ? Infinity : (placer.predictRecomputedTokens?.(waiting, target) ?? 0);
+    if (target !== undefined && recomputedTokens < fewestTokens) {
+      warmest = { waiting, target };
+      fewestTokens = recomputedTokens;
     }
-    if (least === 0) return warmest;
+    if (fewestTokens === 0) return warmest;
   }
   return warmest;
 }
--- a/src/domain/scheduling/backend_servers_test.ts
+++ b/src/domain/scheduling/backend_servers_test.ts
@@ -4,7 +4,7 @@
 import {
   ConcurrencyWindow,
   createStrategy,
-  MAX_EJECTED_PART,
+  MAX_EJECTED_FRACTION,
   OutlierEjector,
   pickNearBest,
   ServerVerdict,
@@ -18,24 +18,24 @@
 
 const START = { prefillTokensPerSecond: 8000, decodeTokensPerSecond: 50 };
 
-t.test('ConcurrencyWindow never falls below 1, whatever comes', async (t) => {
+t.test('ConcurrencyWindow never falls below 1, whatever the samples', async (t) => {
   const event = fc.record({
     stretch: fc.double({ min: -10, max: 1e9, noNaN: true }),
     perTokenMs: fc.double({ min: -10, max: 1e9, noNaN: true }),
     inFlight: fc.nat(200),
     isRefusal: fc.boolean(),
-    isWoken: fc.boolean(),
+    isReturning: fc.boolean(),
     afterMs: fc.nat(200_000),
   });
   fc.assert(
     fc.property(fc.integer({ min: 0, max: 64 }), fc.array(event), (slots, events) => {
       const window = new ConcurrencyWindow(slots);
       let nowMs = 0;
-      events.forEach(({ stretch, perTokenMs, inFlight, isRefusal, isWoken, afterMs }) => {
+      events.forEach(({ stretch, perTokenMs, inFlight, isRefusal, isReturning, afterMs }) => {
         nowMs += afterMs;
-        if (isWoken) window.startSlowly(nowMs);
-        if (isRefusal) window.noteRefusal(nowMs);
-        else window.observe({ firstByteStretch: stretch, perTokenMs, inFlight }, nowMs);
+        if (isReturning) window.beginSlowStart(nowMs);
+        if (isRefusal) window.recordRefusal(nowMs);
+        else window.observe({ firstByteRatio: stretch, perTokenMs, inFlight }, nowMs);
         const size = window.getSize(nowMs);
         if (!Number.isInteger(size) || size < 1 || size > Math.max(1, slots))
           throw new Error(`window of ${size}`);
@@ -46,13 +46,13 @@
   t.pass();
 });
 
-t.test('ConcurrencyWindow shrinks when latency rises and comes back after', async (t) => {
+t.test('ConcurrencyWindow shrinks when latency rises and recovers afterwards', async (t) => {
   const window = new ConcurrencyWindow(16);
   let nowMs = 0;
   const observe = (perTokenMs: number, times: number): void => {
     for (let index = 0; index < times; index += 1) {
       nowMs += 100;
-      window.observe({ firstByteStretch: 1, perTokenMs, inFlight: 16 }, nowMs);
+      window.observe({ firstByteRatio: 1, perTokenMs, inFlight: 16 }, nowMs);
     }
   };
   observe(20, 100);
@@ -63,15 +63,15 @@
   t.equal(window.getSize(nowMs), 16);
 });
 
-t.test('ConcurrencyWindow grows slowly for a server that is new or woken', async (t) => {
+t.test('ConcurrencyWindow grows slowly for a new or returning server', async (t) => {
   const window = new ConcurrencyWindow(16);
-  window.startSlowly(1000);
+  window.beginSlowStart(1000);
   const sizes = [0, 0.5, 1].map((part) => window.getSize(1000 + part * SLOW_START_MS));
   t.same(sizes, [4, 10, 16]);
 });
 
 t.test(
-  'ServerPool starts slowly what joins later, not what was there from the start',
+  'ServerPool begins a slow start for servers that join later, not for the initial ones',
   async (t) => {
     const group = createGroup(buildSpecs(2, 16));
     t.equal(group.pool.computeWindow(0), 32);
@@ -79,13 +79,13 @@
     t.equal(group.pool.computeWindow(0), 36);
     group.updateServers(buildSpecs(3, 16, [0]), 20_000);
     group.updateServers(buildSpecs(3, 16), 30_000);
-    t.equal(group.pool.computeWindow(30_000), 36, 'one that was leaving came back');
+    t.equal(group.pool.computeWindow(30_000), 36, 'a leaving server has returned');
   },
 );
 
 t.test('OutlierEjector never ejects more than a third of a group', async (t) => {
   const health = fc.record({
-    failuresInRow: fc.nat(20),
+    consecutiveFailures: fc.nat(20),
     slowdown: fc.double({ min: 0.1, max: 1000, noNaN: true }),
     samples: fc.nat(20),
   });
@@ -101,7 +101,7 @@
         const group = healths.slice(0, size).map((one, index) => ({ ...one, id: String(index) }));
         ejector.eject(group, nowMs);
         const out = group.filter(({ id }) => ejector.isEjected(id, nowMs)).length;
-        if (out > size * MAX_EJECTED_PART) throw new Error(`${out} of ${size} are ejected`);
+        if (out > size * MAX_EJECTED_FRACTION) throw new Error(`${out} of ${size} are ejected`);
       });
     }),
     { seed: 42, numRuns: 300 },
@@ -109,10 +109,10 @@
   t.pass();
 });
 
-t.test('ServerPool takes a failing backend server out, and back slowly', async (t) => {
-  // Symptom: one request in three fails. Sequence: one engine breaks every
-  // stream off; its slots come free sooner than anybody's. Cause: a fast failure
-  // looks like a fast answer.
+t.test('ServerPool ejects a failing backend server, and lets it return later', async (t) => {
+  // Guards against an engine that breaks off every stream and therefore
+  // attracts a third of the requests: its slots come free sooner than others,
+  // and a fast failure looks like a fast answer.
   const group = createGroup(buildSpecs(3, 4));
   const failed = { verdict: ServerVerdict.Failing, firstByteMs: 0, totalMs: 5, outputTokens: 0 };
   for (let index = 0; index < 60 && group.pool.listEjected(index).length === 0; index += 1) {
@@ -127,25 +127,32 @@
   t.same(group.pool.listEjected(60_000), []);
 });
 
-t.test('ServerState learns a slow server from what is overdue, before anything ends', async (t) => {
-  // Symptom: requests pile up on an engine that has become ten times slower.
-  // Sequence: nothing ends there, so no sample comes. Cause: speed is measured
-  // at the end.
-  const group = createGroup(buildSpecs(2, 8), createStrategy(StrategyName.Dispatcher));
-  const server = group.pool.findServer('engine-1');
-  group.submit(buildDemand('held', { expectedOutputTokens: 100 }), 0);
-  group.run(0);
-  t.equal(group.pool.listHeld()[0]?.serverId, 'engine-1', 'the faster one');
-  t.equal(server?.computeOverdue(1_000), 1);
-  t.ok((server?.computeOverdue(15_000) ?? 0) > 9);
-  group.submit(buildDemand('next', { expectedOutputTokens: 100 }), 15_000);
-  group.run(15_000);
-  t.equal(group.pool.listHeld().find(({ demand }) => demand.key === 'next')?.serverId, 'engine-0');
-});
+t.test(
+  'ServerState detects a slow server by overdue requests, before any of them ends',
+  async (t) => {
+    // Guards against requests that pile up on an engine that became ten times
+    // slower. Nothing finishes there, so the speed measured at the end of
+    // requests gets no samples.
+    const group = createGroup(buildSpecs(2, 8), createStrategy(StrategyName.Dispatcher));
+    const server = group.pool.findServer('engine-1');
+    group.submit(buildDemand('held', { expectedOutputTokens: 100 }), 0);
+    group.run(0);
+    t.equal(group.pool.listHeld()[0]?.serverId, 'engine-1', 'the faster server');
+    t.equal(server?.computeOverdueFactor(1_000), 1);
+    t.ok((server?.computeOverdueFactor(15_000) ?? 0) > 9);
+    group.submit(buildDemand('next', { expectedOutputTokens: 100 }), 15_000);
+    group.run(15_000);
+    t.equal(
+      group.pool.listHeld().find(({ demand }) => demand.key === 'next')?.serverId,
+      'engine-0',
+    );
+  },
+);
 
-t.test('ServerState counts as foreign only load beyond its own recent peak', async (t) => {
-  // Symptom: half of the slots stay free under load. Sequence: reports lag, and
-  // show requests that have ended. Cause: taking them for somebody else's.
+t.test('ServerState counts only load above its own recent peak as foreign', async (t) => {
+  // Guards against half of the slots staying idle under load. Reports lag and
+  // still show requests that have ended here, which must not be taken for
+  // foreign load.
   const group = createGroup(buildSpecs(1, 16));
   const server = group.pool.findServer('engine-0');
   for (let index = 0; index < 10; index += 1) group.submit(buildDemand(String(index)), 0);
@@ -160,13 +167,13 @@
       ),
     );
   server?.noteLoad(10, false, 500);
-  t.equal(server?.predictForeignLoad(500), 0, 'our own of a moment ago');
+  t.equal(server?.predictForeignLoad(500), 0, 'own requests that have just ended');
   server?.noteLoad(14, false, 600);
   t.equal(server?.predictForeignLoad(600), 4);
-  t.equal(server?.predictForeignLoad(10_000), 0, 'an old report says nothing');
+  t.equal(server?.predictForeignLoad(10_000), 0, 'an expired report is ignored');
 });
 
-t.test('ServerSpeed tells waiting from the cost of tokens', async (t) => {
+t.test('ServerSpeed separates queueing time from the cost of tokens', async (t) => {
   const speed = new ServerSpeed(START, false);
   for (let index = 0; index < 300; index += 1) {
     const prefillTokens = index % 2 === 0 ? 20 : 4000;
@@ -179,11 +186,15 @@
   t.ok(speed.computeSlowdown() > 1.9);
 });
 
-t.test('CacheHints age, and forget the oldest first', async (t) => {
+t.test('CacheHints expire with age, and drop the oldest first', async (t) => {
   const hints = new CacheHints();
   ['a', 'b', 'd'].forEach((hash) => hints.noteStored(hash, 0));
-  t.equal(hints.predictCachedTokens(['a', 'b', 'c', 'd'], 0), 128, 'up to the first gap');
-  t.equal(hints.predictCachedTokens(['a', 'b'], 60_000), 64, 'worth half at half their age');
+  t.equal(hints.predictCachedTokens(['a', 'b', 'c', 'd'], 0), 128, 'counts up to the first gap');
+  t.equal(
+    hints.predictCachedTokens(['a', 'b'], 60_000),
+    64,
+    'discounted by half at half the maximum age',
+  );
   t.equal(hints.predictCachedTokens(['a', 'b'], 120_000), 0);
   hints.noteRemoved('a');
   t.equal(hints.predictCachedTokens(['a', 'b'], 0), 0);
@@ -192,7 +203,7 @@
   t.equal(hints.predictCachedTokens(['block-8999'], 0), 64);
 });
 
-t.test('ServerPool sends a prompt where its prefix is probably cached', async (t) => {
+t.test('ServerPool sends a prompt to the server that probably has its prefix cached', async (t) => {
   const group = createGroup(
     [0, 1].map((index) => ({ ...START, id: `engine-${index}`, slots: 8, isLeaving: false })),
   );
@@ -210,7 +221,7 @@
   t.same([...servers], ['engine-1']);
 });
 
-t.test('ServerPool keeps a part of each window for higher tiers', async (t) => {
+t.test('ServerPool reserves a fraction of each window for higher tiers', async (t) => {
   const strategy = createStrategy(StrategyName.Dispatcher, { reserveFraction: 0.125 });
   const counts = [Tier.Batch, Tier.Standard, Tier.Urgent].map((tier) => {
     const group = createGroup(buildSpecs(1, 16), strategy);
@@ -222,31 +233,35 @@
   t.same(counts, [12, 14, 16]);
 });
 
-t.test('pickNearBest() spreads what arrives at once over the near-best', async (t) => {
-  // Symptom: everything of one moment goes to one backend server. Sequence: all
-  // requests see the same stale figures. Cause: always taking the very best.
-  const candidates = [100, 105, 110, 400].map((finishMs, index) => ({
-    id: `engine-${index}`,
-    finishMs,
-    cachedTokens: 0,
-    utilization: 0.5,
-    reportedLoad: 0,
-  }));
-  const random = new SeededRandom(42);
-  const counts = new Map<string, number>();
-  for (let index = 0; index < 3000; index += 1) {
-    const id = pickNearBest(candidates, () => random.nextFraction())?.id ?? '';
-    counts.set(id, (counts.get(id) ?? 0) + 1);
-  }
-  t.same([...counts.keys()].sort(), ['engine-0', 'engine-1', 'engine-2']);
-  t.ok(
-    [...counts.values()].every((count) => count > 900 && count < 1100),
-    'evenly',
-  );
-  const warm = candidates.map((one, index) => ({ ...one, cachedTokens: index * 64 }));
-  t.equal(pickNearBest(warm, () => 0)?.id, 'engine-2', 'the warmest of the near-best');
-  t.equal(
-    pickNearBest([], () => 0),
-    undefined,
-  );
-});
+t.test(
+  'pickNearBest() spreads simultaneous requests over the candidates near the best',
+  async (t) => {
+    // Guards against sending all requests of a moment to one backend server. They
+    // all see the same stale data, so always taking the very best would pick the
+    // same server.
+    const candidates = [100, 105, 110, 400].map((finishMs, index) => ({
+      id: `engine-${index}`,
+      finishMs,
+      cachedTokens: 0,
+      utilization: 0.5,
+      reportedLoad: 0,
+    }));
+    const random = new SeededRandom(42);
+    const counts = new Map<string, number>();
+    for (let index = 0; index < 3000; index += 1) {
+      const id = pickNearBest(candidates, () => random.nextFraction())?.id ?? '';
+      counts.set(id, (counts.get(id) ?? 0) + 1);
+    }
+    t.same([...counts.keys()].sort(), ['engine-0', 'engine-1', 'engine-2']);
+    t.ok(
+      [...counts.values()].every((count) => count > 900 && count < 1100),
+      'evenly',
+    );
+    const warm = candidates.map((one, index) => ({ ...one, cachedTokens: index * 64 }));
+    t.equal(pickNearBest(warm, () => 0)?.id, 'engine-2', 'the warmest candidate near the best');
+    t.equal(
+      pickNearBest([], () => 0),
+      undefined,
+    );
+  },
+);
--- a/src/domain/scheduling/cache_hints.ts
+++ b/src/domain/scheduling/cache_hints.ts
@@ -1,29 +1,32 @@
 /**
- * What a backend server's prefix cache probably holds.
+ * Estimates the contents of a backend server's prefix cache.
  *
  * @module
  */
 import { BLOCK_TOKENS } from './prompt.js';
 
-/** Age at which a hint is worth nothing any more, in milliseconds. */
-const HINT_AGE_MS = 120_000;
+/** Age at which a hint expires, in milliseconds. */
+const MAX_HINT_AGE_MS = 120_000;
 
-/** Most blocks that are remembered of one backend server; the oldest goes first. */
+/** Most blocks remembered for one backend server; the oldest is dropped first. */
 const MAX_HINTS = 8192;
 
 /**
- * Hints from late and gappy events and from own grants. They only order the
- * choice; a wrong one costs a prefill and nothing else.
+ * Cache hints from delayed, incomplete cache events and from this dispatcher's
+ * own grants. They only rank backend servers; a wrong hint costs one prefill
+ * and nothing else.
  */
 export class CacheHints {
-  /** Block hash → when it was last seen, in order of that. */
+  /** Time at which each block was last seen, by block hash; oldest first. */
   readonly #seenAtMs = new Map<string, number>();
 
-  /** Block hash → when a prefill that is under way will probably have stored it. */
+  /** Probable end of the prefill that stores each pending block, by block hash. */
   readonly #readyAtMs = new Map<string, number>();
 
   /**
-   * @param blockHash - a block that the cache now holds
+   * Records a block that the cache now holds.
+   *
+   * @param blockHash - the block
    * @param nowMs - monotonic time in milliseconds
    */
   noteStored(blockHash: string, nowMs: number): void {
@@ -35,13 +38,13 @@
   }
 
   /**
-   * Takes in a prompt whose prefill begins.
+   * Records the blocks of a prompt whose prefill starts.
    *
    * @param blockHashes - the prompt's blocks
-   * @param readyAtMs - when the prefill has probably ended, in milliseconds
+   * @param readyAtMs - probable end of the prefill, in monotonic milliseconds
    * @param nowMs - monotonic time in milliseconds
    */
-  noteStarted(blockHashes: readonly string[], readyAtMs: number, nowMs: number): void {
+  recordPrefill(blockHashes: readonly string[], readyAtMs: number, nowMs: number): void {
     blockHashes.forEach((hash) => {
       if (!this.#seenAtMs.has(hash)) this.#readyAtMs.set(hash, readyAtMs);
       this.noteStored(hash, nowMs);
@@ -49,52 +52,58 @@
   }
 
   /**
-   * Counts the tokens of a prompt that the cache holds by now, unless evicted. A
-   * hint counts in full here until half its age.
+   * Counts the prompt tokens that the cache holds now, unless they were
+   * evicted. Hints count in full up to half of their maximum age, and not at
+   * all after that.
    *
-   * @param blockHashes - the prompt's blocks, first one first
+   * @param blockHashes - the prompt's blocks, first block first
    * @param nowMs - monotonic time in milliseconds
-   * @param isPendingHeld - whether a prefill under way counts as well
+   * @param isPendingIncluded - whether blocks of a prefill in progress count as
+   *   well
    * @returns tokens
    */
-  countHeldTokens(blockHashes: readonly string[], nowMs: number, isPendingHeld: boolean): number {
+  countCachedTokens(
+    blockHashes: readonly string[],
+    nowMs: number,
+    isPendingIncluded: boolean,
+  ): number {
     let count = 0;
     for (; count < blockHashes.length; count += 1) {
       const hash = blockHashes[count] ?? '';
       const seenAtMs = this.#seenAtMs.get(hash);
-      if (seenAtMs === undefined || nowMs - seenAtMs > HINT_AGE_MS / 2) break;
-      if (!isPendingHeld && (this.#readyAtMs.get(hash) ?? 0) > nowMs) break;
+      if (seenAtMs === undefined || nowMs - seenAtMs > MAX_HINT_AGE_MS / 2) break;
+      if (!isPendingIncluded && (this.#readyAtMs.get(hash) ?? 0) > nowMs) break;
     }
     return count * BLOCK_TOKENS;
   }
 
-  /** @param blockHash - a block that the cache no longer holds */
+  /** Records an evicted block. @param blockHash - the block */
   noteRemoved(blockHash: string): void {
     this.#readyAtMs.delete(blockHash);
     this.#seenAtMs.delete(blockHash);
   }
 
-  /** Forgets everything, as after a restart of the backend server. */
-  expireAll(): void {
+  /** Removes all hints, for example after a restart of the backend server. */
+  clear(): void {
     this.#seenAtMs.clear();
     this.#readyAtMs.clear();
   }
 
   /**
-   * Predicts how much of a prompt the cache holds.
+   * Predicts how many prompt tokens the cache holds.
    *
-   * @param blockHashes - the prompt's blocks, first one first
+   * @param blockHashes - the prompt's blocks, first block first
    * @param nowMs - monotonic time in milliseconds
-   * @returns tokens, worth less the older the hint is
+   * @returns tokens, discounted by the age of each hint
    */
   predictCachedTokens(blockHashes: readonly string[], nowMs: number): number {
     let tokens = 0;
     for (let index = 0; index < blockHashes.length; index += 1) {
       const seenAtMs = this.#seenAtMs.get(blockHashes[index] ?? '');
       if (seenAtMs === undefined) return tokens;
-      const worth = 1 - (nowMs - seenAtMs) / HINT_AGE_MS;
-      if (worth <= 0) return tokens;
-      tokens += BLOCK_TOKENS * Math.min(1, worth);
+      const confidence = 1 - (nowMs - seenAtMs) / MAX_HINT_AGE_MS;
+      if (confidence <= 0) return tokens;
+      tokens += BLOCK_TOKENS * Math.min(1, confidence);
     }
     return tokens;
   }
--- a/src/domain/scheduling/concurrency_window.ts
+++ b/src/domain/scheduling/concurrency_window.ts
@@ -1,42 +1,43 @@
 /**
- * How many requests a backend server should have at once, learnt from latency.
+ * Adapts the number of concurrent requests of a backend server to its latency.
  *
  * @module
  */
 import { LatencyBaseline } from './latency_baseline.js';
 
-/** Part of the way to its target that the window moves with each sample. */
+/** Fraction of the distance to its target that the window moves with each sample. */
 const SMOOTHING = 0.1;
 
-/** Part of the window that must be in use before it grows; unused room proves nothing. */
-const MIN_USE_TO_GROW = 0.75;
+/** Fraction of the window that must be in use before it grows; unused capacity is no evidence. */
+const MIN_UTILIZATION_TO_GROW = 0.75;
 
-/** What the window is multiplied by when the backend server refuses for being full. */
-const REFUSAL_FACTOR = 0.9;
+/** Factor by which the window shrinks when the backend server refuses because it is full. */
+const REFUSAL_DECREASE_FACTOR = 0.9;
 
-/** Refusals within this time count once, in milliseconds: they tell of the same moment. */
-const REFUSAL_SPACING_MS = 200;
+/** Refusals within this interval count once, in milliseconds, because they have the same cause. */
+const REFUSAL_INTERVAL_MS = 200;
 
-/** Part of its window that a new or woken backend server starts with. */
-const SLOW_START_PART = 0.25;
+/** Fraction of its window with which a new or returning backend server starts. */
+const SLOW_START_FRACTION = 0.25;
 
-/** Time in which a new or woken backend server comes to its full window, in milliseconds. */
+/** Time until a new or returning backend server has its full window, in milliseconds. */
 export const SLOW_START_MS = 10_000;
 
-/** What one finished request tells the window. */
+/** Latencies of one finished request. */
 export interface LatencySample {
-  /** Time to the first byte over what was predicted; 0 if unknown. */
-  readonly firstByteStretch: number;
+  /** Ratio of measured to predicted time to first byte; 0 if unknown. */
+  readonly firstByteRatio: number;
   /** Time for each output token, in milliseconds; 0 if unknown. */
   readonly perTokenMs: number;
-  /** Requests that the backend server had when this one ended, itself included. */
+  /** Requests in flight at the backend server when this one ended, including itself. */
   readonly inFlight: number;
 }
 
 /**
- * A gradient window over two latencies. It is never below 1, and never above the
- * engine kind's slots: a backend server takes what comes and queues it without
- * regard to tiers, where nobody can put an urgent request ahead any more.
+ * Gradient-based concurrency window over two latencies. It stays between 1 and
+ * the slots of the engine kind. Above its slots, a backend server queues
+ * requests regardless of their tier, and an urgent request can no longer
+ * overtake there.
  */
 export class ConcurrencyWindow {
   readonly #maxLimit: number;
@@ -47,62 +48,62 @@
 
   #limit: number;
 
-  #rampSinceMs: number | undefined;
+  #slowStartAtMs: number | undefined;
 
-  #refusedAtMs = Number.NEGATIVE_INFINITY;
+  #lastRefusedAtMs = Number.NEGATIVE_INFINITY;
 
-  /** @param slots - the engine kind's slots, where the window starts from */
+  /** @param slots - slots of the engine kind, the initial window */
   constructor(slots: number) {
     this.#limit = Math.max(1, slots);
     this.#maxLimit = this.#limit;
   }
 
   /**
-   * Begins a slow start: caches are cold and nothing is known of a server that
-   * is new, or was ejected, or came back.
+   * Begins a slow start. The caches of a backend server that is new, or that
+   * returns from an ejection or absence, are cold, and nothing is known of it.
    *
    * @param nowMs - monotonic time in milliseconds
    */
-  startSlowly(nowMs: number): void {
-    this.#rampSinceMs = nowMs;
+  beginSlowStart(nowMs: number): void {
+    this.#slowStartAtMs = nowMs;
   }
 
   /**
    * @param nowMs - monotonic time in milliseconds
-   * @returns requests that it may have at once, whole and at least 1
+   * @returns most requests that may run at once, a whole number of at least 1
    */
   getSize(nowMs: number): number {
-    const rampMs = nowMs - (this.#rampSinceMs ?? Number.NEGATIVE_INFINITY);
-    const progress = Math.min(1, Math.max(0, rampMs / SLOW_START_MS));
-    const part = SLOW_START_PART + (1 - SLOW_START_PART) * progress;
-    return Math.max(1, Math.floor(this.#limit * part));
+    const elapsedMs = nowMs - (this.#slowStartAtMs ?? Number.NEGATIVE_INFINITY);
+    const progress = Math.min(1, Math.max(0, elapsedMs / SLOW_START_MS));
+    const fraction = SLOW_START_FRACTION + (1 - SLOW_START_FRACTION) * progress;
+    return Math.max(1, Math.floor(this.#limit * fraction));
   }
 
   /**
-   * Learns from one finished request.
+   * Adapts the window to one finished request.
    *
-   * @param sample - its latencies
+   * @param sample - latencies of the request
    * @param nowMs - monotonic time in milliseconds
    */
   observe(sample: LatencySample, nowMs: number): void {
-    if (sample.firstByteStretch > 0) this.#firstByte.observe(sample.firstByteStretch, nowMs);
+    if (sample.firstByteRatio > 0) this.#firstByte.observe(sample.firstByteRatio, nowMs);
     if (sample.perTokenMs > 0) this.#perToken.observe(sample.perTokenMs, nowMs);
     const gradient = Math.min(this.#firstByte.computeGradient(), this.#perToken.computeGradient());
     const target = this.#limit * gradient + Math.sqrt(this.#limit) / 2;
     const isGrowing = target > this.#limit;
-    if (isGrowing && sample.inFlight < this.#limit * MIN_USE_TO_GROW) return;
+    if (isGrowing && sample.inFlight < this.#limit * MIN_UTILIZATION_TO_GROW) return;
     this.#setLimit(this.#limit + SMOOTHING * (target - this.#limit));
   }
 
   /**
-   * Learns from a refusal for being full.
+   * Shrinks the window after the backend server refused because it was full.
    *
    * @param nowMs - monotonic time in milliseconds
    */
-  noteRefusal(nowMs: number): void {
-    if (nowMs - this.#refusedAtMs < REFUSAL_SPACING_MS) return;
-    this.#refusedAtMs = nowMs;
-    this.#setLimit(this.#limit * REFUSAL_FACTOR);
+  recordRefusal(nowMs: number): void {
+    if (nowMs - this.#lastRefusedAtMs < REFUSAL_INTERVAL_MS) return;
+    this.#lastRefusedAtMs = nowMs;
+    this.#setLimit(this.#limit * REFUSAL_DECREASE_FACTOR);
   }
 
   #setLimit(limit: number): void {
--- a/src/domain/scheduling/decision.ts
+++ b/src/domain/scheduling/decision.ts
@@ -1,18 +1,18 @@
 /**
- * What a group's scheduler decides.
+ * Decisions of a group scheduler.
  *
  * @module
  */
 import type { ErrorKind } from '../errors/mod.js';
 import type { SlotDemand } from './slot_demand.js';
 
-/** The two ways in which a wait ends. */
+/** The two outcomes of a demand. */
 export enum DecisionKind {
   Grant = 'grant',
   Refusal = 'refusal',
 }
 
-/** The demand holds a slot from now on. */
+/** Grants a slot; the demand holds it from now on. */
 export interface GrantDecision {
   readonly kind: DecisionKind.Grant;
   readonly demand: SlotDemand;
@@ -20,14 +20,14 @@
   readonly backendServerId: string;
 }
 
-/** The demand gets no slot. */
+/** Refuses a demand, which gets no slot. */
 export interface RefusalDecision {
   readonly kind: DecisionKind.Refusal;
   readonly demand: SlotDemand;
   readonly reason: ErrorKind;
-  /** When to come back, in milliseconds. */
+  /** Delay after which the caller should retry, in milliseconds. */
   readonly retryAfterMs: number;
 }
 
-/** One decision. */
+/** A grant or a refusal. */
 export type Decision = GrantDecision | RefusalDecision;
--- a/src/domain/scheduling/dispatch_groups.ts
+++ b/src/domain/scheduling/dispatch_groups.ts
@@ -1,13 +1,14 @@
 /**
- * Dispatch groups: shards of a service's backend servers that share one queue.
+ * Splits a service's backend servers into dispatch groups that share one queue
+ * each.
  *
  * @module
  */
 import type { BackendServer, Service } from '../contracts/types.js';
 
-/** A shard of one service's backend servers. */
+/** Shard of one service's backend servers. */
 export interface DispatchGroup {
-  /** `<service>/<n>`, n from 0. */
+  /** `<service>/<n>`, with n counted from 0. */
   readonly id: string;
   readonly serviceId: string;
   /** Sorted by ID; never empty. */
@@ -16,11 +17,11 @@
 
 /**
  * Splits a service into as few dispatch groups as its group size allows, as
- * even as can be. Every entry host with the same configuration finds the same
- * groups, so nothing has to be agreed.
+ * evenly as possible. Every entry host with the same configuration computes the
+ * same groups, so no coordination is needed.
  *
  * @param service - the service
- * @returns its groups; none when it has no backend servers
+ * @returns its groups; empty if it has no backend servers
  */
 export function splitDispatchGroups(service: Service): DispatchGroup[] {
   const sorted = [...service.backendServers].sort((a, b) => compareIds(a.id, b.id));
@@ -37,7 +38,7 @@
 }
 
 /**
- * Reads a group ID's service.
+ * Extracts the service ID from a group ID.
  *
  * @param groupId - `<service>/<n>`
  * @returns the service's ID
--- a/src/domain/scheduling/drain_meter.ts
+++ b/src/domain/scheduling/drain_meter.ts
@@ -1,61 +1,63 @@
 /**
- * How fast a group's queue really drains.
+ * Measures how fast a group's queue drains.
  *
  * @module
  */
 
-/** Time constant of the average, in milliseconds. */
-const DRAIN_MEMORY_MS = 10_000;
+/** Time constant of the moving average, in milliseconds. */
+const DRAIN_TIME_CONSTANT_MS = 10_000;
 
-/** Time under backlog before the measured rate is believed, in milliseconds. */
+/** Backlogged time after which the measured rate replaces the default, in milliseconds. */
 const MIN_MEASURED_MS = 1_000;
 
-/** Bounds of the measured rate, as parts of the number of slots. */
-const MIN_RATE_PART = 0.05;
-const MAX_RATE_PART = 2;
+/** Bounds of the measured rate, as multiples of the number of slots. */
+const MIN_RATE_FACTOR = 0.05;
+const MAX_RATE_FACTOR = 2;
 
 /**
- * Measures predicted work done a unit of time, counted only while something
- * waits: an idle group says nothing of how fast it could be.
+ * Measures the predicted work completed per unit of time. It counts only while
+ * requests wait, because an idle group does not show how fast it could be.
  */
 export class DrainMeter {
-  #doneMs = 0;
+  #completedWorkMs = 0;
 
-  #backlogMs = 0;
+  #backloggedMs = 0;
 
-  #seenAtMs: number;
+  #lastObservedAtMs: number;
 
   /** @param nowMs - monotonic time in milliseconds */
   constructor(nowMs: number) {
-    this.#seenAtMs = nowMs;
+    this.#lastObservedAtMs = nowMs;
   }
 
   /**
-   * Takes in the time since the last call.
+   * Accounts for the time since the last call.
    *
    * @param nowMs - monotonic time in milliseconds
-   * @param isBacklogged - whether something waited since the last call
-   * @param doneMs - predicted work of slots that were given back now, in milliseconds
+   * @param isBacklogged - whether requests have waited since the last call
+   * @param completedWorkMs - predicted work of the slots released now, in
+   *   milliseconds
    */
-  observe(nowMs: number, isBacklogged: boolean, doneMs = 0): void {
-    const elapsedMs = Math.max(0, nowMs - this.#seenAtMs);
-    this.#seenAtMs = nowMs;
+  observe(nowMs: number, isBacklogged: boolean, completedWorkMs = 0): void {
+    const elapsedMs = Math.max(0, nowMs - this.#lastObservedAtMs);
+    this.#lastObservedAtMs = nowMs;
     if (!isBacklogged) return;
-    const kept = Math.exp(-elapsedMs / DRAIN_MEMORY_MS);
-    this.#doneMs = this.#doneMs * kept + doneMs;
-    this.#backlogMs = this.#backlogMs * kept + elapsedMs;
+    const decay = Math.exp(-elapsedMs / DRAIN_TIME_CONSTANT_MS);
+    this.#completedWorkMs = this.#completedWorkMs * decay + completedWorkMs;
+    this.#backloggedMs = this.#backloggedMs * decay + elapsedMs;
   }
 
   /**
    * Computes the drain rate.
    *
-   * @param slots - slots that can be held at once; the rate before anything was measured
-   * @returns predicted work in milliseconds that is done a millisecond; above 0
+   * @param slots - slots that can be held at once; also the rate before enough
+   *   was measured
+   * @returns milliseconds of predicted work completed per millisecond; above 0
    */
   computeRate(slots: number): number {
-    const least = Math.max(1, slots) * MIN_RATE_PART;
-    const most = Math.max(1, slots) * MAX_RATE_PART;
-    if (this.#backlogMs < MIN_MEASURED_MS) return Math.max(1, slots);
-    return Math.min(most, Math.max(least, this.#doneMs / this.#backlogMs));
+    const minRate = Math.max(1, slots) * MIN_RATE_FACTOR;
+    const maxRate = Math.max(1, slots) * MAX_RATE_FACTOR;
+    if (this.#backloggedMs < MIN_MEASURED_MS) return Math.max(1, slots);
+    return Math.min(maxRate, Math.max(minRate, this.#completedWorkMs / this.#backloggedMs));
   }
 }
--- a/src/domain/scheduling/fair_queue.ts
+++ b/src/domain/scheduling/fair_queue.ts
@@ -1,6 +1,6 @@
 /**
- * The dispatcher's queue: by tier, then weighted fair share between client
- * accounts, then deadline; with aging.
+ * The dispatcher's queue: ordered by tier, then by weighted fair share between
+ * client accounts, then by deadline, with aging against starvation.
  *
  * @module
  */
@@ -10,42 +10,44 @@
 import type { SlotDemand, WaitingDemand } from './slot_demand.js';
 import { WaitingQueue } from './waiting_queue.js';
 import type { Placement, Placer } from './waiting_queue.js';
-import { findPlacement, MAX_LOOKED_AT, ON_HOLD, WarmSearch } from './_warm_search.js';
+import { findPlacement, MAX_EXAMINED, DELAYED, WarmSearch } from './_warm_search.js';
 
-/** A demand that has waited for this long is aged. */
+/** Waiting time after which a demand is aged, in milliseconds. */
 export const STARVATION_BOUND_MS = 30_000;
 
-/** Of this many grants in a row, at most one goes to an aged demand out of its turn. */
+/** Of this many consecutive grants, at most one goes to an aged demand out of turn. */
 export const AGED_GRANT_INTERVAL = 8;
 
 /**
- * Part of the granted work that goes to aged demands out of their turn while
- * there are any. Counted in grants alone, one audit in eight would take most of
- * the slots from seven pings: their lengths differ a hundredfold.
+ * Fraction of the granted work that goes to aged demands out of turn while any
+ * wait. Request lengths differ a hundredfold: if only grants were counted, one
+ * long request in eight grants would take most of the slot time from seven
+ * short ones.
  */
-export const AGED_WORK_PART = 0.05;
+export const AGED_WORK_FRACTION = 0.05;
 
 /**
- * Orders by tier, then start-time fair queuing over predicted work between
- * accounts, then deadline inside an account. Of the first few of a tier, one
- * whose prompt prefix the free place holds may go ahead of the others.
+ * Orders demands by tier, then between accounts by start-time fair queuing over
+ * predicted work, then within an account by deadline. Of the first few demands
+ * of a tier, one whose prompt prefix is cached on a free backend server may
+ * overtake the others.
  *
- * Bound on starvation: of the demands that have waited for more than
- * {@link STARVATION_BOUND_MS}, the one that has waited longest is granted as
- * soon as {@link AGED_GRANT_INTERVAL} grants have been made, and work worth
- * 1 / {@link AGED_WORK_PART} times the aged demand granted before it, whatever
- * higher tiers bring; provided that a backend server which it may use has room.
- * A demand that is refused because its tier closes does not wait any more: it is
- * told so at once, with when to come back.
+ * Starvation bound: among the demands that have waited for more than {@link
+ * STARVATION_BOUND_MS}, the longest-waiting one is granted as soon as {@link
+ * AGED_GRANT_INTERVAL} grants have been made, and work worth 1 / {@link
+ * AGED_WORK_FRACTION} times the aged demand granted before it. This holds
+ * whatever load higher tiers bring, provided that a backend server which the
+ * demand may use has capacity. A demand refused because its tier closes no
+ * longer waits: the caller is told at once, with a retry delay.
  */
 export class FairQueue extends WaitingQueue {
   readonly #tiers = new Map<Tier, FairTier>(TIERS.map((tier) => [tier, new FairTier()]));
 
   readonly #byKey = new Map<string, WaitingDemand>();
 
-  readonly #search = new WarmSearch();
+  readonly #warmSearch = new WarmSearch();
 
-  /** No demand is aged before this time, on the monotonic clock. */
+  /** No demand is aged before this time, in monotonic milliseconds. */
   #nextAgedAtMs = Infinity;
 
   #grantsSinceAged = AGED_GRANT_INTERVAL;
@@ -70,7 +72,7 @@
     this.#byKey.delete(key);
     const queue = this.#getTier(waiting.demand.tier);
     queue.remove(waiting);
-    if (queue.size === 0) this.#search.release(queue);
+    if (queue.size === 0) this.#warmSearch.clearDelay(queue);
     return waiting;
   }
 
@@ -89,22 +91,22 @@
     this.#byKey.delete(placement.waiting.demand.key);
     const queue = this.#getTier(placement.waiting.demand.tier);
     queue.grant(placement.waiting);
-    this.#search.release(queue);
+    this.#warmSearch.clearDelay(queue);
     const { workMs } = placement.waiting;
     this.#grantsSinceAged = aged ? 1 : this.#grantsSinceAged + 1;
-    if (aged) this.#agedDebtMs = workMs / AGED_WORK_PART - workMs;
+    if (aged) this.#agedDebtMs = workMs / AGED_WORK_FRACTION - workMs;
     else this.#agedDebtMs = Math.max(0, this.#agedDebtMs - workMs);
     return placement;
   }
 
-  override computeWorkAhead(demand: SlotDemand): number {
+  override computeWorkAheadMs(demand: SlotDemand): number {
     return TIERS.filter((tier) => tier < demand.tier).reduce(
       (sum, tier) => sum + this.#getTier(tier).workMs,
-      this.#getTier(demand.tier).computeWorkAhead(demand),
+      this.#getTier(demand.tier).computeWorkAheadMs(demand),
     );
   }
 
-  override computeWork(tier: Tier): number {
+  override computeWorkMs(tier: Tier): number {
     return TIERS.filter((other) => other <= tier).reduce(
       (sum, other) => sum + this.#getTier(other).workMs,
       0,
@@ -124,9 +126,9 @@
   #findInTurn<P>(nowMs: number, placer: Placer<P>): Placement<P> | undefined {
     for (const tier of TIERS) {
       const queue = this.#getTier(tier);
-      if (queue.size > 0 && placer.hasRoom(tier, false)) {
-        const found = this.#search.find(queue, nowMs, placer);
-        if (found === ON_HOLD) return undefined;
+      if (queue.size > 0 && placer.hasCapacity(tier, false)) {
+        const found = this.#warmSearch.find(queue, nowMs, placer);
+        if (found === DELAYED) return undefined;
         if (found) return found;
       }
     }
@@ -135,12 +137,14 @@
 
   #findAged<P>(nowMs: number, placer: Placer<P>): Placement<P> | undefined {
     if (this.#grantsSinceAged < AGED_GRANT_INTERVAL || this.#agedDebtMs > 0) return undefined;
-    if (nowMs < this.#nextAgedAtMs || !TIERS.some((tier) => placer.hasRoom(tier, true)))
+    if (nowMs < this.#nextAgedAtMs || !TIERS.some((tier) => placer.hasCapacity(tier, true)))
       return undefined;
-    const oldest = this.list().sort((a, b) => a.demand.waitingSinceMs - b.demand.waitingSinceMs);
-    this.#nextAgedAtMs = (oldest[0]?.demand.waitingSinceMs ?? Infinity) + STARVATION_BOUND_MS;
-    const aged = oldest
-      .slice(0, MAX_LOOKED_AT)
+    const oldestFirst = this.list().sort(
+      (a, b) => a.demand.waitingSinceMs - b.demand.waitingSinceMs,
+    );
+    this.#nextAgedAtMs = (oldestFirst[0]?.demand.waitingSinceMs ?? Infinity) + STARVATION_BOUND_MS;
+    const aged = oldestFirst
+      .slice(0, MAX_EXAMINED)
       .filter(({ demand }) => nowMs - demand.waitingSinceMs > STARVATION_BOUND_MS);
     return findPlacement(aged, placer, true);
   }
--- a/src/domain/scheduling/arrival_queue.ts
+++ b/src/domain/scheduling/fifo_queue.ts
@@ -1,5 +1,5 @@
 /**
- * A queue in order of arrival: the baseline without tiers.
+ * FIFO queue without tiers, used as a baseline.
  *
  * @module
  */
@@ -9,8 +9,8 @@
 import type { Placement, Placer } from './waiting_queue.js';
 
 /** First come, first served, whatever the tier, account or deadline. */
-export class ArrivalQueue extends WaitingQueue {
-  /** In order of arrival, as maps keep it. */
+export class FifoQueue extends WaitingQueue {
+  /** Waiting demands in order of arrival, which is a map's insertion order. */
   readonly #byKey = new Map<string, WaitingDemand>();
 
   override get size(): number {
@@ -37,21 +37,21 @@
 
   override takeFirst<P>(_nowMs: number, placer: Placer<P>): Placement<P> | undefined {
     for (const waiting of this.#byKey.values()) {
-      if (!placer.hasRoom(waiting.demand.tier, false)) return undefined;
-      const place = placer.pickPlace(waiting, false);
-      if (place !== undefined) {
+      if (!placer.hasCapacity(waiting.demand.tier, false)) return undefined;
+      const target = placer.pickTarget(waiting, false);
+      if (target !== undefined) {
         this.#byKey.delete(waiting.demand.key);
-        return { waiting, place };
+        return { waiting, target };
       }
     }
     return undefined;
   }
 
-  override computeWorkAhead(): number {
-    return this.computeWork();
+  override computeWorkAheadMs(): number {
+    return this.computeWorkMs();
   }
 
-  override computeWork(): number {
+  override computeWorkMs(): number {
     return this.list().reduce((sum, waiting) => sum + waiting.workMs, 0);
   }
 
--- a/src/domain/scheduling/group_scheduler.ts
+++ b/src/domain/scheduling/group_scheduler.ts
@@ -1,15 +1,15 @@
 /**
- * The decisions of one dispatch group: who waits, who is refused, who runs where.
+ * Schedules one dispatch group: decides which requests wait, are refused, or run, and where.
  *
  * @module
  */
 import { ErrorKind } from '../errors/mod.js';
-import { MAX_WAIT_MS, MAX_WAITING } from './admission.js';
+import { MAX_WAIT_MS, MAX_WAITING_REQUESTS } from './admission.js';
 import { DecisionKind } from './decision.js';
 import type { Decision, RefusalDecision } from './decision.js';
 import { OfferedLoad } from './offered_load.js';
-import { Refuser } from './_refuser.js';
-import { computeLateAt, SURE_PART, WAIT_RISK_FACTOR } from './_server_fit.js';
+import { RefusalPolicy } from './_refusal_policy.js';
+import { computeLatestStartAtMs, MIN_WORK_FRACTION, WAIT_SAFETY_FACTOR } from './_server_fit.js';
 import { ServerPool } from './server_pool.js';
 import { ServerVerdict } from './server_state.js';
 import type { HeldSlot, ServerSpec, SlotResult } from './server_state.js';
@@ -20,29 +20,28 @@
 import { WaitPredictor } from './_wait_predictor.js';
 import type { Placement, WaitingQueue } from './waiting_queue.js';
 
-/** What a group's scheduler is made of. */
+/** Dependencies and settings of a group scheduler. */
 export interface GroupSchedulerOptions {
   readonly strategy: SchedulingStrategy;
   /** Whether the group belongs to a plain service. */
   readonly isPlain: boolean;
   /** Monotonic time in milliseconds. */
   readonly nowMs: number;
-  /** Gives random numbers in [0, 1). */
+  /** Returns random numbers in [0, 1). */
   readonly nextFraction: () => number;
 }
 
-/** How often at most tiers are reopened and outliers ejected, in milliseconds. */
-const REVIEW_MS = 50;
+/** Shortest interval between checks for tiers to reopen and outliers to eject, in milliseconds. */
+const REVIEW_INTERVAL_MS = 50;
 
 /**
- * The pure state machine behind a dispatcher. It promises:
+ * Pure state machine behind a dispatcher. It guarantees:
  *
- * - No refusal of a tier for lack of room, or for a deadline that the queue
- *   makes unreachable, while a lower tier's request waits; and no lower tier is
- *   admitted within `REOPEN_HOLD_MS` after it.
- * - No slot that a waiting request may use stays free after a call of `run`, but
- *   for at most `MAX_HOLD_MS` where a prefix that another cache holds would be
- *   computed again.
+ * - No request is refused for lack of capacity, or for a deadline that the queue makes
+ *   unreachable, while a request of a lower tier waits; and no lower tier is admitted within
+ *   `REOPEN_DELAY_MS` after such a refusal.
+ * - No slot that a waiting request may use stays free after a call of `run`, except for at most
+ *   `MAX_CACHE_DELAY_MS` where a prefix in another server's cache would be recomputed.
  */
 export class GroupScheduler {
   readonly pool: ServerPool;
@@ -53,51 +52,51 @@
 
   readonly #queue: WaitingQueue;
 
-  readonly #refuser: Refuser;
+  readonly #refusalPolicy: RefusalPolicy;
 
-  readonly #waits: WaitPredictor;
+  readonly #waitPredictor: WaitPredictor;
 
-  readonly #offered: OfferedLoad;
+  readonly #offeredLoad: OfferedLoad;
 
   #lastGrantId = 0;
 
-  #reviewedAtMs = Number.NEGATIVE_INFINITY;
+  #lastReviewedAtMs = Number.NEGATIVE_INFINITY;
 
-  /** Nothing that waits is too late before this time, on the monotonic clock. */
-  #nextLateAtMs = Infinity;
+  /** No waiting demand reaches its latest start before this time, in monotonic milliseconds. */
+  #nextExpiryAtMs = Infinity;
 
-  /** @param options - what it is made of */
+  /** @param options - dependencies and settings */
   constructor(options: GroupSchedulerOptions) {
     this.#options = options;
     this.#strategy = options.strategy;
     this.#queue = options.strategy.createQueue();
     this.pool = new ServerPool(options.strategy, options.isPlain);
-    this.#offered = new OfferedLoad(options.nowMs);
-    this.#waits = new WaitPredictor(this.#queue, this.pool, options.nowMs);
-    this.#refuser = new Refuser({
+    this.#offeredLoad = new OfferedLoad(options.nowMs);
+    this.#waitPredictor = new WaitPredictor(this.#queue, this.pool, options.nowMs);
+    this.#refusalPolicy = new RefusalPolicy({
       strategy: options.strategy,
       queue: this.#queue,
       nextFraction: options.nextFraction,
-      waits: this.#waits,
+      waitPredictor: this.#waitPredictor,
     });
   }
 
-  /** How many wait. */
+  /** Number of waiting requests. */
   get waitingCount(): number {
     return this.#queue.size;
   }
 
-  /** Lowest tier that this group itself has open. */
+  /** Lowest tier that this group itself has open, whatever its sibling groups report. */
   get openTier(): Tier {
-    return this.#refuser.openTier;
+    return this.#refusalPolicy.openTier;
   }
 
-  /** @param tier - which tier. @returns how many of it wait */
+  /** @param tier - a tier. @returns number of its waiting requests */
   countWaiting(tier: Tier): number {
     return this.#queue.countTier(tier);
   }
 
-  /** @returns everything that waits, in no order */
+  /** @returns all waiting requests, in no particular order */
   listWaiting(): SlotDemand[] {
     return this.#queue.list().map(({ demand }) => demand);
   }
@@ -108,39 +107,47 @@
   }
 
   /**
-   * Takes in a request.
+   * Admits or refuses a request. An admitted request waits until `run` grants it a slot.
    *
    * @param demand - the request
    * @param nowMs - monotonic time in milliseconds
-   * @returns refusals, lower tiers' first; an empty list when it waits. `run` grants
+   * @returns refusals, lower tiers first; empty if the request is admitted
    */
   submit(demand: SlotDemand, nowMs: number): RefusalDecision[] {
     const work = this.pool.predictWork(demand, nowMs);
-    if (!work) return [this.#refuser.refuseUnservable(demand)];
-    if (!this.#refuser.isOpen(demand.tier, nowMs))
-      return [this.#refuser.refuseClosed(demand, nowMs)];
+    if (!work) return [this.#refusalPolicy.refuseUnservable(demand)];
+    if (!this.#refusalPolicy.isOpen(demand.tier, nowMs))
+      return [this.#refusalPolicy.refuseClosed(demand, nowMs)];
     const remainingMs = demand.deadlineAtMs - nowMs;
-    if (remainingMs <= 0) return [this.#refuser.refuse(demand, ErrorKind.DeadlineExpired, 0)];
-    const { predictsWaits } = this.#strategy;
-    // Too long for its deadline on an empty group: no lack of room, nothing is closed.
-    if (predictsWaits && work.leastMs * SURE_PART > remainingMs)
-      return [this.#refuser.refuse(demand, ErrorKind.DeadlineUnreachable, 0)];
-    this.#offered.observe(demand.tier, work.meanMs, nowMs);
-    const leastMs = predictsWaits ? work.leastMs : 0;
-    const lateAtMs = computeLateAt(demand, leastMs, this.pool.getMargin(demand.tier), nowMs);
-    const waiting = { demand, workMs: work.meanMs, lateAtMs };
-    return predictsWaits ? this.#admitInTime(waiting, nowMs) : this.#admit(waiting, nowMs);
+    if (remainingMs <= 0) return [this.#refusalPolicy.refuse(demand, ErrorKind.DeadlineExpired, 0)];
+    const { hasWaitPrediction } = this.#strategy;
+    // The deadline is too short even on an idle group. This is no lack of
+    // capacity, so no tier closes.
+    if (hasWaitPrediction && work.minMs * MIN_WORK_FRACTION > remainingMs)
+      return [this.#refusalPolicy.refuse(demand, ErrorKind.DeadlineUnreachable, 0)];
+    this.#offeredLoad.observe(demand.tier, work.meanMs, nowMs);
+    const minWorkMs = hasWaitPrediction ? work.minMs : 0;
+    const latestStartAtMs = computeLatestStartAtMs(
+      demand,
+      minWorkMs,
+      this.pool.getMargin(demand.tier),
+      nowMs,
+    );
+    const waiting = { demand, workMs: work.meanMs, latestStartAtMs };
+    return hasWaitPrediction
+      ? this.#admitByPredictedWait(waiting, nowMs)
+      : this.#admit(waiting, nowMs);
   }
 
-  /** @param key - whose owner no longer waits. @returns whether it waited */
+  /** @param key - key of a request whose owner stopped waiting. @returns whether it was waiting */
   cancel(key: string): boolean {
     return this.#queue.remove(key) !== undefined;
   }
 
   /**
-   * Takes a demand back without a decision, to be queued elsewhere.
+   * Removes all waiting requests without a decision, so that they can be queued elsewhere.
    *
-   * @returns every waiting demand; none waits any more
+   * @returns the removed requests
    */
   drainWaiting(): SlotDemand[] {
     const demands = this.listWaiting();
@@ -149,102 +156,103 @@
   }
 
   /**
-   * Gives a slot back.
+   * Releases a slot.
    *
-   * @param grantId - which slot
-   * @param result - how it was used
+   * @param grantId - grant that holds the slot
+   * @param result - how the slot was used
    * @param nowMs - monotonic time in milliseconds
-   * @returns the slot; undefined when it isn't held any more
+   * @returns the slot; undefined if it is no longer held
    */
   release(grantId: number, result: SlotResult, nowMs: number): HeldSlot | undefined {
     const slot = this.pool.release(grantId, result, nowMs);
     if (!slot) return undefined;
     const hasRun = [ServerVerdict.Healthy, ServerVerdict.Failing].includes(result.verdict);
-    this.#waits.observe(nowMs, hasRun ? slot.meanWorkMs : 0);
+    this.#waitPredictor.observe(nowMs, hasRun ? slot.meanWorkMs : 0);
     return slot;
   }
 
   /**
-   * Takes in what other groups of the service say of their gates.
+   * Applies the lowest open tier that the other groups of the service report.
    *
    * @param openTier - lowest tier that every other group has open
-   * @param untilMs - until when to believe it, on the monotonic clock
+   * @param untilMs - expiry of the report, in monotonic milliseconds
    * @param nowMs - monotonic time in milliseconds
-   * @returns refusals of what waits below that tier
+   * @returns refusals of the requests that wait below that tier
    */
   noteSiblings(openTier: Tier, untilMs: number, nowMs: number): RefusalDecision[] {
-    return this.#refuser.noteSiblings(openTier, untilMs, nowMs);
+    return this.#refusalPolicy.applySiblingTier(openTier, untilMs, nowMs);
   }
 
   /**
-   * Does all that is due: refuses what can't make its deadline any more, reopens
-   * tiers, ejects outliers, and grants every slot that somebody may use.
+   * Performs all due work: refuses requests that can no longer meet their deadlines, reopens
+   * tiers, ejects outliers, and grants every slot that a waiting request may use.
    *
    * @param nowMs - monotonic time in milliseconds
    * @returns the decisions, in order
    */
   run(nowMs: number): Decision[] {
-    this.#waits.observe(nowMs);
-    const refusals = nowMs >= this.#nextLateAtMs ? this.#expire(nowMs) : [];
-    if (nowMs - this.#reviewedAtMs >= REVIEW_MS) this.#review(nowMs);
+    this.#waitPredictor.observe(nowMs);
+    const refusals = nowMs >= this.#nextExpiryAtMs ? this.#expire(nowMs) : [];
+    if (nowMs - this.#lastReviewedAtMs >= REVIEW_INTERVAL_MS) this.#review(nowMs);
     return [...refusals, ...this.#grantAll(nowMs)];
   }
 
   /**
    * Predicts how long a new request would wait.
    *
-   * @param tier - its tier
+   * @param tier - tier of the request
    * @param nowMs - monotonic time in milliseconds
-   * @returns the wait in milliseconds; 0 when there is room
+   * @returns the wait in milliseconds; 0 if there is capacity
    */
   predictTierWait(tier: Tier, nowMs: number): number {
-    return this.#waits.predictTierWait(tier, nowMs);
+    return this.#waitPredictor.predictTierWaitMs(tier, nowMs);
   }
 
   #review(nowMs: number): void {
-    this.#reviewedAtMs = nowMs;
-    this.#refuser.update(nowMs);
+    this.#lastReviewedAtMs = nowMs;
+    this.#refusalPolicy.update(nowMs);
     this.pool.ejectOutliers(nowMs);
   }
 
-  /** Admits what will probably be granted in time, within the bound of the tier's queue. */
-  #admitInTime(waiting: WaitingDemand, nowMs: number): RefusalDecision[] {
-    const { demand, lateAtMs } = waiting;
-    const waitMs = this.#waits.predictWait(demand, nowMs);
-    if (waitMs > 0 && nowMs + waitMs * WAIT_RISK_FACTOR > lateAtMs)
-      return this.#refuser.refuseForRoom(demand, ErrorKind.DeadlineUnreachable, nowMs);
+  /** Admits a request that will probably be granted in time, within the wait limit of its tier. */
+  #admitByPredictedWait(waiting: WaitingDemand, nowMs: number): RefusalDecision[] {
+    const { demand, latestStartAtMs } = waiting;
+    const waitMs = this.#waitPredictor.predictWaitMs(demand, nowMs);
+    if (waitMs > 0 && nowMs + waitMs * WAIT_SAFETY_FACTOR > latestStartAtMs)
+      return this.#refusalPolicy.refuseForCapacity(demand, ErrorKind.DeadlineUnreachable, nowMs);
     if (waitMs <= MAX_WAIT_MS[demand.tier]) return this.#admit(waiting, nowMs);
     this.#add(waiting);
-    return this.#refuser.refuseVictim(demand.tier, nowMs);
+    return this.#refusalPolicy.refuseVictim(demand.tier, nowMs);
   }
 
   #add(waiting: WaitingDemand): void {
     this.#queue.add(waiting);
-    this.#nextLateAtMs = Math.min(this.#nextLateAtMs, waiting.lateAtMs);
+    this.#nextExpiryAtMs = Math.min(this.#nextExpiryAtMs, waiting.latestStartAtMs);
   }
 
   #admit(waiting: WaitingDemand, nowMs: number): RefusalDecision[] {
     this.#add(waiting);
-    if (this.#queue.size <= MAX_WAITING) return [];
-    return this.#refuser.refuseVictim(undefined, nowMs);
+    if (this.#queue.size <= MAX_WAITING_REQUESTS) return [];
+    return this.#refusalPolicy.refuseVictim(undefined, nowMs);
   }
 
-  /** Refuses at once what waits and can't make its deadline any more, lowest tier first. */
+  /** Refuses waiting requests that can no longer meet their deadlines, lowest tier first. */
   #expire(nowMs: number): RefusalDecision[] {
     const refusals = this.#queue
       .list()
-      .filter((waiting) => waiting.lateAtMs <= nowMs)
+      .filter((waiting) => waiting.latestStartAtMs <= nowMs)
       .sort((a, b) => b.demand.tier - a.demand.tier)
       .flatMap(({ demand }) => {
-        // Refused meanwhile, when a higher tier's refusal closed its own.
+        // The refusal of a higher tier has closed this tier and refused the
+        // request already.
         if (!this.#queue.remove(demand.key)) return [];
-        const isOver = nowMs >= demand.deadlineAtMs;
-        const reason = isOver ? ErrorKind.DeadlineExpired : ErrorKind.DeadlineUnreachable;
-        return this.#refuser.refuseForRoom(demand, reason, nowMs);
+        const hasExpired = nowMs >= demand.deadlineAtMs;
+        const reason = hasExpired ? ErrorKind.DeadlineExpired : ErrorKind.DeadlineUnreachable;
+        return this.#refusalPolicy.refuseForCapacity(demand, reason, nowMs);
       });
-    this.#nextLateAtMs = this.#queue
+    this.#nextExpiryAtMs = this.#queue
       .list()
-      .reduce((first, waiting) => Math.min(first, waiting.lateAtMs), Infinity);
+      .reduce((first, waiting) => Math.min(first, waiting.latestStartAtMs), Infinity);
     return refusals;
   }
 
@@ -252,40 +260,40 @@
     const decisions: Decision[] = [];
     const { nextFraction } = this.#options;
     const { pool } = this;
-    const placer = new SlotPlacer({ pool, offered: this.#offered, nowMs, nextFraction });
+    const placer = new SlotPlacer({ pool, offered: this.#offeredLoad, nowMs, nextFraction });
     for (
       let next = this.#queue.takeFirst(nowMs, placer);
       next;
       next = this.#queue.takeFirst(nowMs, placer)
     )
       decisions.push(this.#grant(next, nowMs));
-    return [...decisions, ...this.#refuseLate(placer.listLate(), nowMs)];
+    return [...decisions, ...this.#refuseUnreachable(placer.listUnreachable(), nowMs)];
   }
 
-  /** Refuses what came to its turn and would run in vain wherever it ran. */
-  #refuseLate(demands: readonly SlotDemand[], nowMs: number): RefusalDecision[] {
+  /** Refuses requests that came to their turn and would miss their deadlines on any server. */
+  #refuseUnreachable(demands: readonly SlotDemand[], nowMs: number): RefusalDecision[] {
     return demands.flatMap((demand) =>
       this.#queue.remove(demand.key)
-        ? this.#refuser.refuseForRoom(demand, ErrorKind.DeadlineUnreachable, nowMs)
+        ? this.#refusalPolicy.refuseForCapacity(demand, ErrorKind.DeadlineUnreachable, nowMs)
         : [],
     );
   }
 
-  #grant({ waiting, place }: Placement<string>, nowMs: number): Decision {
+  #grant({ waiting, target }: Placement<string>, nowMs: number): Decision {
     const { demand, workMs } = waiting;
     this.#lastGrantId += 1;
     const grantId = this.#lastGrantId;
-    const server = this.pool.findServer(place);
+    const server = this.pool.findServer(target);
     const work = server?.predictWork(demand, nowMs) ?? { prefillTokens: 0, outputTokens: 0 };
     this.pool.acquire({
       grantId,
       demand,
-      serverId: place,
+      serverId: target,
       grantedAtMs: nowMs,
       workMs: server?.speed.predictWorkMs(work) ?? workMs,
       meanWorkMs: workMs,
       work,
     });
-    return { kind: DecisionKind.Grant, demand, grantId, backendServerId: place };
+    return { kind: DecisionKind.Grant, demand, grantId, backendServerId: target };
   }
 }
--- a/src/domain/scheduling/group_scheduler_test.ts
+++ b/src/domain/scheduling/group_scheduler_test.ts
@@ -10,7 +10,7 @@
 import {
   createStrategy,
   DecisionKind,
-  REOPEN_HOLD_MS,
+  REOPEN_DELAY_MS,
   ServerVerdict,
   StrategyName,
   TIERS,
@@ -64,18 +64,18 @@
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('leave' as const), index: fc.nat(3) }) },
 );
 
-/** Runs commands against a group and checks every promise after each of them. */
-class Checker {
+/** Runs commands against a group and checks every guarantee after each command. */
+class PromiseChecker {
   readonly group: GroupScheduler;
 
-  /** When each tier was last refused for lack of room. */
+  /** Time at which each tier was last refused for lack of capacity. */
   readonly refusedAtMs = new Map<Tier, number>();
 
   readonly open = new Set<string>();
 
   #nowMs = 0;
 
-  #leaving: number[] = [];
+  #leavingIndexes: number[] = [];
 
   #lastKey = 0;
 
@@ -85,7 +85,8 @@
 
   run(command: Command): void {
     if (command.kind === 'wait') this.#nowMs += command.ms;
-    if (command.kind === 'leave') this.#leaving = this.#leaving.length > 0 ? [] : [command.index];
+    if (command.kind === 'leave')
+      this.#leavingIndexes = this.#leavingIndexes.length > 0 ? [] : [command.index];
     if (command.kind === 'submit') this.#submit(command);
     if (command.kind === 'release') {
       const held = this.group.pool.listHeld();
@@ -93,7 +94,7 @@
       if (slot)
         this.group.release(slot.grantId, { ...ANSWERED, verdict: command.verdict }, this.#nowMs);
     }
-    this.group.updateServers(buildSpecs(3, 2, this.#leaving), this.#nowMs);
+    this.group.updateServers(buildSpecs(3, 2, this.#leavingIndexes), this.#nowMs);
     this.#check(this.group.run(this.#nowMs));
     this.#checkConservation();
   }
@@ -107,24 +108,27 @@
       waitingSinceMs: this.#nowMs,
       expectedOutputTokens: command.tokens,
     });
-    const leastMs = this.group.pool.predictWork(demand, this.#nowMs)?.leastMs ?? 0;
-    const isHopeless = leastMs * 0.8 > command.remainingMs;
+    const leastMs = this.group.pool.predictWork(demand, this.#nowMs)?.minMs ?? 0;
+    const isUnreachable = leastMs * 0.8 > command.remainingMs;
     this.open.add(demand.key);
     const refusals = this.group.submit(demand, this.#nowMs);
-    this.#check(refusals, isHopeless ? demand.key : undefined);
+    this.#check(refusals, isUnreachable ? demand.key : undefined);
     const isAdmitted = !refusals.some((refusal) => refusal.demand.key === demand.key);
-    if (isAdmitted) this.#checkWindow(demand);
+    if (isAdmitted) this.#checkClosedTiers(demand);
   }
 
-  /** No lower tier comes in for a while after a higher one was refused for lack of room. */
-  #checkWindow(demand: SlotDemand): void {
+  /**
+   * Checks that no lower tier is admitted for a while after a higher tier was
+   * refused for lack of capacity.
+   */
+  #checkClosedTiers(demand: SlotDemand): void {
     this.refusedAtMs.forEach((atMs, tier) => {
-      if (demand.tier > tier && this.#nowMs < atMs + REOPEN_HOLD_MS)
+      if (demand.tier > tier && this.#nowMs < atMs + REOPEN_DELAY_MS)
         throw new Error(`Tier ${demand.tier} was admitted after ${tier} was refused`);
     });
   }
 
-  #check(decisions: readonly Decision[], hopelessKey?: string): void {
+  #check(decisions: readonly Decision[], unreachableKey?: string): void {
     decisions.forEach((decision) => {
       const { demand } = decision;
       if (!this.open.delete(demand.key)) throw new Error(`${demand.key} was decided twice`);
@@ -132,7 +136,7 @@
         this.#checkGrant(decision.backendServerId, demand);
         return;
       }
-      if (demand.key === hopelessKey || !ROOM_REFUSALS.includes(decision.reason)) return;
+      if (demand.key === unreachableKey || !ROOM_REFUSALS.includes(decision.reason)) return;
       this.refusedAtMs.set(demand.tier, this.#nowMs);
       const lower = this.group.listWaiting().find((other) => other.tier > demand.tier);
       if (lower) throw new Error(`Tier ${demand.tier} was refused while ${lower.tier} waits`);
@@ -147,7 +151,7 @@
       throw new Error(`${serverId} holds more than its window`);
   }
 
-  /** Nothing waits beside a slot that it may use, and nothing is lost. */
+  /** Checks that no demand waits beside a slot that it may use, and that no demand is lost. */
   #checkConservation(): void {
     const waiting = this.group.listWaiting();
     if (waiting.length !== this.open.size) throw new Error('a demand was lost');
@@ -159,9 +163,9 @@
 
   #isPlaceable(demand: SlotDemand): boolean {
     const { pool } = this.group;
-    if (!pool.strategy.reservesByDemand)
+    if (!pool.strategy.hasAdaptiveReserve)
       return pool.pickServer(demand, false, this.#nowMs, () => 0) !== undefined;
-    // What is kept for higher tiers may stay free, but never a whole idle group.
+    // The reserve for higher tiers may stay free, but never a whole idle group.
     return (
       pool.heldCount === 0 && pool.pickServer(demand, false, this.#nowMs, () => 0) !== undefined
     );
@@ -169,16 +173,16 @@
 }
 
 function runAll(strategy: SchedulingStrategy, commands: readonly Command[]): void {
-  const checker = new Checker(strategy);
+  const checker = new PromiseChecker(strategy);
   commands.forEach((command) => checker.run(command));
 }
 
 const COMMANDS = fc.array(COMMAND, { minLength: 1, maxLength: 150, size: 'max' });
 
-t.test('GroupScheduler keeps every promise in any order of events', async (t) => {
-  // Symptom: a counter lookup is refused while photo classification waits or is
-  // let in. Sequence: any mix of arrivals, late and failed answers, leaving
-  // backend servers and time. Cause: refusing a tier before the lower ones.
+t.test('GroupScheduler keeps every guarantee in any order of events', async (t) => {
+  // Guards against refusing an urgent request while batch requests wait or are
+  // admitted. Any mix of arrivals, late and failed answers, leaving backend
+  // servers and time must not refuse a tier before the lower tiers.
   [0, 0.125, 0.5].forEach((reserveFraction) => {
     const strategy = createStrategy(StrategyName.Dispatcher, { reserveFraction });
     const property = fc.property(COMMANDS, (commands) => runAll(strategy, commands));
@@ -187,7 +191,7 @@
 });
 
 t.test(
-  'GroupScheduler without closing breaks the promise, so that the check can fail',
+  'GroupScheduler without tier closing breaks the guarantee, which shows that the check works',
   async (t) => {
     const strategy = createStrategy(StrategyName.Dispatcher);
     const unclosed = Object.assign(Object.create(strategy) as SchedulingStrategy, {});
@@ -199,7 +203,7 @@
   },
 );
 
-t.test('GroupScheduler leaves no slot free that a patient request could use', async (t) => {
+t.test('GroupScheduler leaves no slot free that a request with time left could use', async (t) => {
   // A request with much time left never waits for a better backend server.
   const strategy = createStrategy(StrategyName.Dispatcher, { reserveFraction: 0 });
   const patient = fc.record({
@@ -225,5 +229,5 @@
     }),
     { seed: 42, numRuns: 100 },
   );
-  t.ok(waits > 100, 'the case came up');
+  t.ok(waits > 100, 'some requests had to wait');
 });
--- a/src/domain/scheduling/mixed_lengths_test.ts
+++ b/src/domain/scheduling/mixed_lengths_test.ts
@@ -24,9 +24,10 @@
   return { id, kind, backendServers, ...rest };
 }
 
-t.test('splitDispatchGroups() gives no two services a line of slots in common', async (t) => {
-  // Symptom: status pings stand behind survey write-ups. Sequence: the engines
-  // are full. Cause: one queue for all that an entry host dispatches.
+t.test('splitDispatchGroups() puts no two services into the same group', async (t) => {
+  // Guards against short requests of one service that queue behind long
+  // requests of another while the engines are full, which happens if an entry
+  // host has one queue for all services.
   const services = [
     buildService('monsoon-llm', ServiceKind.Model),
     buildService('case-app', ServiceKind.Plain),
@@ -38,9 +39,10 @@
   );
 });
 
-t.test('GroupScheduler never makes a ping wait for long prompts', async (t) => {
-  // Symptom: a lookup takes as long as an audit. Sequence: long prompts of the
-  // lower tiers fill every slot. Cause: no slots kept for the tier above.
+t.test('GroupScheduler never makes an urgent ping wait for long prompts', async (t) => {
+  // Guards against urgent requests that take as long as batch requests because
+  // long prompts of lower tiers fill every slot, with no slots reserved for the
+  // tier above.
   const long = fc.record({
     tier: fc.constantFrom(Tier.Standard, Tier.Batch),
     promptTokens: fc.integer({ min: 500, max: 8000 }),
@@ -53,8 +55,8 @@
         group.submit(buildDemand(`long-${index}`, { ...prompt, deadlineAtMs: 10_000_000 }), index);
         group.run(index);
       });
-      t.ok(group.waitingCount > 0, 'the long ones have taken all that they may');
-      // Two of sixteen slots an engine are kept.
+      t.ok(group.waitingCount > 0, 'long prompts hold every slot that they may');
+      // Two of the sixteen slots of each engine are reserved.
       for (let index = 0; index < 6; index += 1) {
         group.submit(buildDemand(`ping-${index}`, { ...PING, waitingSinceMs: 1_000 }), 1_000);
         const granted = group.run(1_000).map(({ demand }) => demand.key);
@@ -83,6 +85,6 @@
         group.release(grantId, { ...ANSWERED, totalMs: workMs, outputTokens }, nowMs);
       });
   }
-  t.equal(waits.length, 20, 'all of them');
-  t.equal(Math.max(...waits), 0, 'at once');
+  t.equal(waits.length, 20, 'all long prompts were granted');
+  t.equal(Math.max(...waits), 0, 'without waiting');
 });
--- a/src/domain/scheduling/mod.ts
+++ b/src/domain/scheduling/mod.ts
@@ -1,7 +1,7 @@
 /**
- * The pure policy of scheduling: queues, closing, windows, choice of backend
- * server, and the strategies that put them together. Nothing here has a clock
- * or a random number of its own.
+ * Pure scheduling policy: queues, tier closing, concurrency windows, choice of
+ * backend server, and the strategies that combine them. Time and random numbers
+ * are passed in by the caller.
  *
  * ```ts
  * const group = new GroupScheduler({ strategy, isPlain: false, nowMs, nextFraction });
@@ -29,18 +29,18 @@
 export type { Placement, Placer } from './waiting_queue.js';
 export {
   AGED_GRANT_INTERVAL,
-  AGED_WORK_PART,
+  AGED_WORK_FRACTION,
   FairQueue,
   STARVATION_BOUND_MS,
 } from './fair_queue.js';
-export { ArrivalQueue } from './arrival_queue.js';
-export { REOPEN_HOLD_MS, TierGate } from './tier_gate.js';
-export { computeRetryAfter, MAX_WAIT_MS, MAX_WAITING } from './admission.js';
+export { FifoQueue } from './fifo_queue.js';
+export { REOPEN_DELAY_MS, TierGate } from './tier_gate.js';
+export { computeRetryAfterMs, MAX_WAIT_MS, MAX_WAITING_REQUESTS } from './admission.js';
 export { ConcurrencyWindow, SLOW_START_MS } from './concurrency_window.js';
 export type { LatencySample } from './concurrency_window.js';
-export { MAX_EJECTED_PART, OutlierEjector } from './outlier_ejection.js';
+export { MAX_EJECTED_FRACTION, OutlierEjector } from './outlier_ejection.js';
 export type { ServerHealth } from './outlier_ejection.js';
-export { pickNearBest, pickOfTwo } from './server_choice.js';
+export { pickNearBest, pickLessLoadedOfTwo } from './server_choice.js';
 export type { ServerCandidate } from './server_choice.js';
 export { ServerState, ServerVerdict } from './server_state.js';
 export type { HeldSlot, ServerSpec, SlotResult } from './server_state.js';
--- a/src/domain/scheduling/offered_load.ts
+++ b/src/domain/scheduling/offered_load.ts
@@ -1,31 +1,32 @@
 /**
- * How many slots each tier needs, by what it has brought lately.
+ * Predicts how many slots each tier needs from its recently offered load.
  *
  * @module
  */
 import { TIERS } from './tier.js';
 import type { Tier } from './tier.js';
 
-/** Time constant of the average, in milliseconds. */
-const OFFERED_MEMORY_MS = 10_000;
+/** Time constant of the moving average, in milliseconds. */
+const OFFERED_TIME_CONSTANT_MS = 10_000;
 
-/** Follows predicted work that arrives, by tier. */
+/** Tracks the predicted work of arriving requests by tier. */
 export class OfferedLoad {
-  /** Predicted work in milliseconds, decaying. */
+  /** Predicted work of each tier in milliseconds, decaying over time. */
   readonly #workMs = new Map<Tier, number>(TIERS.map((tier) => [tier, 0]));
 
-  #seenAtMs: number;
+  #lastObservedAtMs: number;
 
   /** @param nowMs - monotonic time in milliseconds */
   constructor(nowMs: number) {
-    this.#seenAtMs = nowMs;
+    this.#lastObservedAtMs = nowMs;
   }
 
   /**
-   * Notes an arrival that a slot could serve in time, whether it is admitted or not.
+   * Records an arriving request that a slot could serve in time, whether or not
+   * it is admitted.
    *
-   * @param tier - its tier
-   * @param workMs - its predicted work in milliseconds of one slot
+   * @param tier - tier of the request
+   * @param workMs - its predicted work in one slot, in milliseconds
    * @param nowMs - monotonic time in milliseconds
    */
   observe(tier: Tier, workMs: number, nowMs: number): void {
@@ -34,11 +35,11 @@
   }
 
   /**
-   * Predicts the slots that should be kept for the tiers above one.
+   * Predicts how many slots the tiers above a given one need.
    *
    * @param tier - the tier
    * @param nowMs - monotonic time in milliseconds
-   * @returns slots on average; not whole
+   * @returns average number of slots; not a whole number
    */
   predictSlotsAbove(tier: Tier, nowMs: number): number {
     this.#decay(nowMs);
@@ -46,12 +47,12 @@
       (sum, other) => sum + (this.#workMs.get(other) ?? 0),
       0,
     );
-    return workMs / OFFERED_MEMORY_MS;
+    return workMs / OFFERED_TIME_CONSTANT_MS;
   }
 
   #decay(nowMs: number): void {
-    const kept = Math.exp(-Math.max(0, nowMs - this.#seenAtMs) / OFFERED_MEMORY_MS);
-    this.#seenAtMs = nowMs;
-    this.#workMs.forEach((workMs, tier) => this.#workMs.set(tier, workMs * kept));
+    const decay = Math.exp(-Math.max(0, nowMs - this.#lastObservedAtMs) / OFFERED_TIME_CONSTANT_MS);
+    this.#lastObservedAtMs = nowMs;
+    this.#workMs.forEach((workMs, tier) => this.#workMs.set(tier, workMs * decay));
   }
 }
--- a/src/domain/scheduling/outlier_ejection.ts
+++ b/src/domain/scheduling/outlier_ejection.ts
@@ -1,97 +1,107 @@
 /**
- * Takes backend servers out of choice that fail or have become far slower than
- * the others.
+ * Ejects backend servers that fail, or that have become far slower than the
+ * others.
  *
  * @module
  */
 
-/** Most of a group that may be ejected at once. */
-export const MAX_EJECTED_PART = 1 / 3;
+/** Largest fraction of a group that may be ejected at once. */
+export const MAX_EJECTED_FRACTION = 1 / 3;
 
-/** Failures in a row that eject. */
+/** Consecutive failures that lead to an ejection. */
 const FAILURES_TO_EJECT = 5;
 
-/** Slowdown over the group's median that ejects. */
+/** Ratio of a server's slowdown to the group's median that leads to an ejection. */
 const SLOWDOWN_TO_EJECT = 4;
 
-/** Fewest answers that a slowdown must rest on. */
+/** Fewest answers on which a slowdown must be based. */
 const MIN_SLOWDOWN_SAMPLES = 5;
 
-/** First time out, in milliseconds; it doubles with each ejection in a row. */
-const EJECTION_MS = 5_000;
+/** Duration of the first ejection, in milliseconds; it doubles with each consecutive ejection. */
+const INITIAL_EJECTION_MS = 5_000;
 const MAX_EJECTION_MS = 60_000;
 
-/** Time of good behaviour after which the next ejection is a first one again, in milliseconds. */
-const FORGIVE_AFTER_MS = 120_000;
+/** Time without ejection after which the duration starts over, in milliseconds. */
+const EJECTION_RESET_MS = 120_000;
 
-/** How one backend server does. */
+/** Health of one backend server. */
 export interface ServerHealth {
   readonly id: string;
-  /** Failures since its last success. */
-  readonly failuresInRow: number;
-  /** How much slower it is than its kind says. */
+  /** Failures since the last success. */
+  readonly consecutiveFailures: number;
+  /** Factor by which the server is slower than its engine kind's nominal speed. */
   readonly slowdown: number;
-  /** Answers that the slowdown rests on, since it last came back. */
+  /** Answers on which the slowdown is based, since the server last returned. */
   readonly samples: number;
 }
 
 interface Ejection {
   untilMs: number;
-  inRow: number;
+  consecutiveEjections: number;
 }
 
-/** Remembers who is ejected, and until when. Never more than a third of the group. */
+/**
+ * Remembers which backend servers are ejected, and until when. At most a third
+ * of the group is ejected at any time.
+ */
 export class OutlierEjector {
   readonly #ejections = new Map<string, Ejection>();
 
-  /** @param id - which backend server. @param nowMs - monotonic time. @returns whether it is out */
+  /**
+   * @param id - a backend server
+   * @param nowMs - monotonic time
+   * @returns whether it is ejected
+   */
   isEjected(id: string, nowMs: number): boolean {
     return nowMs < (this.#ejections.get(id)?.untilMs ?? Number.NEGATIVE_INFINITY);
   }
 
-  /** @param id - which backend server. @returns when it comes back, on the monotonic clock */
-  getReturnMs(id: string): number {
+  /** @param id - a backend server. @returns the end of its ejection, in monotonic milliseconds */
+  getReturnAtMs(id: string): number {
     return this.#ejections.get(id)?.untilMs ?? 0;
   }
 
   /**
-   * Ejects outliers, worst first, as far as the cap allows.
+   * Ejects outliers, worst first, up to the limit.
    *
    * @param group - every backend server of the group that is not leaving
    * @param nowMs - monotonic time in milliseconds
-   * @returns IDs that were ejected by this
+   * @returns IDs of the newly ejected backend servers
    */
   eject(group: readonly ServerHealth[], nowMs: number): string[] {
     this.#expire(group, nowMs);
-    const cap = Math.floor(group.length * MAX_EJECTED_PART);
-    const out = group.filter(({ id }) => this.isEjected(id, nowMs)).length;
+    const maxEjected = Math.floor(group.length * MAX_EJECTED_FRACTION);
+    const ejectedCount = group.filter(({ id }) => this.isEjected(id, nowMs)).length;
     const medianSlowdown = computeMedian(group.map(({ slowdown }) => slowdown));
     const outliers = group
       .filter(({ id }) => !this.isEjected(id, nowMs))
       .filter((health) => isOutlier(health, medianSlowdown))
-      .sort((a, b) => b.failuresInRow - a.failuresInRow || b.slowdown - a.slowdown)
-      .slice(0, Math.max(0, cap - out));
-    outliers.forEach(({ id }) => this.#start(id, nowMs));
+      .sort((a, b) => b.consecutiveFailures - a.consecutiveFailures || b.slowdown - a.slowdown)
+      .slice(0, Math.max(0, maxEjected - ejectedCount));
+    outliers.forEach(({ id }) => this.#recordEjection(id, nowMs));
     return outliers.map(({ id }) => id);
   }
 
-  #start(id: string, nowMs: number): void {
-    const inRow = (this.#ejections.get(id)?.inRow ?? 0) + 1;
-    const timeOutMs = Math.min(MAX_EJECTION_MS, EJECTION_MS * 2 ** (inRow - 1));
-    this.#ejections.set(id, { untilMs: nowMs + timeOutMs, inRow });
+  #recordEjection(id: string, nowMs: number): void {
+    const consecutiveEjections = (this.#ejections.get(id)?.consecutiveEjections ?? 0) + 1;
+    const durationMs = Math.min(
+      MAX_EJECTION_MS,
+      INITIAL_EJECTION_MS * 2 ** (consecutiveEjections - 1),
+    );
+    this.#ejections.set(id, { untilMs: nowMs + durationMs, consecutiveEjections });
   }
 
-  /** Forgets who has behaved for long, and who is no longer in the group. */
+  /** Removes ejections that ended long ago, or whose backend servers left the group. */
   #expire(group: readonly ServerHealth[], nowMs: number): void {
     const ids = new Set(group.map(({ id }) => id));
     this.#ejections.forEach((ejection, id) => {
-      if (!ids.has(id) || nowMs - ejection.untilMs > FORGIVE_AFTER_MS) this.#ejections.delete(id);
+      if (!ids.has(id) || nowMs - ejection.untilMs > EJECTION_RESET_MS) this.#ejections.delete(id);
     });
   }
 }
 
 function isOutlier(health: ServerHealth, medianSlowdown: number): boolean {
-  if (health.failuresInRow >= FAILURES_TO_EJECT) return true;
+  if (health.consecutiveFailures >= FAILURES_TO_EJECT) return true;
   return (
     health.samples >= MIN_SLOWDOWN_SAMPLES && health.slowdown > medianSlowdown * SLOWDOWN_TO_EJECT
   );
--- a/src/domain/scheduling/output_predictor.ts
+++ b/src/domain/scheduling/output_predictor.ts
@@ -1,13 +1,13 @@
 /**
- * Expected output, learnt for each client account and kind of work.
+ * Predicts output lengths, learned for each client account and kind of work.
  *
  * @module
  */
 
-/** Part of each new observation in the average. */
+/** Weight of each new observation in the average. */
 const OUTPUT_ALPHA = 0.1;
 
-/** Most pairs of account and kind that are remembered; the oldest goes first. */
+/** Most pairs of account and kind of work to remember; the least recently observed is dropped. */
 const MAX_OUTPUT_ENTRIES = 8192;
 
 /** Predicts how many tokens an answer will have. */
@@ -15,29 +15,32 @@
   readonly #averages = new Map<string, number>();
 
   /**
-   * Predicts the output of one request.
+   * Predicts the output length of one request.
    *
-   * @param accountId - whose request
-   * @param workKind - its kind of work
-   * @param startTokens - the contract's figure, used before anything was learnt
+   * @param accountId - client account of the request
+   * @param workKind - kind of work of the request
+   * @param initialTokens - the contract's estimate, used before the first
+   *   observation
    * @returns expected output in tokens
    */
-  predict(accountId: string, workKind: string, startTokens: number): number {
-    return this.#averages.get(formatKey(accountId, workKind)) ?? startTokens;
+  predict(accountId: string, workKind: string, initialTokens: number): number {
+    return this.#averages.get(formatKey(accountId, workKind)) ?? initialTokens;
   }
 
   /**
-   * Takes in the length of a whole answer.
+   * Observes the length of a complete answer.
    *
-   * @param accountId - whose request
-   * @param workKind - its kind of work
-   * @param outputTokens - what it took, in tokens
-   * @param startTokens - the contract's figure, which the average starts from
+   * @param accountId - client account of the request
+   * @param workKind - kind of work of the request
+   * @param outputTokens - actual output in tokens
+   * @param initialTokens - the contract's estimate, from which the average
+   *   starts
    */
-  observe(accountId: string, workKind: string, outputTokens: number, startTokens: number): void {
+  observe(accountId: string, workKind: string, outputTokens: number, initialTokens: number): void {
     const key = formatKey(accountId, workKind);
-    const average = this.predict(accountId, workKind, startTokens);
-    // Taken out and put back, so that the map's order is that of the last use.
+    const average = this.predict(accountId, workKind, initialTokens);
+    // Deletes the entry before setting it, so that the map is ordered by last
+    // observation.
     this.#averages.delete(key);
     this.#averages.set(key, average + OUTPUT_ALPHA * (outputTokens - average));
     if (this.#averages.size <= MAX_OUTPUT_ENTRIES) return;
--- a/src/domain/scheduling/prompt.ts
+++ b/src/domain/scheduling/prompt.ts
@@ -1,12 +1,12 @@
 /**
- * What can be said of a prompt before an engine has seen it: its length in
- * tokens, and the hashes by which engines name the blocks of their caches.
+ * Estimates a prompt's length in tokens, and computes the hashes by which
+ * engines identify the blocks of their prefix caches.
  *
  * @module
  */
 import { createHash } from 'node:crypto';
 
-/** Characters of ordinary prose to a token; an estimate, no tokenizer. */
+/** Characters per token in ordinary prose; an estimate made without a tokenizer. */
 export const CHARACTERS_PER_TOKEN = 4;
 
 /** Characters in one block of a prefix cache. */
@@ -15,18 +15,18 @@
 /** Tokens in one block of a prefix cache, by the same estimate. */
 export const BLOCK_TOKENS = BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN;
 
-/** Leading hex characters of the digest that name a block. */
+/** Leading hex characters of the digest that identify a block. */
 const BLOCK_HASH_LENGTH = 16;
 
 /**
- * Most blocks of one prompt that are hashed. Later blocks are found in a cache
- * only behind all of these, and hashing a prompt of megabytes would hold up
- * every other request of the process.
+ * Most blocks of one prompt that are hashed. A cache can hold later blocks only
+ * together with all of these, and hashing megabytes of prompt would block every
+ * other request of the process.
  */
 export const MAX_HASHED_BLOCKS = 512;
 
 /**
- * Predicts how many tokens a text has.
+ * Estimates how many tokens a text has.
  *
  * @param text - the text, such as a prompt
  * @returns the estimate in tokens, rounded up
@@ -36,12 +36,12 @@
 }
 
 /**
- * Hashes the full blocks of a prompt. Each hash covers all blocks before it, so
- * two prompts share a hash only where they share the whole prefix.
+ * Hashes the full blocks of a prompt. Each hash covers all preceding blocks, so
+ * two prompts share a hash only if they share the whole prefix.
  *
  * @param prompt - contents of all messages, joined by line feeds
- * @returns a hash for each full block in lower-case hex, first block first; at
- *   most {@link MAX_HASHED_BLOCKS}
+ * @returns one hash for each full block in lower-case hex, first block first;
+ *   at most {@link MAX_HASHED_BLOCKS}
  */
 export function hashBlocks(prompt: string): string[] {
   const blockCount = Math.min(Math.floor(prompt.length / BLOCK_CHARACTERS), MAX_HASHED_BLOCKS);
--- a/src/domain/scheduling/prompt_test.ts
+++ b/src/domain/scheduling/prompt_test.ts
@@ -15,7 +15,7 @@
   StrategyName,
 } from './mod.js';
 
-t.test('hashBlocks() hashes full blocks, each with all before it', async (t) => {
+t.test('hashBlocks() hashes full blocks, each together with all preceding blocks', async (t) => {
   const first = 'a'.repeat(256);
   const hash = (text: string): string =>
     createHash('sha256').update(text).digest('hex').slice(0, 16);
@@ -27,7 +27,7 @@
   t.same([predictTokens(''), predictTokens('abcde')], [0, 2]);
 });
 
-t.test('OutputPredictor learns each account and kind apart', async (t) => {
+t.test('OutputPredictor learns each account and kind of work separately', async (t) => {
   const predictor = new OutputPredictor();
   t.equal(predictor.predict('a', 'report', 100), 100);
   for (let index = 0; index < 50; index += 1) predictor.observe('a', 'report', 500, 100);
@@ -37,8 +37,8 @@
 });
 
 t.test('RetryBudget keeps retries in proportion to first attempts', async (t) => {
-  // Symptom: a service in trouble gets several times its load. Sequence: each
-  // refusal is tried again at once. Cause: retries without a budget.
+  // Guards against a failing service that receives a multiple of its load
+  // because every refusal is retried at once, without a budget.
   const budget = new RetryBudget(0);
   let retries = 0;
   for (let attempt = 0; attempt < 1000; attempt += 1) {
@@ -47,23 +47,23 @@
   }
   t.ok(retries >= 200 && retries <= 211, `${retries} retries of 1000 attempts`);
   t.notOk(budget.takeRetry(0));
-  t.ok(budget.takeRetry(1_000), 'a quiet service regains one a second');
+  t.ok(budget.takeRetry(1_000), 'an idle service regains one retry per second');
 });
 
-t.test('splitDispatchGroups() splits evenly, and alike on every entry host', async (t) => {
+t.test('splitDispatchGroups() splits evenly, and identically on every entry host', async (t) => {
   const size = fc.integer({ min: 1, max: 40 });
   fc.assert(
     fc.property(
       fc.uniqueArray(fc.string({ minLength: 1 }), { maxLength: 60 }),
       size,
-      (ids, most) => {
+      (ids, maxSize) => {
         const service: Service = {
           id: 'a/b',
           kind: ServiceKind.Model,
           models: [],
           honoursContinue: true,
           checksOrders: true,
-          dispatchGroupSize: most,
+          dispatchGroupSize: maxSize,
           backendServers: ids.map((id) => ({
             id,
             serviceId: 'a/b',
@@ -74,8 +74,8 @@
         };
         const groups = splitDispatchGroups(service);
         const sizes = groups.map(({ backendServers }) => backendServers.length);
-        t.equal(groups.length, Math.ceil(ids.length / most));
-        t.ok(sizes.every((each) => each >= 1 && each <= most));
+        t.equal(groups.length, Math.ceil(ids.length / maxSize));
+        t.ok(sizes.every((each) => each >= 1 && each <= maxSize));
         t.ok(Math.max(0, ...sizes) - Math.min(...sizes, Infinity) <= 1);
         const reversed = { ...service, backendServers: [...service.backendServers].reverse() };
         t.same(splitDispatchGroups(reversed), groups);
--- a/src/domain/scheduling/retry_budget.ts
+++ b/src/domain/scheduling/retry_budget.ts
@@ -1,22 +1,25 @@
 /**
- * A budget for retries, so that a service in trouble is not given its load
- * several times over.
+ * Limits retries, so that a failing service does not receive a multiple of its
+ * load.
  *
  * @module
  */
 
-/** Retries that each first attempt pays for. */
+/** Retries that each first attempt adds to the budget. */
 const RETRY_RATIO = 0.2;
 
-/** Most retries that can be saved up. */
-const MAX_SAVED_RETRIES = 20;
+/** Most retries that the budget can hold. */
+const MAX_AVAILABLE_RETRIES = 20;
 
-/** Retries that a quiet service regains each second, so that its rare retry isn't refused. */
+/**
+ * Retries that the budget regains each second, so that a service with little
+ * traffic can retry.
+ */
 const IDLE_RETRIES_PER_SECOND = 1;
 
-/** Token bucket for retries, filled in proportion to first attempts. */
+/** Token bucket for retries, refilled in proportion to first attempts. */
 export class RetryBudget {
-  #saved = MAX_SAVED_RETRIES / 2;
+  #available = MAX_AVAILABLE_RETRIES / 2;
 
   #refilledAtMs: number;
 
@@ -25,12 +28,12 @@
     this.#refilledAtMs = nowMs;
   }
 
-  /** Retries that may be made now. */
-  get saved(): number {
-    return this.#saved;
+  /** Number of retries available now. */
+  get available(): number {
+    return this.#available;
   }
 
-  /** Notes a first attempt. */
+  /** Records a first attempt. */
   noteAttempt(): void {
     this.#add(RETRY_RATIO);
   }
@@ -39,18 +42,19 @@
    * Takes one retry from the budget.
    *
    * @param nowMs - monotonic time in milliseconds
-   * @returns false when the budget is spent; nothing may be retried then
+   * @returns false if the budget is exhausted and the request must not be
+   *   retried
    */
   takeRetry(nowMs: number): boolean {
     const idleSeconds = Math.max(0, nowMs - this.#refilledAtMs) / 1000;
     this.#refilledAtMs = nowMs;
     this.#add(idleSeconds * IDLE_RETRIES_PER_SECOND);
-    if (this.#saved < 1) return false;
-    this.#saved -= 1;
+    if (this.#available < 1) return false;
+    this.#available -= 1;
     return true;
   }
 
   #add(retries: number): void {
-    this.#saved = Math.min(MAX_SAVED_RETRIES, this.#saved + retries);
+    this.#available = Math.min(MAX_AVAILABLE_RETRIES, this.#available + retries);
   }
 }
--- a/src/domain/scheduling/server_choice.ts
+++ b/src/domain/scheduling/server_choice.ts
@@ -1,41 +1,41 @@
 /**
- * Choice among the backend servers that have room.
+ * Chooses among the backend servers that have capacity.
  *
  * @module
  */
 /** A backend server that could take the request now. */
 export interface ServerCandidate {
   readonly id: string;
-  /** Predicted time until the answer is whole, with what is outstanding there, in milliseconds. */
+  /** Predicted time until the answer is complete, including outstanding work, in milliseconds. */
   readonly finishMs: number;
-  /** Tokens of the prompt that its cache probably holds. */
+  /** Prompt tokens that its cache probably holds. */
   readonly cachedTokens: number;
-  /** Held part of its window, 0 to 1. */
+  /** Fraction of its window that is in use, 0 to 1. */
   readonly utilization: number;
-  /** Requests there by its own last report, which lags. */
+  /** Requests there according to its own last report, which lags. */
   readonly reportedLoad: number;
 }
 
-/** Candidates within this multiple of the best are as good as the best. */
+/** Candidates within this multiple of the best finish time count as equally good. */
 const NEAR_BEST_FACTOR = 1.25;
 
-/** Part of the best cache hit with which a candidate counts as warm. */
-const WARM_PART = 0.8;
+/** Fraction of the best cache hit from which a candidate counts as warm. */
+const MIN_WARM_FRACTION = 0.8;
 
-/** Difference that is always within the error of prediction, in milliseconds. */
+/** Difference in finish time that is within the prediction error, in milliseconds. */
 const NEAR_BEST_MS = 10;
 
 /**
- * Picks between two random candidates of those near the best, the one with more
- * free room. Always taking the very best would send everything of one moment to
- * the same backend server, since what is known of it lags. Of those near the
- * best, the ones whose cache holds most of what any of their caches holds go
- * first: a prefill that is done again delays the requests beside it too, which
- * the prediction for this one does not show.
+ * Picks the less utilized of two random candidates near the best finish time.
+ * Always taking the best one would send all requests of a moment to the same
+ * backend server, because the data about it lags. Among the candidates near the
+ * best, only those with nearly the longest cached prefix are drawn: a
+ * recomputed prefill also delays the requests beside it, which the predicted
+ * finish time of this request does not show.
  *
- * @param candidates - who has room
- * @param nextFraction - gives random numbers in [0, 1)
- * @returns the choice; undefined when there is no candidate
+ * @param candidates - backend servers with capacity
+ * @param nextFraction - returns random numbers in [0, 1)
+ * @returns the choice; undefined if there is no candidate
  */
 export function pickNearBest(
   candidates: readonly ServerCandidate[],
@@ -45,27 +45,27 @@
   const limitMs = Math.max(bestMs * NEAR_BEST_FACTOR, bestMs + NEAR_BEST_MS);
   const near = candidates.filter(({ finishMs }) => finishMs <= limitMs);
   const mostCached = Math.max(...near.map(({ cachedTokens }) => cachedTokens));
-  const warm = near.filter(({ cachedTokens }) => cachedTokens >= mostCached * WARM_PART);
-  return pickOfTwo(warm, nextFraction, (candidate) => candidate.utilization);
+  const warm = near.filter(({ cachedTokens }) => cachedTokens >= mostCached * MIN_WARM_FRACTION);
+  return pickLessLoadedOfTwo(warm, nextFraction, (candidate) => candidate.utilization);
 }
 
 /**
  * Picks the less loaded of two different random candidates.
  *
- * @param candidates - whom to draw from
- * @param nextFraction - gives random numbers in [0, 1)
- * @param getLoad - what to compare
- * @returns the choice; undefined when there is no candidate
+ * @param candidates - candidates to draw from
+ * @param nextFraction - returns random numbers in [0, 1)
+ * @param getLoad - returns the load to compare
+ * @returns the choice; undefined if there is no candidate
  */
-export function pickOfTwo<C>(
+export function pickLessLoadedOfTwo<C>(
   candidates: readonly C[],
   nextFraction: () => number,
   getLoad: (candidate: C) => number,
 ): C | undefined {
-  const first = Math.floor(nextFraction() * candidates.length);
-  const step = 1 + Math.floor(nextFraction() * Math.max(0, candidates.length - 1));
-  const one = candidates[first];
-  const other = candidates[(first + step) % Math.max(1, candidates.length)];
-  if (one === undefined || other === undefined) return one;
-  return getLoad(other) < getLoad(one) ? other : one;
+  const firstIndex = Math.floor(nextFraction() * candidates.length);
+  const offset = 1 + Math.floor(nextFraction() * Math.max(0, candidates.length - 1));
+  const first = candidates[firstIndex];
+  const second = candidates[(firstIndex + offset) % Math.max(1, candidates.length)];
+  if (first === undefined || second === undefined) return first;
+  return getLoad(second) < getLoad(first) ? second : first;
 }
--- a/src/domain/scheduling/server_speed.ts
+++ b/src/domain/scheduling/server_speed.ts
@@ -1,32 +1,32 @@
 /**
- * Measured speed of one backend server.
+ * Measures the speed of one backend server.
  *
  * @module
  */
 
-/** Part of each sample in the averages. */
+/** Weight of each sample in the averages. */
 const SPEED_ALPHA = 0.15;
 
-/** Fewest output tokens that a sample must rest on; below, fixed costs outweigh the speed. */
+/** Fewest output tokens in a sample; below that, fixed costs outweigh the decoding speed. */
 const MIN_DECODE_TOKENS = 4;
 
-/** Bounds of a measured speed, as multiples of the engine kind's figure. */
-const MIN_SPEED_PART = 0.02;
-const MAX_SPEED_PART = 4;
+/** Bounds of a measured speed, as multiples of the engine kind's nominal speed. */
+const MIN_SPEED_FACTOR = 0.02;
+const MAX_SPEED_FACTOR = 4;
 
-/** Time of a plain service's call before anything was learnt, in milliseconds. */
-const START_PLAIN_MS = 20;
+/** Duration of a plain service's call before the first observation, in milliseconds. */
+const INITIAL_PLAIN_MS = 20;
 
-/** Time to the first byte beside the prompt's tokens, before anything was learnt, in milliseconds. */
-const START_FIXED_MS = 5;
+/** Fixed part of the time to first byte before the first observation, in milliseconds. */
+const INITIAL_FIXED_MS = 5;
 
 /**
- * Prompt length at which an unexpected time to the first byte is put down half
- * to the fixed part and half to the speed, in tokens.
+ * Prompt length for which a deviation in time to first byte is attributed half
+ * to the fixed part and half to the prefill speed, in tokens.
  */
 const EVEN_SPLIT_TOKENS = 500;
 
-/** Figures that learning starts from. */
+/** Nominal speed of an engine kind, from which learning starts. */
 export interface StartingSpeed {
   readonly prefillTokensPerSecond: number;
   readonly decodeTokensPerSecond: number;
@@ -34,12 +34,12 @@
 
 /** Work of one request on one backend server. */
 export interface ServerWork {
-  /** Prompt tokens that its cache doesn't hold. */
+  /** Prompt tokens that the server's cache does not hold. */
   readonly prefillTokens: number;
   readonly outputTokens: number;
 }
 
-/** What one answered request showed. */
+/** Measurements of one answered request. */
 export interface SpeedSample {
   readonly prefillTokens: number;
   readonly outputTokens: number;
@@ -48,120 +48,137 @@
 }
 
 /**
- * Follows speed by averages. Time to the first byte is learnt as a fixed part,
- * mostly waiting inside the backend server, plus a part for each prompt token: a
- * one-line ping that waits long must not make a long prompt look impossible.
+ * Tracks speed by moving averages. Time to first byte is modeled as a fixed
+ * part, mostly queueing inside the backend server, plus a part for each prompt
+ * token. Without the fixed part, a short ping that waits long would make a long
+ * prompt look impossible.
  */
 export class ServerSpeed {
-  #fixedMs = START_FIXED_MS;
+  #fixedMs = INITIAL_FIXED_MS;
 
   #prefillMsPerToken: number;
 
-  #decode: number;
+  #decodeTokensPerSecond: number;
 
-  #plainMs = START_PLAIN_MS;
+  #plainCallMs = INITIAL_PLAIN_MS;
 
   /**
-   * @param start - the engine kind's figures
-   * @param isPlain - whether it is a plain service, whose calls have no tokens
+   * @param nominal - the engine kind's nominal speed
+   * @param isPlain - whether it serves a plain service, whose calls have no
+   *   tokens
    */
   constructor(
-    readonly start: StartingSpeed,
+    readonly nominal: StartingSpeed,
     readonly isPlain: boolean,
   ) {
-    this.#prefillMsPerToken = 1000 / start.prefillTokensPerSecond;
-    this.#decode = start.decodeTokensPerSecond;
+    this.#prefillMsPerToken = 1000 / nominal.prefillTokensPerSecond;
+    this.#decodeTokensPerSecond = nominal.decodeTokensPerSecond;
   }
 
-  /** Prompt tokens a second. */
+  /** Prompt tokens per second. */
   get prefillTokensPerSecond(): number {
     return 1000 / this.#prefillMsPerToken;
   }
 
-  /** Output tokens a second of one stream. */
+  /** Output tokens per second of one stream. */
   get decodeTokensPerSecond(): number {
-    return this.#decode;
+    return this.#decodeTokensPerSecond;
   }
 
-  /** @param prefillTokens - prompt tokens to compute. @returns predicted time to the first byte, in milliseconds */
+  /**
+   * Predicts the time to first byte.
+   *
+   * @param prefillTokens - prompt tokens to compute
+   * @returns time in milliseconds
+   */
   predictFirstByteMs(prefillTokens: number): number {
-    if (this.isPlain) return this.#plainMs;
+    if (this.isPlain) return this.#plainCallMs;
     return this.#fixedMs + prefillTokens * this.#prefillMsPerToken;
   }
 
   /**
-   * Gives a fixed measure for first-byte latency: against the learnt speed,
-   * lasting queueing in the backend server would look like a slow one.
+   * Returns a fixed reference for the time to first byte. A learned reference
+   * would take lasting queueing inside the backend server for a slow server.
    *
    * @param prefillTokens - prompt tokens to compute
-   * @returns time to the first byte by the engine kind's figure, in milliseconds
+   * @returns time to first byte at the engine kind's nominal speed, in
+   *   milliseconds
    */
-  getStartFirstByteMs(prefillTokens: number): number {
-    if (this.isPlain) return START_PLAIN_MS;
-    return START_FIXED_MS + (prefillTokens / this.start.prefillTokensPerSecond) * 1000;
+  getNominalFirstByteMs(prefillTokens: number): number {
+    if (this.isPlain) return INITIAL_PLAIN_MS;
+    return INITIAL_FIXED_MS + (prefillTokens / this.nominal.prefillTokensPerSecond) * 1000;
   }
 
-  /** @param work - the request's work here. @returns predicted time that it holds a slot, in milliseconds */
+  /**
+   * Predicts how long a request holds its slot.
+   *
+   * @param work - the request's work on this server
+   * @returns time in milliseconds
+   */
   predictWorkMs(work: ServerWork): number {
-    if (this.isPlain) return Math.max(1, this.#plainMs);
-    const decodeMs = (work.outputTokens / this.#decode) * 1000;
+    if (this.isPlain) return Math.max(1, this.#plainCallMs);
+    const decodeMs = (work.outputTokens / this.#decodeTokensPerSecond) * 1000;
     return this.predictFirstByteMs(work.prefillTokens) + decodeMs;
   }
 
   /**
-   * Computes how much slower it is than its engine kind says.
+   * Computes by which factor the server is slower than its engine kind's
+   * nominal speed.
    *
-   * @returns 1 at the kind's speed, above 1 when slower
+   * @returns 1 at the nominal speed, above 1 if slower
    */
   computeSlowdown(): number {
-    if (this.isPlain) return this.#plainMs / START_PLAIN_MS;
-    const { prefillTokensPerSecond, decodeTokensPerSecond } = this.start;
+    if (this.isPlain) return this.#plainCallMs / INITIAL_PLAIN_MS;
+    const { prefillTokensPerSecond, decodeTokensPerSecond } = this.nominal;
     return Math.max(
       (this.#prefillMsPerToken * prefillTokensPerSecond) / 1000,
-      decodeTokensPerSecond / this.#decode,
+      decodeTokensPerSecond / this.#decodeTokensPerSecond,
     );
   }
 
-  /** @param sample - what one answered request showed */
+  /** @param sample - measurements of one answered request */
   observe(sample: SpeedSample): void {
     if (this.isPlain) {
-      this.#plainMs += SPEED_ALPHA * (Math.max(0, sample.totalMs) - this.#plainMs);
+      this.#plainCallMs += SPEED_ALPHA * (Math.max(0, sample.totalMs) - this.#plainCallMs);
       return;
     }
     const { firstByteMs, outputTokens } = sample;
     if (firstByteMs > 0) this.#observeFirstByte(sample);
     const decodeMs = sample.totalMs - firstByteMs;
     if (outputTokens >= MIN_DECODE_TOKENS && decodeMs > 0)
-      this.#decode = mergeSpeed(
-        this.#decode,
+      this.#decodeTokensPerSecond = averageSpeed(
+        this.#decodeTokensPerSecond,
         outputTokens / decodeMs,
-        this.start.decodeTokensPerSecond,
+        this.nominal.decodeTokensPerSecond,
       );
   }
 
-  /** Least mean squares, normalized, with the prompt's length in units of the even split. */
+  /**
+   * Updates both parts by normalized least mean squares, with the prompt length
+   * in units of {@link EVEN_SPLIT_TOKENS}.
+   */
   #observeFirstByte({ firstByteMs, prefillTokens }: SpeedSample): void {
     const length = prefillTokens / EVEN_SPLIT_TOKENS;
     const error = firstByteMs - this.predictFirstByteMs(prefillTokens);
     const step = (SPEED_ALPHA * error) / (1 + length * length);
-    const startMs = 1000 / this.start.prefillTokensPerSecond;
+    const nominalPerTokenMs = 1000 / this.nominal.prefillTokensPerSecond;
     const perTokenMs = this.#prefillMsPerToken + (step * length) / EVEN_SPLIT_TOKENS;
     this.#fixedMs = Math.max(0, this.#fixedMs + step);
     this.#prefillMsPerToken = Math.min(
-      startMs / MIN_SPEED_PART,
-      Math.max(startMs / MAX_SPEED_PART, perTokenMs),
+      nominalPerTokenMs / MIN_SPEED_FACTOR,
+      Math.max(nominalPerTokenMs / MAX_SPEED_FACTOR, perTokenMs),
     );
   }
 }
 
 /**
- * Averages over time for a token, not over speeds: a few very fast samples
- * can't hide many slow ones then.
+ * Averages the time per token rather than the speed, so that a few very fast
+ * samples cannot hide many slow ones.
  */
-function mergeSpeed(current: number, tokensPerMs: number, start: number): number {
+function averageSpeed(current: number, tokensPerMs: number, nominal: number): number {
   const sample = Math.min(
-    start * MAX_SPEED_PART,
-    Math.max(start * MIN_SPEED_PART, tokensPerMs * 1000),
+    nominal * MAX_SPEED_FACTOR,
+    Math.max(nominal * MIN_SPEED_FACTOR, tokensPerMs * 1000),
   );
   return 1 / ((1 - SPEED_ALPHA) / current + SPEED_ALPHA / sample);
 }
--- a/src/domain/scheduling/server_state.ts
+++ b/src/domain/scheduling/server_state.ts
@@ -1,5 +1,5 @@
 /**
- * What a dispatcher knows of one backend server.
+ * A dispatcher's state of one backend server.
  *
  * @module
  */
@@ -11,60 +11,60 @@
 import type { ServerHealth } from './outlier_ejection.js';
 import type { SlotDemand } from './slot_demand.js';
 
-/** A backend server as the configuration and the membership name it. */
+/** A backend server as described by the configuration and the membership. */
 export interface ServerSpec extends StartingSpeed {
   readonly id: string;
-  /** Concurrent requests that its window starts from. */
+  /** Concurrent requests, the initial size of the window. */
   readonly slots: number;
-  /** Leaving backend servers get nothing new. */
+  /** Whether it is leaving; a leaving backend server gets no new requests. */
   readonly isLeaving: boolean;
 }
 
-/** What the use of a slot says of the backend server. */
+/** What the use of a slot shows about the backend server. */
 export enum ServerVerdict {
   /** It answered. */
   Healthy = 'healthy',
-  /** It refused, or could not be reached; nothing ran. */
+  /** It refused the request or was unreachable; nothing ran. */
   Refusing = 'refusing',
   /** Its answer broke off or never came. */
   Failing = 'failing',
-  /** Nothing: the slot was not used, or was given up by the owner. */
+  /** Nothing: the slot was not used, or its owner gave it up. */
   Unknown = 'unknown',
 }
 
 /** How a slot was used. */
 export interface SlotResult {
   readonly verdict: ServerVerdict;
-  /** Hand-over to the first byte of the answer, in milliseconds; 0 if none came. */
+  /** Time from dispatch to the first byte of the answer, in milliseconds; 0 if there was none. */
   readonly firstByteMs: number;
-  /** Hand-over to the end, in milliseconds. */
+  /** Time from dispatch to the end, in milliseconds. */
   readonly totalMs: number;
   readonly outputTokens: number;
 }
 
-/** A slot that is held. */
+/** A slot held by a grant. */
 export interface HeldSlot {
   readonly grantId: number;
   readonly demand: SlotDemand;
   readonly serverId: string;
   readonly grantedAtMs: number;
-  /** Predicted time that it is held here, in milliseconds. */
+  /** Predicted time that the slot is held, in milliseconds. */
   readonly workMs: number;
   /** Predicted time on an average backend server of the group, in milliseconds. */
   readonly meanWorkMs: number;
   readonly work: ServerWork;
 }
 
-/** A load report is worth nothing after this time, in milliseconds. */
-const LOAD_VALID_MS = 3_000;
+/** Time after which a load report expires, in milliseconds. */
+const LOAD_REPORT_TTL_MS = 3_000;
 
-/** Most that running over its predicted time counts against a backend server. */
-const MAX_OVERDUE = 20;
+/** Largest overdue factor that one request contributes. */
+const MAX_OVERDUE_FACTOR = 20;
 
-/** Fewest output tokens that a time for each token may rest on. */
-const MIN_PER_TOKEN_SAMPLE = 4;
+/** Fewest output tokens from which a time for each token is computed. */
+const MIN_PER_TOKEN_SAMPLE_TOKENS = 4;
 
-/** One backend server of a dispatch group. */
+/** State of one backend server of a dispatch group. */
 export class ServerState {
   readonly window: ConcurrencyWindow;
 
@@ -76,22 +76,22 @@
 
   readonly #peak = new PeakMeter();
 
-  /** The last computed value; one grant asks for it many times. */
-  #overdue = { atMs: Number.NaN, held: 0, value: 1 };
+  /** Last computed overdue factor; a single grant reads it many times. */
+  #overdueCache = { atMs: Number.NaN, held: 0, value: 1 };
 
   #outstandingMs = 0;
 
-  #failuresInRow = 0;
+  #consecutiveFailures = 0;
 
   #samples = 0;
 
-  #reported: { readonly load: number; readonly atMs: number } | undefined;
+  #loadReport: { readonly load: number; readonly atMs: number } | undefined;
 
-  /** Told by the backend server itself. */
-  #saysLeaving = false;
+  /** Whether the backend server itself reports that it is leaving. */
+  #isReportedLeaving = false;
 
   /**
-   * @param spec - how it is configured
+   * @param spec - description of the backend server
    * @param isPlain - whether it belongs to a plain service
    */
   constructor(
@@ -102,117 +102,117 @@
     this.speed = new ServerSpeed(spec, isPlain);
   }
 
-  /** Whether it gets nothing new, by any source. */
+  /** Whether it gets no new requests, according to any source. */
   get isLeaving(): boolean {
-    return this.spec.isLeaving || this.#saysLeaving;
+    return this.spec.isLeaving || this.#isReportedLeaving;
   }
 
-  /** Requests there by its last report, however old; 0 before the first. */
+  /** Requests according to its last report, however old; 0 before the first report. */
   get reportedLoad(): number {
-    return this.#reported?.load ?? 0;
+    return this.#loadReport?.load ?? 0;
   }
 
-  /** Predicted work that is held there, in milliseconds. */
+  /** Predicted work of the held slots, in milliseconds. */
   get outstandingMs(): number {
     return this.#outstandingMs;
   }
 
-  /** @returns how it does, for ejection */
+  /** @returns its health, for outlier ejection */
   getHealth(): ServerHealth {
     return {
       id: this.spec.id,
-      failuresInRow: this.#failuresInRow,
+      consecutiveFailures: this.#consecutiveFailures,
       slowdown: this.speed.computeSlowdown(),
       samples: this.#samples,
     };
   }
 
   /**
-   * Begins anew after an ejection or an absence.
+   * Resets the health and begins a slow start after an ejection or an absence.
    *
    * @param nowMs - monotonic time in milliseconds
    */
-  startOver(nowMs: number): void {
-    this.#failuresInRow = 0;
+  reset(nowMs: number): void {
+    this.#consecutiveFailures = 0;
     this.#samples = 0;
-    this.window.startSlowly(nowMs);
+    this.window.beginSlowStart(nowMs);
   }
 
   /**
-   * Takes in its own report, which lags.
+   * Records the backend server's own load report, which lags.
    *
    * @param load - running and waiting requests there
-   * @param saysLeaving - whether it says that it leaves
+   * @param isReportedLeaving - whether the server reports that it is leaving
    * @param nowMs - monotonic time in milliseconds
    */
-  noteLoad(load: number, saysLeaving: boolean, nowMs: number): void {
-    if (this.#saysLeaving && !saysLeaving) this.startOver(nowMs);
-    this.#saysLeaving = saysLeaving;
-    this.#reported = { load, atMs: nowMs };
+  noteLoad(load: number, isReportedLeaving: boolean, nowMs: number): void {
+    if (this.#isReportedLeaving && !isReportedLeaving) this.reset(nowMs);
+    this.#isReportedLeaving = isReportedLeaving;
+    this.#loadReport = { load, atMs: nowMs };
   }
 
   /**
-   * Predicts the load that others put there. Only what goes beyond the most that
-   * was held here lately counts: a report lags, and would else take our own
-   * requests of a moment ago for somebody else's.
+   * Predicts the load from other dispatchers. Only load above the recent peak
+   * of slots held here counts: a report lags, and could otherwise mistake this
+   * dispatcher's own finished requests for foreign load.
    *
    * @param nowMs - monotonic time in milliseconds
-   * @returns requests, 0 when there is no recent report
+   * @returns requests; 0 without a recent report
    */
   predictForeignLoad(nowMs: number): number {
-    if (!this.#reported || nowMs - this.#reported.atMs > LOAD_VALID_MS) return 0;
-    return Math.max(0, this.#reported.load - this.#peak.getPeak(this.held.size, nowMs));
+    if (!this.#loadReport || nowMs - this.#loadReport.atMs > LOAD_REPORT_TTL_MS) return 0;
+    return Math.max(0, this.#loadReport.load - this.#peak.getPeak(this.held.size, nowMs));
   }
 
-  /** @param demand - a request. @param nowMs - monotonic time. @returns its work here */
+  /** @param demand - a request. @param nowMs - monotonic time. @returns its work on this server */
   predictWork(demand: SlotDemand, nowMs: number): ServerWork {
-    const cached = this.hints.predictCachedTokens(demand.blockHashes, nowMs);
+    const cachedTokens = this.hints.predictCachedTokens(demand.blockHashes, nowMs);
     return {
-      prefillTokens: Math.max(0, demand.promptTokens - cached),
+      prefillTokens: Math.max(0, demand.promptTokens - cachedTokens),
       outputTokens: demand.expectedOutputTokens,
     };
   }
 
   /**
-   * Computes how far the requests held here run over their predicted times. A
-   * backend server that has become slow ends no requests for a while, so its
-   * measured speed tells of it too late; their age tells at once.
+   * Computes how far the requests held here exceed their predicted times. A
+   * backend server that becomes slow finishes no requests for a while, so its
+   * measured speed reacts too late; the age of its requests reacts at once.
    *
    * @param nowMs - monotonic time in milliseconds
-   * @returns 1 when none is overdue, at most 20
+   * @returns 1 if no request is overdue, at most 20
    */
-  computeOverdue(nowMs: number): number {
+  computeOverdueFactor(nowMs: number): number {
     if (this.held.size === 0) return 1;
-    if (this.#overdue.atMs === nowMs && this.#overdue.held === this.held.size)
-      return this.#overdue.value;
-    const value = this.#sumOverdue(nowMs) / this.held.size;
-    this.#overdue = { atMs: nowMs, held: this.held.size, value };
+    if (this.#overdueCache.atMs === nowMs && this.#overdueCache.held === this.held.size)
+      return this.#overdueCache.value;
+    const value = this.#sumOverdueFactors(nowMs) / this.held.size;
+    this.#overdueCache = { atMs: nowMs, held: this.held.size, value };
     return value;
   }
 
-  #sumOverdue(nowMs: number): number {
+  #sumOverdueFactors(nowMs: number): number {
     let sum = 0;
     this.held.forEach((slot) => {
-      sum += Math.min(MAX_OVERDUE, Math.max(1, (nowMs - slot.grantedAtMs) / slot.workMs));
+      sum += Math.min(MAX_OVERDUE_FACTOR, Math.max(1, (nowMs - slot.grantedAtMs) / slot.workMs));
     });
     return sum;
   }
 
-  /** @param slot - a slot that is held from now on */
+  /** @param slot - a newly granted slot */
   acquire(slot: HeldSlot): void {
     this.held.set(slot.grantId, slot);
     this.#outstandingMs += slot.workMs;
     this.#peak.observe(this.held.size, slot.grantedAtMs);
     const firstByteMs = this.speed.predictFirstByteMs(slot.work.prefillTokens);
     const readyAtMs = slot.grantedAtMs + firstByteMs;
-    this.hints.noteStarted(slot.demand.blockHashes, readyAtMs, slot.grantedAtMs);
+    this.hints.recordPrefill(slot.demand.blockHashes, readyAtMs, slot.grantedAtMs);
   }
 
   /**
-   * Gives a slot back and learns from its use.
+   * Releases a slot and learns from its use.
    *
    * @param slot - the slot
-   * @param result - how it was used
+   * @param result - how the slot was used
    * @param nowMs - monotonic time in milliseconds
    */
   release(slot: HeldSlot, result: SlotResult, nowMs: number): void {
@@ -220,13 +220,13 @@
     if (!this.held.delete(slot.grantId)) return;
     this.#outstandingMs = this.held.size === 0 ? 0 : this.#outstandingMs - slot.workMs;
     if (result.verdict === ServerVerdict.Healthy) this.#learn(slot, result, inFlight, nowMs);
-    if (result.verdict === ServerVerdict.Refusing) this.window.noteRefusal(nowMs);
+    if (result.verdict === ServerVerdict.Refusing) this.window.recordRefusal(nowMs);
     if (result.verdict === ServerVerdict.Refusing || result.verdict === ServerVerdict.Failing)
-      this.#failuresInRow += 1;
+      this.#consecutiveFailures += 1;
   }
 
   #learn(slot: HeldSlot, result: SlotResult, inFlight: number, nowMs: number): void {
-    this.#failuresInRow = 0;
+    this.#consecutiveFailures = 0;
     this.#samples += 1;
     const { firstByteMs, totalMs, outputTokens } = result;
     this.speed.observe({
@@ -235,11 +235,11 @@
       firstByteMs,
       totalMs,
     });
-    const canTellTokens = !this.speed.isPlain && outputTokens >= MIN_PER_TOKEN_SAMPLE;
+    const hasEnoughTokens = !this.speed.isPlain && outputTokens >= MIN_PER_TOKEN_SAMPLE_TOKENS;
     this.window.observe(
       {
-        firstByteStretch: firstByteMs / this.speed.getStartFirstByteMs(slot.work.prefillTokens),
-        perTokenMs: canTellTokens ? Math.max(0, totalMs - firstByteMs) / outputTokens : 0,
+        firstByteRatio: firstByteMs / this.speed.getNominalFirstByteMs(slot.work.prefillTokens),
+        perTokenMs: hasEnoughTokens ? Math.max(0, totalMs - firstByteMs) / outputTokens : 0,
         inFlight,
       },
       nowMs,
--- a/src/domain/scheduling/strategy.ts
+++ b/src/domain/scheduling/strategy.ts
@@ -1,84 +1,91 @@
 /**
- * Strategies of scheduling: the dispatcher, and the baselines that it is
- * measured against.
+ * Scheduling strategies: the dispatcher, and the baselines that it is compared
+ * with.
  *
  * @module
  */
-import { ArrivalQueue } from './arrival_queue.js';
+import { FifoQueue } from './fifo_queue.js';
 import { FairQueue } from './fair_queue.js';
-import { pickNearBest, pickOfTwo } from './server_choice.js';
+import { pickNearBest, pickLessLoadedOfTwo } from './server_choice.js';
 import type { ServerCandidate } from './server_choice.js';
 import type { WaitingQueue } from './waiting_queue.js';
 
-/** Names of the strategies, as `--strategy` takes them. */
+/** Names of the strategies, as accepted by `--strategy`. */
 export enum StrategyName {
-  /** One queue for each dispatch group, at the entry host that is responsible for it. */
+  /** One queue for each dispatch group, at the entry host responsible for it. */
   Dispatcher = 'dispatcher',
-  /** Every entry host alone, two random choices on lagged load reports. */
+  /** Each entry host dispatches alone, by two random choices on lagging load reports. */
   TwoChoices = 'two-choices',
-  /** Every entry host alone, with a fixed share of each window. */
+  /** Each entry host dispatches alone, with a fixed share of each window. */
   FixedShares = 'fixed-shares',
-  /** One queue for each dispatch group, in order of arrival. */
+  /** One FIFO queue for each dispatch group. */
   FirstCome = 'first-come',
 }
 
-/** Part of each window that a tier leaves free for each tier above it. */
+/** Fraction of each window that a tier leaves free for each tier above it. */
 export const RESERVE_FRACTION = 0.125;
 
-/** What may be set of a strategy. */
+/** Settings of a strategy. */
 export interface StrategyOptions {
-  /** Part of each window, 0 to 0.5, kept for each higher tier. Default {@link RESERVE_FRACTION}. */
+  /**
+   * Fraction of each window, 0 to 0.5, kept for each higher tier. Default
+   * {@link RESERVE_FRACTION}.
+   */
   readonly reserveFraction?: number;
   /**
-   * Whether lower tiers also leave free what higher ones have needed lately.
-   * Default: unless the fraction is 0, which means that nothing is kept.
+   * Whether lower tiers also leave free what higher tiers have recently needed.
+   * Defaults to true unless the fraction is 0, which disables the reserve.
    */
-  readonly reservesByDemand?: boolean;
+  readonly hasAdaptiveReserve?: boolean;
 }
 
-/** What differs between the ways of scheduling. */
+/** The rules in which scheduling strategies differ. */
 export abstract class SchedulingStrategy {
-  /** Which one it is. */
+  /** Name of the strategy. */
   abstract readonly name: StrategyName;
 
   /** Whether each entry host dispatches alone. */
   abstract readonly isLocal: boolean;
 
-  /** Whether lower tiers are closed before a higher one is refused. */
+  /** Whether lower tiers are closed before a higher tier is refused. */
   abstract readonly closesTiers: boolean;
 
-  /** Whether a request is refused when its predicted wait is too long. */
-  abstract readonly predictsWaits: boolean;
+  /** Whether a request is refused if its predicted wait is too long. */
+  abstract readonly hasWaitPrediction: boolean;
 
-  /** Whether a backend server that is probably too slow for a deadline is passed over. */
-  abstract readonly weighsDeadlines: boolean;
+  /** Whether backend servers that are probably too slow for a deadline are skipped. */
+  abstract readonly isDeadlineAware: boolean;
 
-  /** Whether a prefix that another backend server's cache holds is worth a change of order or a wait. */
-  abstract readonly seeksWarmCache: boolean;
+  /** Whether a prefix in another server's cache justifies overtaking or a delay. */
+  abstract readonly isCacheAware: boolean;
 
-  /** Whether load that others put on a backend server takes room away. */
-  abstract readonly countsForeignLoad: boolean;
+  /** Whether load from other dispatchers reduces a backend server's capacity. */
+  abstract readonly isForeignLoadAware: boolean;
 
-  /** Part of each window kept for each higher tier. */
+  /** Fraction of each window kept for each higher tier. */
   abstract readonly reserveFraction: number;
 
-  /** Whether lower tiers also leave free what higher ones have needed lately. */
-  abstract readonly reservesByDemand: boolean;
+  /** Whether lower tiers also leave free what higher tiers have recently needed. */
+  abstract readonly hasAdaptiveReserve: boolean;
 
   /** @returns an empty queue */
   abstract createQueue(): WaitingQueue;
 
   /**
-   * @param entryHostCount - entry hosts in the host list
-   * @param isResponsible - whether this one is responsible for the group
-   * @returns part of each window that this entry host may use, above 0 to 1
+   * Computes this entry host's share of each window.
+   *
+   * @param entryHostCount - number of entry hosts in the host list
+   * @param isResponsible - whether this entry host is responsible for the group
+   * @returns fraction of each window that it may use, above 0 to 1
    */
   abstract computeShare(entryHostCount: number, isResponsible: boolean): number;
 
   /**
-   * @param candidates - who has room; may be none
-   * @param nextFraction - gives random numbers in [0, 1)
-   * @returns the choice
+   * Picks a backend server.
+   *
+   * @param candidates - backend servers with capacity; may be empty
+   * @param nextFraction - returns random numbers in [0, 1)
+   * @returns the choice; undefined if there is no candidate
    */
   pickServer(
     candidates: readonly ServerCandidate[],
@@ -88,7 +95,7 @@
   }
 }
 
-/** One queue for each dispatch group: tiers, fair shares, closing. */
+/** One queue for each dispatch group, with tiers, fair shares and tier closing. */
 export class DispatcherStrategy extends SchedulingStrategy {
   override readonly name: StrategyName = StrategyName.Dispatcher;
 
@@ -96,23 +103,23 @@
 
   override readonly closesTiers: boolean = true;
 
-  override readonly predictsWaits: boolean = true;
+  override readonly hasWaitPrediction: boolean = true;
 
-  override readonly weighsDeadlines: boolean = true;
+  override readonly isDeadlineAware: boolean = true;
 
-  override readonly seeksWarmCache: boolean = true;
+  override readonly isCacheAware: boolean = true;
 
-  override readonly countsForeignLoad: boolean = true;
+  override readonly isForeignLoadAware: boolean = true;
 
   override readonly reserveFraction: number;
 
-  override readonly reservesByDemand: boolean;
+  override readonly hasAdaptiveReserve: boolean;
 
-  /** @param options - what is set */
+  /** @param options - settings */
   constructor(options: StrategyOptions = {}) {
     super();
     this.reserveFraction = Math.min(0.5, Math.max(0, options.reserveFraction ?? RESERVE_FRACTION));
-    this.reservesByDemand = options.reservesByDemand ?? this.reserveFraction > 0;
+    this.hasAdaptiveReserve = options.hasAdaptiveReserve ?? this.reserveFraction > 0;
   }
 
   override createQueue(): WaitingQueue {
@@ -120,26 +127,26 @@
   }
 
   /**
-   * An entry host that isn't responsible, as far as it knows, dispatches only
-   * while the responsible one is out of reach; it then keeps to a fixed share,
-   * so that all who do so together stay near one window.
+   * Returns a fixed share for an entry host that is not responsible to its own
+   * knowledge. Such a host dispatches only while the responsible one is
+   * unreachable; fixed shares keep the total of all such hosts near one window.
    */
   override computeShare(entryHostCount: number, isResponsible: boolean): number {
     return isResponsible ? 1 : 1 / Math.max(1, entryHostCount);
   }
 }
 
-/** Baseline: every entry host alone, two random choices on lagged load reports. */
+/** Baseline: each entry host dispatches alone, by two random choices on lagging load reports. */
 export class TwoChoicesStrategy extends DispatcherStrategy {
   override readonly name = StrategyName.TwoChoices;
 
-  override readonly seeksWarmCache = false;
+  override readonly isCacheAware = false;
 
   override readonly isLocal = true;
 
-  override readonly weighsDeadlines = false;
+  override readonly isDeadlineAware = false;
 
-  override readonly countsForeignLoad = false;
+  override readonly isForeignLoadAware = false;
 
   override computeShare(): number {
     return 1;
@@ -149,51 +156,51 @@
     candidates: readonly ServerCandidate[],
     nextFraction: () => number,
   ): ServerCandidate | undefined {
-    return pickOfTwo(candidates, nextFraction, (candidate) => candidate.reportedLoad);
+    return pickLessLoadedOfTwo(candidates, nextFraction, (candidate) => candidate.reportedLoad);
   }
 }
 
-/** Baseline: every entry host alone, with a fixed share of each window. */
+/** Baseline: each entry host dispatches alone, with a fixed share of each window. */
 export class FixedSharesStrategy extends DispatcherStrategy {
   override readonly name = StrategyName.FixedShares;
 
-  override readonly seeksWarmCache = false;
+  override readonly isCacheAware = false;
 
   override readonly isLocal = true;
 
-  override readonly countsForeignLoad = false;
+  override readonly isForeignLoadAware = false;
 
   override computeShare(entryHostCount: number): number {
     return 1 / Math.max(1, entryHostCount);
   }
 }
 
-/** Baseline: one queue in order of arrival, no tiers, no closing, no prediction. */
+/** Baseline: one FIFO queue, without tiers, tier closing or wait prediction. */
 export class FirstComeStrategy extends DispatcherStrategy {
   override readonly name = StrategyName.FirstCome;
 
-  override readonly seeksWarmCache = false;
+  override readonly isCacheAware = false;
 
   override readonly closesTiers = false;
 
-  override readonly predictsWaits = false;
+  override readonly hasWaitPrediction = false;
 
-  override readonly weighsDeadlines = false;
+  override readonly isDeadlineAware = false;
 
   constructor() {
     super({ reserveFraction: 0 });
   }
 
   override createQueue(): WaitingQueue {
-    return new ArrivalQueue();
+    return new FifoQueue();
   }
 }
 
 /**
  * Creates a strategy.
  *
- * @param name - which one
- * @param options - what is set
+ * @param name - name of the strategy
+ * @param options - settings
  * @returns the strategy
  */
 export function createStrategy(
--- a/src/domain/scheduling/tier.ts
+++ b/src/domain/scheduling/tier.ts
@@ -1,12 +1,12 @@
 /**
- * The tiers of requests, highest first.
+ * Tiers of requests, highest first.
  *
  * @module
  */
 
-/** A request's tier. A lower number goes first and is shed last. */
+/** A request's tier. A lower number is scheduled first and shed last. */
 export enum Tier {
-  /** Somebody waits at the counter or in the room. */
+  /** Interactive work: a person is waiting for the answer. */
   Urgent = 0,
   /** Ordinary work with a deadline of minutes. */
   Standard = 1,
@@ -17,7 +17,7 @@
 /** All tiers, highest first. */
 export const TIERS: readonly Tier[] = [Tier.Urgent, Tier.Standard, Tier.Batch];
 
-/** The tiers' names as contracts, metrics and logs write them. */
+/** Names of the tiers in contracts, metrics and logs. */
 export const TIER_NAMES: Readonly<Record<Tier, string>> = {
   [Tier.Urgent]: 'urgent',
   [Tier.Standard]: 'standard',
--- a/src/domain/scheduling/tier_gate.ts
+++ b/src/domain/scheduling/tier_gate.ts
@@ -1,73 +1,76 @@
 /**
- * Closing of lower tiers before a higher one is refused for lack of room.
+ * Closes lower tiers before a higher tier is refused for lack of capacity.
  *
  * @module
  */
 import { Tier } from './tier.js';
 
-/** A closed tier reopens when the queue has drained to this part of what it was at the closing. */
-const REOPEN_BACKLOG_PART = 0.5;
+/** A closed tier reopens once the backlog has fallen to this fraction of its size at closing. */
+const REOPEN_BACKLOG_FRACTION = 0.5;
 
 /**
- * Time that must pass without pressure before one more tier reopens, in
- * milliseconds. It is also the window in which the promise is counted: after a
- * refusal of a tier for lack of room, no lower tier is admitted for this long.
+ * Time with a low backlog before one more tier reopens, in milliseconds. It is
+ * also the window of the scheduler's guarantee: after a tier is refused for
+ * lack of capacity, no lower tier is admitted for this long.
  */
-export const REOPEN_HOLD_MS = 2_000;
+export const REOPEN_DELAY_MS = 2_000;
 
 /**
- * Knows which tiers are open. Closing is at once; reopening is one tier at a
- * time after a calm spell, so that load at the edge doesn't make it flap.
+ * Tracks which tiers are open. Closing takes effect at once. Reopening proceeds
+ * one tier at a time after a delay, so that load near the limit does not make
+ * the gate flap.
  */
 export class TierGate {
   #openTier: Tier = Tier.Batch;
 
-  #calmSinceMs = 0;
+  #lowBacklogSinceMs = 0;
 
   #reopenBacklogMs = 0;
 
-  /** Lowest tier that is open. The highest is never closed. */
+  /** Lowest open tier. The highest tier is never closed. */
   get openTier(): Tier {
     return this.#openTier;
   }
 
-  /** @param tier - which tier. @returns whether it is open */
+  /** @param tier - a tier. @returns whether it is open */
   isOpen(tier: Tier): boolean {
     return tier <= this.#openTier;
   }
 
   /**
-   * Closes every tier below one that is about to be refused for lack of room.
+   * Closes every tier below one that is about to be refused for lack of
+   * capacity.
    *
-   * @param tier - the tier that is refused
+   * @param tier - the tier to be refused
    * @param backlogMs - time in which its queue drains, in milliseconds
    * @param nowMs - monotonic time in milliseconds
-   * @returns whether a tier was closed by this
+   * @returns whether this call closed a tier
    */
   closeBelow(tier: Tier, backlogMs: number, nowMs: number): boolean {
-    this.#calmSinceMs = nowMs;
+    this.#lowBacklogSinceMs = nowMs;
     if (tier >= Tier.Batch || tier > this.#openTier) return false;
-    this.#reopenBacklogMs = backlogMs * REOPEN_BACKLOG_PART;
+    this.#reopenBacklogMs = backlogMs * REOPEN_BACKLOG_FRACTION;
     const isChanged = tier < this.#openTier;
     this.#openTier = tier;
     return isChanged;
   }
 
   /**
-   * Reopens one tier after a calm spell.
+   * Reopens one tier after the backlog has been low for long enough.
    *
-   * @param backlogMs - time in which the queue of the open tiers drains, in milliseconds
+   * @param backlogMs - time in which the queue of the open tiers drains, in
+   *   milliseconds
    * @param nowMs - monotonic time in milliseconds
-   * @returns whether a tier was reopened by this
+   * @returns whether this call reopened a tier
    */
   update(backlogMs: number, nowMs: number): boolean {
     if (this.#openTier >= Tier.Batch) return false;
     if (backlogMs > this.#reopenBacklogMs) {
-      this.#calmSinceMs = nowMs;
+      this.#lowBacklogSinceMs = nowMs;
       return false;
     }
-    if (nowMs - this.#calmSinceMs < REOPEN_HOLD_MS) return false;
-    this.#calmSinceMs = nowMs;
+    if (nowMs - this.#lowBacklogSinceMs < REOPEN_DELAY_MS) return false;
+    this.#lowBacklogSinceMs = nowMs;
     this.#openTier += 1;
     return true;
   }
--- a/src/domain/scheduling/waiting_queue.ts
+++ b/src/domain/scheduling/waiting_queue.ts
@@ -1,74 +1,79 @@
 /**
- * The queue of a dispatcher, as its scheduler sees it.
+ * Interface between a scheduler and its queue.
  *
  * @module
  */
 import type { Tier } from './tier.js';
 import type { SlotDemand, WaitingDemand } from './slot_demand.js';
 
-/** Decides where a waiting demand could run now. */
+/** Finds a target, such as a backend server, that can run a waiting demand now. */
 export interface Placer<P> {
   /**
-   * Tells cheaply whether anything of a tier could be placed at all.
+   * Returns whether any demand of a tier could be placed at all. This check is
+   * cheap.
    *
-   * @param tier - which tier
-   * @param isAged - whether the demand is put ahead, and may use the reserve
+   * @param tier - the tier
+   * @param isAged - whether aging lets the demand run out of turn and use the
+   *   reserve
    */
-  hasRoom(tier: Tier, isAged: boolean): boolean;
+  hasCapacity(tier: Tier, isAged: boolean): boolean;
   /**
+   * Picks a target for a demand.
+   *
    * @param waiting - the demand
-   * @param isAged - whether it is put ahead, and may use the reserve
-   * @returns where it can run; undefined when it must go on waiting
+   * @param isAged - whether aging lets the demand run out of turn and use the
+   *   reserve
+   * @returns the target; undefined if the demand must keep waiting
    */
-  pickPlace(waiting: WaitingDemand, isAged: boolean): P | undefined;
+  pickTarget(waiting: WaitingDemand, isAged: boolean): P | undefined;
   /**
-   * Tells what is computed again when a demand runs in a place, although some
-   * other place's cache holds it.
+   * Predicts how many tokens a target recomputes for a demand although another
+   * target's cache holds them.
    *
    * @param waiting - the demand
-   * @param place - where it would run
-   * @returns prompt tokens; 0 or nothing when no other place would do better
+   * @param target - target that would run the demand
+   * @returns prompt tokens; 0 or undefined if no other target has more cached
    */
-  predictRepeated?(waiting: WaitingDemand, place: P): number;
+  predictRecomputedTokens?(waiting: WaitingDemand, target: P): number;
   /**
-   * Tells whether to keep a place free for a moment rather than compute so much
-   * again there.
+   * Returns whether to leave a target's slot idle for a moment rather than
+   * recompute that many tokens there.
    *
    * @param waiting - the demand
-   * @param place - where it would run
+   * @param target - target that would run the demand
    */
-  isWorthHolding?(waiting: WaitingDemand, place: P): boolean;
+  isWorthDelaying?(waiting: WaitingDemand, target: P): boolean;
 }
 
-/** A demand that leaves the queue for a place. */
+/** A demand removed from the queue, and its target. */
 export interface Placement<P> {
   readonly waiting: WaitingDemand;
-  readonly place: P;
+  readonly target: P;
 }
 
-/** Holds demands until there is a slot for them. */
+/** Holds demands until a slot is free for them. */
 export abstract class WaitingQueue {
-  /** How many wait. */
+  /** Number of waiting demands. */
   abstract readonly size: number;
 
-  /** @param waiting - the demand; its key must be new */
+  /** @param waiting - the demand, whose key is not in the queue yet */
   abstract add(waiting: WaitingDemand): void;
 
-  /** @param key - which demand. @returns it, taken out; undefined when it doesn't wait */
+  /** @param key - key of a demand. @returns the removed demand; undefined if it was not waiting */
   abstract remove(key: string): WaitingDemand | undefined;
 
-  /** @returns every waiting demand, in no order */
+  /** @returns all waiting demands, in no particular order */
   abstract list(): WaitingDemand[];
 
-  /** @param tier - which tier. @returns how many of it wait */
+  /** @param tier - a tier. @returns number of its waiting demands */
   abstract countTier(tier: Tier): number;
 
   /**
-   * Takes the first demand, in the queue's order, that has a place.
+   * Removes the first demand, in the queue's order, that has a target.
    *
    * @param nowMs - monotonic time in milliseconds
-   * @param placer - where demands could run
-   * @returns the demand and its place; undefined when none has a place
+   * @param placer - finds targets for demands
+   * @returns the demand and its target; undefined if no demand has a target
    */
   abstract takeFirst<P>(nowMs: number, placer: Placer<P>): Placement<P> | undefined;
 
@@ -78,20 +83,22 @@
    * @param demand - the new demand
    * @returns work in milliseconds of one slot
    */
-  abstract computeWorkAhead(demand: SlotDemand): number;
+  abstract computeWorkAheadMs(demand: SlotDemand): number;
 
   /**
-   * @param tier - a tier
-   * @returns predicted work of everything that waits in this tier and higher ones, in milliseconds
+   * Computes the total predicted work of a tier and all higher tiers.
+   *
+   * @param tier - the tier
+   * @returns work of the waiting demands, in milliseconds
    */
-  abstract computeWork(tier: Tier): number;
+  abstract computeWorkMs(tier: Tier): number;
 
   /**
-   * Picks which demand of a tier to give up first when there are too many: the
-   * last one of the account that has the most waiting for its weight.
+   * Picks the demand of a tier to drop first when too many wait: the last one
+   * of the account with the most waiting work per unit of weight.
    *
-   * @param tier - which tier
-   * @returns the demand, still in the queue; undefined when none of the tier waits
+   * @param tier - the tier
+   * @returns the demand, still in the queue; undefined if the tier is empty
    */
   abstract pickVictim(tier: Tier): WaitingDemand | undefined;
 }
