--- a/src/domain/scheduling/_slot_placer.ts
+++ b/src/domain/scheduling/_slot_placer.ts
@@ -34,16 +34,16 @@
   }
 
   /**
-   * @returns demands that came to their turn and would miss their deadlines on
-   *   any server, lowest tier first
+   * @returns demands whose turn has come but which would miss their deadlines
+   *   on any server, lowest tier first
    */
   listUnreachable(): SlotDemand[] {
     return [...this.#unreachable].sort((a, b) => b.tier - a.tier);
   }
 
   /**
-   * Reports no capacity below the tier of a demand that is about to be refused,
-   * because its refusal closes all lower tiers.
+   * Returns whether a tier has capacity. A tier below a demand that is about to
+   * be refused has none, because that refusal closes all lower tiers.
    */
   hasCapacity(tier: Tier, isAged: boolean): boolean {
     const { pool, nowMs } = this.#options;
--- a/src/domain/scheduling/backend_servers_test.ts
+++ b/src/domain/scheduling/backend_servers_test.ts
@@ -79,7 +79,7 @@
     t.equal(group.pool.computeWindow(0), 36);
     group.updateServers(buildSpecs(3, 16, [0]), 20_000);
     group.updateServers(buildSpecs(3, 16), 30_000);
-    t.equal(group.pool.computeWindow(30_000), 36, 'a leaving server has returned');
+    t.equal(group.pool.computeWindow(30_000), 36, 'a draining server has returned');
   },
 );
 
--- a/src/domain/scheduling/fair_queue.ts
+++ b/src/domain/scheduling/fair_queue.ts
@@ -19,10 +19,10 @@
 export const AGED_GRANT_INTERVAL = 8;
 
 /**
- * Fraction of the granted work that goes to aged demands out of turn while any
- * wait. Request lengths differ a hundredfold: if only grants were counted, one
- * long request in eight grants would take most of the slot time from seven
- * short ones.
+ * Fraction of the granted work that goes to aged demands out of turn while there
+ * are any. Request lengths differ a hundredfold: if only grants were counted, one
+ * long request in eight grants would take most of the slot time from seven short
+ * ones.
  */
 export const AGED_WORK_FRACTION = 0.05;
 
@@ -32,13 +32,13 @@
  * of a tier, one whose prompt prefix is cached on a free backend server may
  * overtake the others.
  *
- * Starvation bound: among the demands that have waited for more than {@link
- * STARVATION_BOUND_MS}, the longest-waiting one is granted as soon as {@link
- * AGED_GRANT_INTERVAL} grants have been made, and work worth 1 / {@link
- * AGED_WORK_FRACTION} times the aged demand granted before it. This holds
- * whatever load higher tiers bring, provided that a backend server which the
- * demand may use has capacity. A demand refused because its tier closes no
- * longer waits: the caller is told at once, with a retry delay.
+ * Starvation bound: among the demands that have waited for more than
+ * {@link STARVATION_BOUND_MS}, the longest-waiting one is granted as soon as
+ * {@link AGED_GRANT_INTERVAL} grants have been made since the previous aged
+ * demand, and work worth 1 / {@link AGED_WORK_FRACTION} times that demand's work.
+ * This holds whatever load higher tiers bring, provided that a backend server
+ * which the demand may use has capacity. A demand refused because its tier closes
+ * does not wait any longer: its caller is told at once, with a retry delay.
  */
 export class FairQueue extends WaitingQueue {
   readonly #tiers = new Map<Tier, FairTier>(TIERS.map((tier) => [tier, new FairTier()]));
--- a/src/domain/scheduling/group_scheduler.ts
+++ b/src/domain/scheduling/group_scheduler.ts
@@ -270,7 +270,7 @@
     return [...decisions, ...this.#refuseUnreachable(placer.listUnreachable(), nowMs)];
   }
 
-  /** Refuses requests that came to their turn and would miss their deadlines on any server. */
+  /** Refuses requests whose turn has come but which would miss their deadlines. */
   #refuseUnreachable(demands: readonly SlotDemand[], nowMs: number): RefusalDecision[] {
     return demands.flatMap((demand) =>
       this.#queue.remove(demand.key)
--- a/src/domain/scheduling/group_scheduler_test.ts
+++ b/src/domain/scheduling/group_scheduler_test.ts
@@ -75,7 +75,7 @@
 
   #nowMs = 0;
 
-  #leavingIndexes: number[] = [];
+  #drainingIndexes: number[] = [];
 
   #lastKey = 0;
 
@@ -86,7 +86,7 @@
   run(command: Command): void {
     if (command.kind === 'wait') this.#nowMs += command.ms;
     if (command.kind === 'leave')
-      this.#leavingIndexes = this.#leavingIndexes.length > 0 ? [] : [command.index];
+      this.#drainingIndexes = this.#drainingIndexes.length > 0 ? [] : [command.index];
     if (command.kind === 'submit') this.#submit(command);
     if (command.kind === 'release') {
       const held = this.group.pool.listHeld();
@@ -94,7 +94,7 @@
       if (slot)
         this.group.release(slot.grantId, { ...ANSWERED, verdict: command.verdict }, this.#nowMs);
     }
-    this.group.updateServers(buildSpecs(3, 2, this.#leavingIndexes), this.#nowMs);
+    this.group.updateServers(buildSpecs(3, 2, this.#drainingIndexes), this.#nowMs);
     this.#check(this.group.run(this.#nowMs));
     this.#checkConservation();
   }
@@ -145,7 +145,7 @@
 
   #checkGrant(serverId: string, demand: SlotDemand): void {
     const server = this.group.pool.findServer(serverId);
-    if (!server || server.isLeaving) throw new Error(`${serverId} is leaving`);
+    if (!server || server.isLeaving) throw new Error(`${serverId} is draining`);
     if (demand.excluded.includes(serverId)) throw new Error(`${serverId} is excluded`);
     if (server.held.size > server.window.getSize(this.#nowMs))
       throw new Error(`${serverId} holds more than its window`);
@@ -165,7 +165,8 @@
     const { pool } = this.group;
     if (!pool.strategy.hasAdaptiveReserve)
       return pool.pickServer(demand, false, this.#nowMs, () => 0) !== undefined;
-    // The reserve for higher tiers may stay free, but never a whole idle group.
+    // Slots reserved for higher tiers may stay free, but no demand waits while the
+    // whole group is idle.
     return (
       pool.heldCount === 0 && pool.pickServer(demand, false, this.#nowMs, () => 0) !== undefined
     );
@@ -181,7 +182,7 @@
 
 t.test('GroupScheduler keeps every guarantee in any order of events', async (t) => {
   // Guards against refusing an urgent request while batch requests wait or are
-  // admitted. Any mix of arrivals, late and failed answers, leaving backend
+  // admitted. Any mix of arrivals, late and failed answers, draining backend
   // servers and time must not refuse a tier before the lower tiers.
   [0, 0.125, 0.5].forEach((reserveFraction) => {
     const strategy = createStrategy(StrategyName.Dispatcher, { reserveFraction });
--- a/src/domain/scheduling/outlier_ejection.ts
+++ b/src/domain/scheduling/outlier_ejection.ts
@@ -64,7 +64,7 @@
   /**
    * Ejects outliers, worst first, up to the limit.
    *
-   * @param group - every backend server of the group that is not leaving
+   * @param group - every backend server of the group that is not draining
    * @param nowMs - monotonic time in milliseconds
    * @returns IDs of the newly ejected backend servers
    */
--- a/src/domain/scheduling/server_speed.ts
+++ b/src/domain/scheduling/server_speed.ts
@@ -98,7 +98,8 @@
 
   /**
    * Returns a fixed reference for the time to first byte. A learned reference
-   * would take lasting queueing inside the backend server for a slow server.
+   * would mistake lasting queueing inside the backend server for a slow server,
+   * and hide the queueing.
    *
    * @param prefillTokens - prompt tokens to compute
    * @returns time to first byte at the engine kind's nominal speed, in
--- a/src/domain/scheduling/server_state.ts
+++ b/src/domain/scheduling/server_state.ts
@@ -16,7 +16,7 @@
   readonly id: string;
   /** Concurrent requests, the initial size of the window. */
   readonly slots: number;
-  /** Whether it is leaving; a leaving backend server gets no new requests. */
+  /** Whether it is draining; a draining backend server gets no new requests. */
   readonly isLeaving: boolean;
 }
 
@@ -87,8 +87,8 @@
 
   #loadReport: { readonly load: number; readonly atMs: number } | undefined;
 
-  /** Whether the backend server itself reports that it is leaving. */
-  #isReportedLeaving = false;
+  /** Whether the backend server itself reports that it is draining. */
+  #isReportedDraining = false;
 
   /**
    * @param spec - description of the backend server
@@ -102,9 +102,9 @@
     this.speed = new ServerSpeed(spec, isPlain);
   }
 
-  /** Whether it gets no new requests, according to any source. */
+  /** Whether it is draining, by configuration, membership or its own report. */
   get isLeaving(): boolean {
-    return this.spec.isLeaving || this.#isReportedLeaving;
+    return this.spec.isLeaving || this.#isReportedDraining;
   }
 
   /** Requests according to its last report, however old; 0 before the first report. */
@@ -142,12 +142,12 @@
    * Records the backend server's own load report, which lags.
    *
    * @param load - running and waiting requests there
-   * @param isReportedLeaving - whether the server reports that it is leaving
+   * @param isReportedDraining - whether the server reports that it is draining
    * @param nowMs - monotonic time in milliseconds
    */
-  noteLoad(load: number, isReportedLeaving: boolean, nowMs: number): void {
-    if (this.#isReportedLeaving && !isReportedLeaving) this.reset(nowMs);
-    this.#isReportedLeaving = isReportedLeaving;
+  noteLoad(load: number, isReportedDraining: boolean, nowMs: number): void {
+    if (this.#isReportedDraining && !isReportedDraining) this.reset(nowMs);
+    this.#isReportedDraining = isReportedDraining;
     this.#loadReport = { load, atMs: nowMs };
   }
 
