--- a/src/application/direct/_answer_relay.ts
+++ b/src/application/direct/_answer_relay.ts
@@ -7,7 +7,7 @@
 import type { BackendHead, DirectReply } from '../../ports/mod.js';
 
 /** Most bytes of a plain answer that are kept back until it is whole; longer ones are passed on as they come. */
-const MAX_KEPT_BYTES = 262_144;
+const MAX_BUFFERED_BYTES = 262_144;
 
 /** How an answer is passed on. */
 export abstract class AnswerRelay {
@@ -25,7 +25,7 @@
 }
 
 /** A plain answer, kept back until it is whole, so that a broken one can still be replaced. */
-export class WholeRelay extends AnswerRelay {
+export class BufferedRelay extends AnswerRelay {
   readonly #head: BackendHead;
 
   readonly #reply: DirectReply;
@@ -52,7 +52,7 @@
   override write(bytes: Buffer): void {
     this.#length += bytes.length;
     this.#chunks.push(bytes);
-    if (this.#length <= MAX_KEPT_BYTES) return;
+    if (this.#length <= MAX_BUFFERED_BYTES) return;
     if (!this.#hasBegun) this.#reply.writeHead(this.#head);
     this.#hasBegun = true;
     this.#chunks.splice(0).forEach((chunk) => this.#reply.write(chunk));
@@ -81,7 +81,7 @@
 
   #lastEventId: string | undefined;
 
-  #eventsAtMs = 0;
+  #lastEventsAtMs = 0;
 
   #eventCount = 0;
 
@@ -99,7 +99,7 @@
     this.#head = head;
     this.#reply = reply;
     this.#nowMs = nowMs;
-    this.#eventsAtMs = nowMs();
+    this.#lastEventsAtMs = nowMs();
   }
 
   override get hasBegun(): boolean {
@@ -121,29 +121,29 @@
   }
 
   /** When the last events came, on the monotonic clock. */
-  get eventsAtMs(): number {
-    return this.#eventsAtMs;
+  get lastEventsAtMs(): number {
+    return this.#lastEventsAtMs;
   }
 
   /** Half an event of a broken stream is forgotten: it comes whole from elsewhere. */
   restart(): void {
     this.#splitter = new EventSplitter();
-    this.#eventsAtMs = this.#nowMs();
+    this.#lastEventsAtMs = this.#nowMs();
   }
 
   override write(bytes: Buffer): void {
-    const { bytes: whole, count, lastId } = this.#splitter.split(bytes);
-    if (whole.length === 0) return;
+    const { bytes: wholeEvents, count, lastId } = this.#splitter.split(bytes);
+    if (wholeEvents.length === 0) return;
     const nowMs = this.#nowMs();
     if (this.#hasBegun) {
-      this.#longestPauseMs = Math.max(this.#longestPauseMs, nowMs - this.#eventsAtMs);
+      this.#longestPauseMs = Math.max(this.#longestPauseMs, nowMs - this.#lastEventsAtMs);
     }
-    this.#eventsAtMs = nowMs;
+    this.#lastEventsAtMs = nowMs;
     this.#eventCount += count;
     if (!this.#hasBegun) this.#reply.writeHead(this.#head);
     this.#hasBegun = true;
     this.#lastEventId = lastId ?? this.#lastEventId;
-    this.#reply.write(whole);
+    this.#reply.write(wholeEvents);
   }
 
   override end(): void {
--- a/src/application/direct/_backend_request.ts
+++ b/src/application/direct/_backend_request.ts
@@ -9,11 +9,11 @@
 import type { StreamRelay } from './_answer_relay.js';
 
 /** A call as far as its backend server learns of it. */
-export interface SentCall {
+export interface OutgoingCall {
   readonly request: DirectRequest;
   readonly account: ClientAccount | undefined;
   /** Time that its caller still waits, in milliseconds. */
-  readonly leftMs: number;
+  readonly timeLeftMs: number;
   /** The stream that goes on, where this is not the first try. */
   readonly stream: StreamRelay | undefined;
 }
@@ -26,7 +26,7 @@
  * @returns the request
  */
 export function buildBackendRequest(
-  { request, account, leftMs, stream }: SentCall,
+  { request, account, timeLeftMs: leftMs, stream }: OutgoingCall,
   { id, serverId, address }: BackendServerEntry,
 ): BackendRequest {
   return {
--- a/src/application/direct/_call_checks.ts
+++ b/src/application/direct/_call_checks.ts
@@ -11,7 +11,7 @@
 import type { RoutingKeeper } from './routing_keeper.js';
 
 /** Advice of when to come back to callers that another entry host may serve, in milliseconds. */
-const ELSEWHERE_MS = 50;
+const RETRY_ELSEWHERE_MS = 50;
 
 /** What the checks need. */
 export interface CallChecksOptions {
@@ -71,12 +71,12 @@
    * @param request - the call
    * @returns why it must not leave; undefined when it may
    */
-  findRefusal(
+  findDispatchRefusal(
     { route, contentId }: CheckedCall,
     request: DirectRequest,
   ): SchedulerError | undefined {
-    const held = this.#options.crashes.findRefusal(contentId);
-    if (held || route.isOpen) return held;
+    const quarantineError = this.#options.crashes.findRefusal(contentId);
+    if (quarantineError || route.isOpen) return quarantineError;
     const { table } = this.#options.routing;
     try {
       if (table) this.#authenticate(table, request);
@@ -90,22 +90,23 @@
   #findRoute(table: RouteTable, { hostName, path }: DirectRequest): Route {
     const route = table.findRoute(hostName, path);
     if (route) return route;
-    throw this.#isSure()
+    throw this.#isConfigurationCurrent()
       ? new SchedulerError(ErrorKind.NotFound)
-      : buildElsewhere(ErrorKind.EntryHostCutOff);
+      : buildRetryElsewhereError(ErrorKind.EntryHostCutOff);
   }
 
   #authenticate(table: RouteTable, { key }: DirectRequest): ClientAccount {
     const { routing, maxKeyAgeMs } = this.#options;
-    if (routing.computeAgeMs() >= maxKeyAgeMs) throw buildElsewhere(ErrorKind.EntryHostCutOff);
+    if (routing.computeAgeMs() >= maxKeyAgeMs)
+      throw buildRetryElsewhereError(ErrorKind.EntryHostCutOff);
     const account = key === undefined ? undefined : table.findAccount(key);
     if (account) return account;
-    throw this.#isSure()
+    throw this.#isConfigurationCurrent()
       ? new SchedulerError(ErrorKind.Unauthenticated)
-      : buildElsewhere(ErrorKind.EntryHostCutOff);
+      : buildRetryElsewhereError(ErrorKind.EntryHostCutOff);
   }
 
-  #isSure(): boolean {
+  #isConfigurationCurrent(): boolean {
     return this.#options.routing.computeAgeMs() < this.#options.sureAgeMs;
   }
 }
@@ -116,8 +117,8 @@
  * @param kind - why this one doesn't
  * @returns the refusal
  */
-export function buildElsewhere(kind: ErrorKind): SchedulerError {
-  return new SchedulerError(kind, { retryAfterMs: ELSEWHERE_MS });
+export function buildRetryElsewhereError(kind: ErrorKind): SchedulerError {
+  return new SchedulerError(kind, { retryAfterMs: RETRY_ELSEWHERE_MS });
 }
 
 function deriveContentId(request: DirectRequest, account: ClientAccount | undefined): string {
--- a/src/application/direct/_call_recorder.ts
+++ b/src/application/direct/_call_recorder.ts
@@ -6,7 +6,7 @@
 import { LogLevel } from '../../domain/errors/mod.js';
 import type { ClientAccount, Route } from '../../domain/routing/mod.js';
 import type { DirectRequest, LogFields } from '../../ports/mod.js';
-import type { AttemptEnd } from './_direct_attempt.js';
+import type { AttemptResult } from './_direct_attempt.js';
 import type { DirectServices } from './direct_services.js';
 
 /** Whose call is recorded. */
@@ -30,14 +30,14 @@
 
   /**
    * @param backendServer - whom it is sent to
-   * @param inputs - what decided
+   * @param decisionFields - what decided
    */
-  noteDispatch(backendServer: string, inputs: LogFields): void {
+  recordDispatch(backendServer: string, decisionFields: LogFields): void {
     const { routing } = this.#options.services;
     this.#write('call_dispatched', {
       backendServer,
-      ...inputs,
-      waitedMs: this.#measureMs(),
+      ...decisionFields,
+      waitedMs: this.#computeElapsedMs(),
       configurationVersion: routing.table?.version,
       configurationAgeMs: Math.round(routing.computeAgeMs()),
     });
@@ -48,7 +48,11 @@
    * @param attempt - number of the try
    * @param end - how it ended
    */
-  noteFailure(backendServer: string, attempt: number, { failure, reason }: AttemptEnd): void {
+  recordAttemptFailure(
+    backendServer: string,
+    attempt: number,
+    { failure, reason }: AttemptResult,
+  ): void {
     this.#write('attempt_failed', { backendServer, failure, reason, attempt });
     this.#options.services.metrics.count('attempts_failed_total', { failure: String(failure) });
   }
@@ -57,15 +61,15 @@
    * @param event - how the call ended
    * @param fields - what decided
    */
-  noteEnd(event: string, fields: LogFields): void {
+  recordEnd(event: string, fields: LogFields): void {
     const { metrics } = this.#options.services;
-    const totalMs = this.#measureMs();
+    const totalMs = this.#computeElapsedMs();
     this.#write(event, { totalMs, ...fields });
     metrics.count('calls_ended_total', { event, kind: String(fields.kind ?? 'none') });
     metrics.record('call_duration_ms', totalMs, { event });
   }
 
-  #measureMs(): number {
+  #computeElapsedMs(): number {
     return Math.round(this.#options.services.clock.nowMs() - this.#options.arrivedAtMs);
   }
 
@@ -86,12 +90,12 @@
  * @param end - how the try ended
  * @returns fields of the call's last log line
  */
-export function buildAnswerFields(serverId: string, end: AttemptEnd): LogFields {
+export function buildAnswerFields(serverId: string, end: AttemptResult): LogFields {
   return {
     backendServer: serverId,
     status: end.status,
     firstByteMs: Math.round(end.firstByteMs),
-    predictedFirstByteMs: Math.round(end.predictedMs),
+    predictedFirstByteMs: Math.round(end.predictedFirstByteMs),
     outputTokens: end.outputTokens,
     longestPauseMs: end.stream && Math.round(end.stream.longestPauseMs),
   };
--- a/src/application/direct/_call_tries.ts
+++ b/src/application/direct/_call_tries.ts
@@ -7,31 +7,31 @@
 import type { Clock } from '../../ports/mod.js';
 
 /** Most backend servers that are tried where none of them has run the request. */
-const MAX_TRIES = 4;
+const MAX_UNRUN_ATTEMPTS = 4;
 
 /** Least time left that another backend server is worth trying for, in milliseconds. */
-const MIN_RETRY_MS = 40;
+const MIN_RETRY_TIME_LEFT_MS = 40;
 
 /** Least part of a call's time that must be left for it to be a trial. */
-const TRIAL_TIME_PART = 0.4;
+const MIN_TRIAL_TIME_FRACTION = 0.4;
 
 /** When a call came, and when its caller or the route's timeout ends it. */
 export interface CallTimes {
   readonly arrivedAtMs: number;
-  readonly endsAtMs: number;
+  readonly deadlineAtMs: number;
 }
 
 /** Counts the tries of one call. */
-export class CallTries {
+export class AttemptBudget {
   readonly #times: CallTimes;
 
   readonly #route: Route;
 
   readonly #clock: Clock;
 
-  #count = 0;
+  #attemptCount = 0;
 
-  #runs = 0;
+  #runCount = 0;
 
   /**
    * @param times - of the call
@@ -45,46 +45,46 @@
   }
 
   /** How often it was sent. */
-  get count(): number {
-    return this.#count;
+  get attemptCount(): number {
+    return this.#attemptCount;
   }
 
   /** Whether any backend server may have run it. */
   get mayHaveRun(): boolean {
-    return this.#runs > 0;
+    return this.#runCount > 0;
   }
 
   /** Time that its caller still waits, in milliseconds. */
-  get leftMs(): number {
-    return this.#times.endsAtMs - this.#clock.nowMs();
+  get timeLeftMs(): number {
+    return this.#times.deadlineAtMs - this.#clock.nowMs();
   }
 
   /** Whether its caller waits long enough for a trial of its content to show something. */
   get hasTimeForTrial(): boolean {
-    const { arrivedAtMs, endsAtMs } = this.#times;
-    return this.leftMs >= (endsAtMs - arrivedAtMs) * TRIAL_TIME_PART;
+    const { arrivedAtMs, deadlineAtMs: endsAtMs } = this.#times;
+    return this.timeLeftMs >= (endsAtMs - arrivedAtMs) * MIN_TRIAL_TIME_FRACTION;
   }
 
   /** It is sent. */
   noteSent(): void {
-    this.#count += 1;
-    this.#runs += 1;
+    this.#attemptCount += 1;
+    this.#runCount += 1;
   }
 
   /** The last try has not run. */
   noteNotRun(): void {
-    this.#runs -= 1;
+    this.#runCount -= 1;
   }
 
   /** @returns whether another backend server may run it again */
   mayRunAgain(): boolean {
     const { isRepeatable, isResumable, maxAttempts } = this.#route;
     const isAllowed = isRepeatable || isResumable;
-    return isAllowed && this.#runs < maxAttempts && this.leftMs > MIN_RETRY_MS;
+    return isAllowed && this.#runCount < maxAttempts && this.timeLeftMs > MIN_RETRY_TIME_LEFT_MS;
   }
 
   /** @returns whether it may be sent again where the last try has not run */
   maySendAgain(): boolean {
-    return this.#count < MAX_TRIES;
+    return this.#attemptCount < MAX_UNRUN_ATTEMPTS;
   }
 }
--- a/src/application/direct/_candidate_lists.ts
+++ b/src/application/direct/_candidate_lists.ts
@@ -11,11 +11,11 @@
  * servers leave it at once when word of it comes, and those whose entry has lapsed, this
  * much later.
  */
-const KEEP_MS = 20;
+const LIST_TTL_MS = 20;
 
-interface CandidateList {
+interface CachedList {
   readonly candidates: readonly Candidate[];
-  readonly listedAtMs: number;
+  readonly builtAtMs: number;
 }
 
 /** Keeps one list for each service. */
@@ -24,7 +24,7 @@
 
   readonly #build: (serviceId: string) => readonly Candidate[];
 
-  readonly #lists = new Map<string, CandidateList>();
+  readonly #lists = new Map<string, CachedList>();
 
   /**
    * @param clock - time
@@ -38,10 +38,10 @@
   /** @param serviceId - which service. @returns its list */
   take(serviceId: string): readonly Candidate[] {
     const nowMs = this.#clock.nowMs();
-    const kept = this.#lists.get(serviceId);
-    if (kept && nowMs - kept.listedAtMs < KEEP_MS) return kept.candidates;
+    const cached = this.#lists.get(serviceId);
+    if (cached && nowMs - cached.builtAtMs < LIST_TTL_MS) return cached.candidates;
     const candidates = this.#build(serviceId);
-    this.#lists.set(serviceId, { candidates, listedAtMs: nowMs });
+    this.#lists.set(serviceId, { candidates, builtAtMs: nowMs });
     return candidates;
   }
 
--- a/src/application/direct/_direct_attempt.ts
+++ b/src/application/direct/_direct_attempt.ts
@@ -17,26 +17,26 @@
   DirectBackendClient,
   DirectReply,
 } from '../../ports/mod.js';
-import { StreamRelay, WholeRelay } from './_answer_relay.js';
+import { StreamRelay, BufferedRelay } from './_answer_relay.js';
 import type { AnswerRelay } from './_answer_relay.js';
-import { StallWatch } from './_stall_watch.js';
+import { StallDetector } from './_stall_watch.js';
 
 /** Statuses that promise that a request has not run; only a backend server's own word may say so. */
-const PROMISING_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** How a try ended. */
-export interface AttemptEnd {
+export interface AttemptResult {
   /** Undefined when the caller has the whole answer. */
   readonly failure: BackendFailure | undefined;
   /** Whether the server's answer came whole, whatever its status. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
   /** Whether the end of the server's answer was marked. */
   readonly isFramed: boolean;
   readonly reason: string;
   readonly status: number;
   readonly firstByteMs: number;
   /** What the time to the first byte was predicted as, in milliseconds. */
-  readonly predictedMs: number;
+  readonly predictedFirstByteMs: number;
   /** Time from its start to its end, in milliseconds. */
   readonly totalMs: number;
   /** Output that it had, in tokens; 0 where it isn't a stream. */
@@ -44,7 +44,7 @@
   /** The stream as far as the caller has it. */
   readonly stream: StreamRelay | undefined;
   /** Passes on what the server answered, where no other server is tried. */
-  readonly fallback: (() => void) | undefined;
+  readonly sendFallback: (() => void) | undefined;
 }
 
 /** What a try needs. */
@@ -60,8 +60,8 @@
   /** Output tokens in one event of a stream. */
   readonly tokensPerEvent: number;
   /** @returns whether another backend server may take over */
-  readonly mayMove: () => boolean;
-  readonly onEnd: (end: AttemptEnd) => void;
+  readonly mayFailOver: () => boolean;
+  readonly onEnd: (end: AttemptResult) => void;
 }
 
 /** Sends the request, passes the answer on, and notices when it stalls. */
@@ -70,10 +70,10 @@
 
   readonly #startedAtMs: number;
 
-  readonly #predictedMs: number;
+  readonly #predictedFirstByteMs: number;
 
   /** Events that the caller had before this try. */
-  readonly #eventsBefore: number;
+  readonly #initialEventCount: number;
 
   #exchange: BackendExchange | undefined;
 
@@ -87,7 +87,7 @@
 
   #firstByteMs = 0;
 
-  readonly #watch: StallWatch;
+  readonly #stallDetector: StallDetector;
 
   #hasEnded = false;
 
@@ -95,12 +95,12 @@
   constructor(options: DirectAttemptOptions) {
     this.#options = options;
     this.#stream = options.stream;
-    this.#eventsBefore = options.stream?.eventCount ?? 0;
+    this.#initialEventCount = options.stream?.eventCount ?? 0;
     this.#startedAtMs = options.clock.nowMs();
-    this.#predictedMs = options.load.predictFirstByteMs(this.#work);
-    this.#watch = new StallWatch({
+    this.#predictedFirstByteMs = options.load.predictFirstByteMs(this.#work);
+    this.#stallDetector = new StallDetector({
       ...options,
-      predictedMs: this.#predictedMs,
+      predictedFirstByteMs: this.#predictedFirstByteMs,
       onStall: () => this.#abandon('nothing came for too long', ServerOutcome.Silent),
     });
   }
@@ -116,23 +116,23 @@
       this.#end(BackendFailure.NotSent, formatReason(error));
       return;
     }
-    this.#watch.start();
+    this.#stallDetector.start();
   }
 
   /** Whether the backend server may have any of the request. */
-  get mayHaveLeft(): boolean {
+  get mayHaveBeenSent(): boolean {
     return this.#exchange?.mayHaveLeft !== false;
   }
 
   /** @param outcome - how the try counts for the backend server */
   cancel(outcome: ServerOutcome): void {
     if (this.#hasEnded) return;
-    this.#settle(outcome);
+    this.#finish(outcome);
     this.#exchange?.cancel();
   }
 
   /** Life of the backend server that it is at. */
-  get lifeId(): string {
+  get incarnationId(): string {
     return this.#options.request.lifeId;
   }
 
@@ -141,7 +141,7 @@
    * silent until the caller's time is over: the requests of a server that lost power
    * would wait for an answer that nobody works on.
    */
-  abandonEnded(): void {
+  abandonEndedServer(): void {
     if (!this.#hasEnded) this.#abandon('its server has started anew');
   }
 
@@ -151,7 +151,7 @@
     const { reply, clock, route } = this.#options;
     if (!head.isEventStream || head.status !== 200) {
       if (reply.hasBegun) this.#abandon(`status ${head.status} is not the rest of a stream`);
-      else this.#relay = new WholeRelay(head, reply);
+      else this.#relay = new BufferedRelay(head, reply);
       return;
     }
     this.#stream ??= new StreamRelay(head, reply, () => clock.nowMs());
@@ -173,8 +173,8 @@
   onWhole(): void {
     if (this.#hasEnded) return;
     this.#noteFirstByte();
-    const hasErred = this.#status >= 500 || PROMISING_STATUSES.has(this.#status);
-    if (hasErred && !this.#hasBegun) this.#endErred();
+    const isServerError = this.#status >= 500 || NOT_RUN_STATUSES.has(this.#status);
+    if (isServerError && !this.#hasBegun) this.#endWithServerError();
     else {
       this.#relay?.end();
       this.#end(undefined, '');
@@ -198,13 +198,13 @@
    * another one. Its answer is kept for the case that none is; one whose status
    * would promise that nothing ran is not passed on.
    */
-  #endErred(): void {
+  #endWithServerError(): void {
     const relay = this.#relay;
-    const isPassable = !PROMISING_STATUSES.has(this.#status);
+    const mayForward = !NOT_RUN_STATUSES.has(this.#status);
     this.#end(
       BackendFailure.Broken,
       `answered with status ${this.#status}`,
-      isPassable ? () => relay?.end() : undefined,
+      mayForward ? () => relay?.end() : undefined,
       ServerOutcome.Erred,
     );
   }
@@ -220,20 +220,20 @@
     const { clock, load } = this.#options;
     this.#firstByteMs = Math.max(0.1, clock.nowMs() - this.#startedAtMs);
     load.noteFirstByte(this.#work);
-    this.#watch.noteFirstByte(this.#stream);
+    this.#stallDetector.noteFirstByte(this.#stream);
   }
 
   #end(
     failure: BackendFailure | undefined,
     reason: string,
-    fallback: (() => void) | undefined = undefined,
-    outcome = toOutcome(failure),
+    sendFallback: (() => void) | undefined = undefined,
+    outcome = toServerOutcome(failure),
   ): void {
     if (this.#hasEnded) return;
-    this.#settle(outcome);
+    this.#finish(outcome);
     const { clock, load, onEnd } = this.#options;
     const totalMs = clock.nowMs() - this.#startedAtMs;
-    const outputTokens = this.#countTokens();
+    const outputTokens = this.#countOutputTokens();
     if (failure === undefined && this.#status < 300) {
       load.speed.observe({
         prefillTokens: this.#work.promptTokens,
@@ -244,35 +244,35 @@
     }
     onEnd({
       failure,
-      isWhole: failure === undefined || outcome === ServerOutcome.Erred,
+      isComplete: failure === undefined || outcome === ServerOutcome.Erred,
       isFramed: this.#isFramed,
       reason,
       status: this.#status,
       firstByteMs: this.#firstByteMs,
-      predictedMs: this.#predictedMs,
+      predictedFirstByteMs: this.#predictedFirstByteMs,
       totalMs,
       outputTokens,
       stream: this.#stream,
-      fallback,
+      sendFallback: sendFallback,
     });
   }
 
   /** What earlier backend servers have generated of a stream isn't this one's work. */
-  #countTokens(): number {
-    const events = (this.#stream?.eventCount ?? 0) - this.#eventsBefore;
-    return events * this.#options.tokensPerEvent;
+  #countOutputTokens(): number {
+    const eventCount = (this.#stream?.eventCount ?? 0) - this.#initialEventCount;
+    return eventCount * this.#options.tokensPerEvent;
   }
 
-  #settle(outcome: ServerOutcome): void {
+  #finish(outcome: ServerOutcome): void {
     this.#hasEnded = true;
-    this.#watch.stop();
+    this.#stallDetector.stop();
     const { clock, load } = this.#options;
     if (this.#firstByteMs === 0) load.noteFirstByte(this.#work);
     load.end(outcome, clock.nowMs());
   }
 }
 
-function toOutcome(failure: BackendFailure | undefined): ServerOutcome {
+function toServerOutcome(failure: BackendFailure | undefined): ServerOutcome {
   if (failure === undefined) return ServerOutcome.Answered;
   return failure === BackendFailure.Declined ? ServerOutcome.Declined : ServerOutcome.Failed;
 }
--- a/src/application/direct/_doubt_wait.ts
+++ b/src/application/direct/_doubt_wait.ts
@@ -8,10 +8,10 @@
 import type { DirectCallOptions } from './direct_call_options.js';
 
 /** Advice to callers whose time to wait is over, in milliseconds. */
-const RETURN_MS = 1_000;
+const RETRY_AFTER_MS = 1_000;
 
 /** What becomes of the wait: one of both, at most once. */
-export interface DoubtWaitHandlers {
+export interface SuspectWaitHandlers {
   /** It may ask for leave again. */
   readonly onResume: () => void;
   /** @param error - what its caller hears */
@@ -19,36 +19,36 @@
 }
 
 /** Waits while another request of the same content shows whether that ends servers. */
-export class DoubtWait {
-  readonly #end: () => void;
+export class SuspectWait {
+  readonly #cancel: () => void;
 
   /**
    * @param options - the call
-   * @param endsAtMs - when its caller gives up, on the monotonic clock
+   * @param deadlineAtMs - when its caller gives up, on the monotonic clock
    * @param handlers - what becomes of it
    */
   constructor(
     { services, contentId }: DirectCallOptions,
-    endsAtMs: number,
-    handlers: DoubtWaitHandlers,
+    deadlineAtMs: number,
+    handlers: SuspectWaitHandlers,
   ) {
     const { clock, crashes } = services;
-    const timer = clock.setTimer(computeDoubtWaitMs(endsAtMs - clock.nowMs()), () => {
-      this.#end();
-      handlers.onExpired(new SchedulerError(ErrorKind.QueueFull, { retryAfterMs: RETURN_MS }));
+    const timer = clock.setTimer(computeDoubtWaitMs(deadlineAtMs - clock.nowMs()), () => {
+      this.#cancel();
+      handlers.onExpired(new SchedulerError(ErrorKind.QueueFull, { retryAfterMs: RETRY_AFTER_MS }));
     });
-    const cancel = crashes.waitForPass(contentId, () => {
+    const cancelPassWait = crashes.waitForPass(contentId, () => {
       timer.cancel();
       handlers.onResume();
     });
-    this.#end = () => {
+    this.#cancel = () => {
       timer.cancel();
-      cancel();
+      cancelPassWait();
     };
   }
 
   /** Waits no more. */
-  end(): void {
-    this.#end();
+  cancel(): void {
+    this.#cancel();
   }
 }
--- a/src/application/direct/_run_evidence.ts
+++ b/src/application/direct/_run_evidence.ts
@@ -5,17 +5,17 @@
  */
 import { BackendFailure } from '../../ports/mod.js';
 import { isSuccess } from '../crashes/mod.js';
-import type { AttemptEnd } from './_direct_attempt.js';
+import type { AttemptResult } from './_direct_attempt.js';
 import type { DirectServices } from './direct_services.js';
 
-const NOT_RUN: ReadonlySet<BackendFailure> = new Set([
+const NOT_RUN_FAILURES: ReadonlySet<BackendFailure> = new Set([
   BackendFailure.NotSent,
   BackendFailure.Declined,
   BackendFailure.Misdirected,
 ]);
 
 /** Tells of runs under which their server may have ended, and of those that were answered. */
-export class RunEvidence {
+export class CrashEvidence {
   readonly #services: DirectServices;
 
   readonly #contentId: string;
@@ -31,21 +31,22 @@
 
   /**
    * @param serverId - life of the backend server that it ran at
-   * @param end - how that ended
+   * @param result - how that ended
    */
-  note(serverId: string, end: AttemptEnd): void {
+  recordAttempt(serverId: string, result: AttemptResult): void {
     const { clock, crashes } = this.#services;
     const contentId = this.#contentId;
-    const startedAtMs = clock.nowMs() - end.totalMs;
-    if (end.isWhole) {
-      const hasSucceeded = end.failure === undefined && end.isFramed && isSuccess(end.status);
+    const startedAtMs = clock.nowMs() - result.totalMs;
+    if (result.isComplete) {
+      const hasSucceeded =
+        result.failure === undefined && result.isFramed && isSuccess(result.status);
       crashes.noteAnswered({ contentId, serverId, startedAtMs, hasSucceeded });
     }
-    if (end.failure === BackendFailure.Lost) this.#noteLost(serverId, startedAtMs);
+    if (result.failure === BackendFailure.Lost) this.#recordLostRun(serverId, startedAtMs);
   }
 
   /** A server that leaves as planned may close what it didn't finish; nobody ended it. */
-  #noteLost(serverId: string, startedAtMs: number): void {
+  #recordLostRun(serverId: string, startedAtMs: number): void {
     const { clock, crashes, servers } = this.#services;
     const address = servers.find(serverId)?.address;
     if (address === undefined || !servers.isUsable(serverId)) return;
@@ -59,6 +60,6 @@
  * @param end - how a try ended
  * @returns whether its server may have run the request
  */
-export function hasRun({ failure }: Pick<AttemptEnd, 'failure'>): boolean {
-  return failure === undefined || !NOT_RUN.has(failure);
+export function mayAttemptHaveRun({ failure }: Pick<AttemptResult, 'failure'>): boolean {
+  return failure === undefined || !NOT_RUN_FAILURES.has(failure);
 }
--- a/src/application/direct/_stall_watch.ts
+++ b/src/application/direct/_stall_watch.ts
@@ -21,22 +21,22 @@
 const MIN_SILENCE_MS = 600;
 
 /** Shortest time between two looks at a quiet answer, in milliseconds. */
-const MIN_LOOK_MS = 100;
+const MIN_CHECK_DELAY_MS = 100;
 
 /** A stream, as far as its pauses matter. */
 export interface WatchedStream {
   /** When its last events came, on the monotonic clock. */
-  readonly eventsAtMs: number;
+  readonly lastEventsAtMs: number;
 }
 
 /** What is watched, and who is told. */
-export interface StallWatchOptions {
+export interface StallDetectorOptions {
   readonly clock: Clock;
   readonly route: Route;
   /** Predicted time to the first byte, in milliseconds. */
-  readonly predictedMs: number;
+  readonly predictedFirstByteMs: number;
   /** @returns whether another backend server may take over */
-  readonly mayMove: () => boolean;
+  readonly mayFailOver: () => boolean;
   readonly onStall: () => void;
 }
 
@@ -44,8 +44,8 @@
  * Looks at an answer when it may have stalled at the earliest. A look each tenth of a second
  * was fifteen timers a stream.
  */
-export class StallWatch {
-  readonly #options: StallWatchOptions;
+export class StallDetector {
+  readonly #options: StallDetectorOptions;
 
   readonly #startedAtMs: number;
 
@@ -54,14 +54,14 @@
   #timer: Timer | undefined;
 
   /** @param options - what is watched; its time counts from now */
-  constructor(options: StallWatchOptions) {
+  constructor(options: StallDetectorOptions) {
     this.#options = options;
     this.#startedAtMs = options.clock.nowMs();
   }
 
   /** Begins to wait for the first byte. */
   start(): void {
-    this.#schedule();
+    this.#scheduleCheck();
   }
 
   /** @param stream - the stream whose next events are waited for; undefined: a plain answer */
@@ -70,7 +70,7 @@
     // A plain answer that has begun is never taken for stalled.
     if (!stream) return;
     this.#stream = stream;
-    this.#schedule();
+    this.#scheduleCheck();
   }
 
   /** Watches no more. */
@@ -78,21 +78,21 @@
     this.#timer?.cancel();
   }
 
-  #schedule(): void {
-    const delayMs = Math.max(MIN_LOOK_MS, this.#computeLeftMs());
+  #scheduleCheck(): void {
+    const delayMs = Math.max(MIN_CHECK_DELAY_MS, this.#computeTimeLeftMs());
     this.#timer = this.#options.clock.setTimer(delayMs, () => {
-      if (this.#computeLeftMs() <= 0 && this.#options.mayMove()) this.#options.onStall();
-      else this.#schedule();
+      if (this.#computeTimeLeftMs() <= 0 && this.#options.mayFailOver()) this.#options.onStall();
+      else this.#scheduleCheck();
     });
   }
 
   /** Time until the silence is too long, in milliseconds. */
-  #computeLeftMs(): number {
-    const { clock, route, predictedMs } = this.#options;
+  #computeTimeLeftMs(): number {
+    const { clock, route, predictedFirstByteMs: predictedMs } = this.#options;
     const nowMs = clock.nowMs();
     if (this.#stream) {
       const limitMs = Math.max(GAP_FACTOR * route.targetGapMs, MIN_SILENCE_MS);
-      return this.#stream.eventsAtMs + limitMs - nowMs;
+      return this.#stream.lastEventsAtMs + limitMs - nowMs;
     }
     const limitMs = Math.max(
       FIRST_BYTE_FACTOR * predictedMs,
--- a/src/application/direct/_warmup_guard.ts
+++ b/src/application/direct/_warmup_guard.ts
@@ -31,8 +31,8 @@
   readonly findWarmupBound: (serviceId: string) => WarmupBound | undefined;
 }
 
-interface SenderNote {
-  readonly hosts: readonly HostState[];
+interface CachedSenderRole {
+  readonly knownHosts: readonly HostState[];
   readonly isSender: boolean;
 }
 
@@ -44,7 +44,7 @@
   readonly #warmAtMs = new Map<string, number>();
 
   /** Whether this entry host may send to a cold server, by life. */
-  readonly #senders = new Map<string, SenderNote>();
+  readonly #senderRoles = new Map<string, CachedSenderRole>();
 
   /** @param options - what the guard needs */
   constructor(options: WarmupGuardOptions) {
@@ -71,7 +71,7 @@
   /** @param id - a life that is over */
   forget(id: string): void {
     this.#warmAtMs.delete(id);
-    this.#senders.delete(id);
+    this.#senderRoles.delete(id);
   }
 
   /** @param entry - a server. @returns whether it warms up now */
@@ -108,12 +108,12 @@
   #isSender(id: string, senders: number): boolean {
     const { hosts } = this.#options;
     if (!hosts.isSettled()) return false;
-    const known = hosts.listKnown();
-    const noted = this.#senders.get(id);
-    if (noted?.hosts === known) return noted.isSender;
-    const names = [hosts.selfId, ...known.map(({ identity }) => identity.id)];
-    const isSender = isWarmupSender(hosts.selfId, names, id, senders);
-    this.#senders.set(id, { hosts: known, isSender });
+    const knownHosts = hosts.listKnown();
+    const cachedRole = this.#senderRoles.get(id);
+    if (cachedRole?.knownHosts === knownHosts) return cachedRole.isSender;
+    const hostIds = [hosts.selfId, ...knownHosts.map(({ identity }) => identity.id)];
+    const isSender = isWarmupSender(hosts.selfId, hostIds, id, senders);
+    this.#senderRoles.set(id, { knownHosts: knownHosts, isSender });
     return isSender;
   }
 }
--- a/src/application/direct/account_spending.ts
+++ b/src/application/direct/account_spending.ts
@@ -27,12 +27,12 @@
   /** @param accounts - all accounts of the configuration that came into force */
   applyAccounts(accounts: readonly ClientAccount[]): void {
     const nowMs = this.#clock.nowMs();
-    const limited = new Set(accounts.filter(({ limit }) => limit).map(({ id }) => id));
+    const limitedIds = new Set(accounts.filter(({ limit }) => limit).map(({ id }) => id));
     [...this.#buckets.keys()]
-      .filter((id) => !limited.has(id))
+      .filter((id) => !limitedIds.has(id))
       .forEach((id) => this.#buckets.delete(id));
     accounts.forEach(({ id, limit }) => {
-      if (limit) this.#takeBucket(id, limit, nowMs).setLimit(buildBucketLimit(limit), nowMs);
+      if (limit) this.#getOrCreateBucket(id, limit, nowMs).setLimit(buildBucketLimit(limit), nowMs);
     });
   }
 
@@ -47,7 +47,7 @@
     if (!account.limit) return 0;
     const units = countUnits(account.limit, request);
     const nowMs = this.#clock.nowMs();
-    return this.#takeBucket(account.id, account.limit, nowMs).take(units, nowMs);
+    return this.#getOrCreateBucket(account.id, account.limit, nowMs).take(units, nowMs);
   }
 
   /** @param account - whose request. @param request - a request that never ran */
@@ -90,7 +90,7 @@
     this.#buckets.forEach((bucket) => bucket.setReach(reach, nowMs));
   }
 
-  #takeBucket(id: string, limit: AccountLimit, nowMs: number): SharedBucket {
+  #getOrCreateBucket(id: string, limit: AccountLimit, nowMs: number): SharedBucket {
     const found = this.#buckets.get(id);
     if (found) return found;
     const bucket = new SharedBucket({
--- a/src/application/direct/direct_call.ts
+++ b/src/application/direct/direct_call.ts
@@ -20,19 +20,19 @@
 import { PassKind } from '../crashes/mod.js';
 import type { Pass } from '../crashes/mod.js';
 import { buildBackendRequest } from './_backend_request.js';
-import { findObstacle } from './_call_obstacle.js';
+import { findUnservableReason } from './_call_obstacle.js';
 import { CallRecorder, buildAnswerFields } from './_call_recorder.js';
-import { CallTries } from './_call_tries.js';
+import { AttemptBudget } from './_call_tries.js';
 import { DirectAttempt } from './_direct_attempt.js';
-import type { AttemptEnd } from './_direct_attempt.js';
-import { DoubtWait } from './_doubt_wait.js';
-import { hasRun, RunEvidence } from './_run_evidence.js';
+import type { AttemptResult } from './_direct_attempt.js';
+import { SuspectWait } from './_doubt_wait.js';
+import { mayAttemptHaveRun, CrashEvidence } from './_run_evidence.js';
 import type { StreamRelay } from './_answer_relay.js';
 import type { DirectCallOptions } from './direct_call_options.js';
-import type { LineCall } from './service_line.js';
+import type { QueuedCall } from './service_line.js';
 
 /** Waits, is sent, sent again where that is allowed, and answered once. */
-export class DirectCall implements LineCall {
+export class DirectCall implements QueuedCall {
   readonly work: RequestWork;
 
   readonly expectedTokens: number;
@@ -50,7 +50,7 @@
   readonly #options: DirectCallOptions;
 
   /** When the caller or the route's timeout ends the wait. */
-  readonly endsAtMs: number;
+  readonly deadlineAtMs: number;
 
   startByMs: number;
 
@@ -58,17 +58,17 @@
 
   #stream: StreamRelay | undefined;
 
-  readonly #tries: CallTries;
+  readonly #attemptBudget: AttemptBudget;
 
   #hasEnded = false;
 
-  #wait: DoubtWait | undefined;
+  #suspectWait: SuspectWait | undefined;
 
   readonly #timer: Timer;
 
   readonly #recorder: CallRecorder;
 
-  readonly #evidence: RunEvidence;
+  readonly #crashEvidence: CrashEvidence;
 
   /** @param options - the call */
   constructor(options: DirectCallOptions) {
@@ -80,21 +80,21 @@
     this.regions = intersectRegions(route.regions, options.account?.regions);
     this.isLate = options.isReturning;
     this.arrivedAtMs = services.clock.nowMs();
-    const longestMs = Math.min(request.deadlineMs ?? Infinity, route.timeoutMs);
-    this.endsAtMs = this.arrivedAtMs + longestMs;
-    this.#tries = new CallTries(this, route, services.clock);
+    const timeoutMs = Math.min(request.deadlineMs ?? Infinity, route.timeoutMs);
+    this.deadlineAtMs = this.arrivedAtMs + timeoutMs;
+    this.#attemptBudget = new AttemptBudget(this, route, services.clock);
     this.startByMs =
       this.arrivedAtMs +
-      computeWaitMs({ isLate: this.isLate, timeLeftMs: longestMs, targetMs: route.targetMs });
+      computeWaitMs({ isLate: this.isLate, timeLeftMs: timeoutMs, targetMs: route.targetMs });
     this.#recorder = new CallRecorder({ ...options, arrivedAtMs: this.arrivedAtMs });
-    this.#evidence = new RunEvidence(services, options.contentId);
-    this.#timer = services.clock.setTimer(longestMs, () => this.#handleTimeout());
-    reply.onGone(() => this.#handleGone());
+    this.#crashEvidence = new CrashEvidence(services, options.contentId);
+    this.#timer = services.clock.setTimer(timeoutMs, () => this.#handleTimeout());
+    reply.onGone(() => this.#handleDisconnect());
   }
 
   /** Whether any backend server may have run it. */
   get mayHaveRun(): boolean {
-    return this.#tries.mayHaveRun;
+    return this.#attemptBudget.mayHaveRun;
   }
 
   /** Client account, where there is one. */
@@ -109,36 +109,43 @@
 
   /** It is sent, waits, or is refused. */
   start(): void {
-    if (this.#findObstacle()) this.giveUp(0);
-    else this.#options.line.submit(this);
+    if (this.#findUnservableReason()) this.shed(0);
+    else this.#options.queue.submit(this);
   }
 
-  #findObstacle(): ErrorKind | undefined {
-    return findObstacle(this.#options.services.servers, this.#options.serviceId, this.regions);
+  #findUnservableReason(): ErrorKind | undefined {
+    return findUnservableReason(
+      this.#options.services.servers,
+      this.#options.serviceId,
+      this.regions,
+    );
   }
 
-  grant({ id, load }: Candidate): void {
+  dispatch({ id, load }: Candidate): void {
     const { services, route, request, account } = this.#options;
-    const refusal = this.#options.checkDispatch();
+    const refusal = this.#options.findDispatchRefusal();
     if (refusal) {
       this.fail(refusal);
       return;
     }
     const server = services.servers.find(id);
     if (!server) {
-      this.giveUp(0);
+      this.shed(0);
       return;
     }
-    const pass = services.crashes.takePass(this.#options.contentId, this.#tries.hasTimeForTrial);
+    const pass = services.crashes.takePass(
+      this.#options.contentId,
+      this.#attemptBudget.hasTimeForTrial,
+    );
     if (pass.kind === PassKind.Wait) {
       this.#waitForPass();
       return;
     }
-    this.#tries.noteSent();
-    if (this.#tries.count === 1) services.noteAttempt(server.serviceId);
-    this.#recorder.noteDispatch(id, {
+    this.#attemptBudget.noteSent();
+    if (this.#attemptBudget.attemptCount === 1) services.noteFirstAttempt(server.serviceId);
+    this.#recorder.recordDispatch(id, {
       inFlight: load.inFlight,
-      attempt: this.#tries.count,
+      attempt: this.#attemptBudget.attemptCount,
       isReturning: this.isLate,
       promptTokens: this.work.promptTokens,
       expectedTokens: Math.round(this.expectedTokens),
@@ -152,76 +159,79 @@
       stream: this.#stream,
       tokensPerEvent: this.#options.tokensPerEvent,
       // What a trial shows is worth more than a server that may be faster.
-      mayMove: () => pass.kind !== PassKind.Trial && this.#tries.mayRunAgain(),
+      mayFailOver: () => pass.kind !== PassKind.Trial && this.#attemptBudget.mayRunAgain(),
       request: buildBackendRequest(
-        { request, account, leftMs: this.#tries.leftMs, stream: this.#stream },
+        { request, account, timeLeftMs: this.#attemptBudget.timeLeftMs, stream: this.#stream },
         server,
       ),
-      onEnd: (end) => this.#handleAttemptEnd(id, end, pass),
+      onEnd: (end) => this.#handleAttemptResult(id, end, pass),
     });
     this.#attempt.start();
   }
 
   /** Waits while another request of its content shows whether that ends servers. */
   #waitForPass(): void {
-    this.#wait = new DoubtWait(this.#options, this.endsAtMs, {
-      onResume: () => this.#submitAgain(),
+    this.#suspectWait = new SuspectWait(this.#options, this.deadlineAtMs, {
+      onResume: () => this.#resubmit(),
       onExpired: (error) => this.fail(error, { reason: 'its content is in doubt' }),
     });
   }
 
-  #submitAgain(): void {
-    const { line, services } = this.#options;
-    this.startByMs = services.clock.nowMs() + computeMoveWaitMs(this.#tries.leftMs);
+  #resubmit(): void {
+    const { queue: line, services } = this.#options;
+    this.startByMs = services.clock.nowMs() + computeMoveWaitMs(this.#attemptBudget.timeLeftMs);
     line.submit(this);
   }
 
-  giveUp(clearMs: number): void {
+  shed(predictedWaitMs: number): void {
     const { services, route } = this.#options;
     const nowMs = services.clock.nowMs();
-    const aimEndsAtMs = this.isLate ? nowMs : this.arrivedAtMs + route.targetMs * AIM_WAIT_PART;
+    const targetEndsAtMs = this.isLate ? nowMs : this.arrivedAtMs + route.targetMs * AIM_WAIT_PART;
     const retryAfterMs = computeReturnMs({
-      clearMs,
-      timeLeftMs: this.#tries.leftMs,
-      aimLeftMs: aimEndsAtMs - nowMs,
+      clearMs: predictedWaitMs,
+      timeLeftMs: this.#attemptBudget.timeLeftMs,
+      aimLeftMs: targetEndsAtMs - nowMs,
       fraction: services.random.nextFraction(),
     });
-    const kind = this.#findObstacle() ?? ErrorKind.QueueFull;
-    this.fail(new SchedulerError(kind, { retryAfterMs }), { clearMs });
+    const kind = this.#findUnservableReason() ?? ErrorKind.QueueFull;
+    this.fail(new SchedulerError(kind, { retryAfterMs }), { clearMs: predictedWaitMs });
   }
 
   /**
    * Ends it with an error.
    *
    * @param error - the answer, if nothing was answered yet
-   * @param inputs - what decided, for the log
+   * @param decisionFields - what decided, for the log
    */
-  fail(error: SchedulerError, inputs: Readonly<Record<string, number | string>> = {}): void {
+  fail(
+    error: SchedulerError,
+    decisionFields: Readonly<Record<string, number | string>> = {},
+  ): void {
     if (this.#hasEnded) return;
-    const honest =
+    const reportedError =
       this.mayHaveRun && error.status === 503
         ? new SchedulerError(ErrorKind.BackendServerLost)
         : error;
     const { hasBegun } = this.#options.reply;
     if (hasBegun) this.#options.reply.abort();
-    else this.#options.reply.refuse(honest);
+    else this.#options.reply.refuse(reportedError);
     this.#end(hasBegun ? 'call_broken_off' : 'call_refused', {
-      kind: honest.kind,
-      run: honest.run,
-      retryAfterMs: honest.retryAfterMs,
-      ...inputs,
+      kind: reportedError.kind,
+      run: reportedError.run,
+      retryAfterMs: reportedError.retryAfterMs,
+      ...decisionFields,
     });
   }
 
   /** @param lifeId - a life of a backend server that has ended */
-  noteServerEnded(lifeId: string): void {
-    if (this.#attempt?.lifeId === lifeId) this.#attempt.abandonEnded();
+  handleServerEnded(lifeId: string): void {
+    if (this.#attempt?.incarnationId === lifeId) this.#attempt.abandonEndedServer();
   }
 
-  /** @param contentId - a content that is sent to no server any more */
-  noteHeld(contentId: string): void {
-    if (contentId !== this.#options.contentId || this.#attempt) return;
-    const refusal = this.#options.checkDispatch();
+  /** @param quarantinedId - a content that is sent to no server any more */
+  handleQuarantine(quarantinedId: string): void {
+    if (quarantinedId !== this.#options.contentId || this.#attempt) return;
+    const refusal = this.#options.findDispatchRefusal();
     if (refusal) this.fail(refusal);
   }
 
@@ -231,44 +241,47 @@
     this.fail(new SchedulerError(ErrorKind.EntryHostStopping));
   }
 
-  #handleAttemptEnd(serverId: string, end: AttemptEnd, pass: Pass): void {
-    if (!hasRun(end)) pass.handBack();
+  #handleAttemptResult(serverId: string, end: AttemptResult, pass: Pass): void {
+    if (!mayAttemptHaveRun(end)) pass.handBack();
     this.#attempt = undefined;
     this.excluded.add(serverId);
-    this.#evidence.note(serverId, end);
+    this.#crashEvidence.recordAttempt(serverId, end);
     if (end.failure === undefined) {
-      if (end.outputTokens > 0 && this.#tries.count === 1)
+      if (end.outputTokens > 0 && this.#attemptBudget.attemptCount === 1)
         this.#options.forecast.learn(this.work, end.outputTokens);
       this.#end('call_answered', buildAnswerFields(serverId, end));
     } else {
-      this.#recorder.noteFailure(serverId, this.#tries.count, end);
+      this.#recorder.recordAttemptFailure(serverId, this.#attemptBudget.attemptCount, end);
       this.#stream = end.stream?.hasBegun ? end.stream : undefined;
       this.#handleFailure(serverId, end);
     }
-    this.#options.line.noteFreed(serverId, end.totalMs);
+    this.#options.queue.handleSlotFreed(serverId, end.totalMs);
   }
 
-  #handleFailure(serverId: string, { failure, fallback }: AttemptEnd): void {
+  #handleFailure(serverId: string, { failure, sendFallback: sendFallback }: AttemptResult): void {
     const { services, serviceId } = this.#options;
-    const mayHaveRun = hasRun({ failure });
-    if (!mayHaveRun) this.#tries.noteNotRun();
+    const mayHaveRun = mayAttemptHaveRun({ failure });
+    if (!mayHaveRun) this.#attemptBudget.noteNotRun();
     if (failure === BackendFailure.Misdirected) services.servers.noteEnded(serverId);
-    const isAllowed = mayHaveRun ? this.#tries.mayRunAgain() : this.#tries.maySendAgain();
-    const canGoOn = !this.#options.reply.hasBegun || this.#stream?.lastEventId !== undefined;
+    const isAllowed = mayHaveRun
+      ? this.#attemptBudget.mayRunAgain()
+      : this.#attemptBudget.maySendAgain();
+    const canContinueAnswer =
+      !this.#options.reply.hasBegun || this.#stream?.lastEventId !== undefined;
     // A request that was never written costs the service nothing; all others count as retries.
-    const isFree = failure === BackendFailure.NotSent;
-    if (isAllowed && canGoOn && (isFree || services.takeRetry(serviceId))) {
-      this.#submitAgain();
-    } else if (fallback && !this.#options.reply.hasBegun) {
-      fallback();
+    const isUncountedRetry = failure === BackendFailure.NotSent;
+    if (isAllowed && canContinueAnswer && (isUncountedRetry || services.takeRetry(serviceId))) {
+      this.#resubmit();
+    } else if (sendFallback && !this.#options.reply.hasBegun) {
+      sendFallback();
       this.#end('call_answered', { backendServer: serverId, failure });
     } else if (mayHaveRun) this.fail(new SchedulerError(ErrorKind.BackendServerLost));
-    else this.giveUp(0);
+    else this.shed(0);
   }
 
   #cancelAttempt(): void {
     // What has not left can't arrive any more: its connection is closed before it is open.
-    if (this.#attempt?.mayHaveLeft === false) this.#tries.noteNotRun();
+    if (this.#attempt?.mayHaveBeenSent === false) this.#attemptBudget.noteNotRun();
     this.#attempt?.cancel(ServerOutcome.Cancelled);
   }
 
@@ -278,7 +291,7 @@
     this.fail(new SchedulerError(kind));
   }
 
-  #handleGone(): void {
+  #handleDisconnect(): void {
     if (this.#hasEnded) return;
     this.#cancelAttempt();
     this.#end('caller_gone', { wasSent: this.#attempt !== undefined });
@@ -288,9 +301,9 @@
     if (this.#hasEnded) return;
     this.#hasEnded = true;
     this.#timer.cancel();
-    this.#wait?.end();
-    this.#options.line.remove(this);
-    this.#recorder.noteEnd(event, fields);
+    this.#suspectWait?.cancel();
+    this.#options.queue.remove(this);
+    this.#recorder.recordEnd(event, fields);
     this.#options.onEnd();
   }
 }
--- a/src/application/direct/direct_call_options.ts
+++ b/src/application/direct/direct_call_options.ts
@@ -8,7 +8,7 @@
 import type { ClientAccount, Route } from '../../domain/routing/mod.js';
 import type { DirectReply, DirectRequest } from '../../ports/mod.js';
 import type { DirectServices } from './direct_services.js';
-import type { ServiceLine } from './service_line.js';
+import type { ServiceQueue } from './service_line.js';
 
 /** What a call is made of. */
 export interface DirectCallOptions {
@@ -22,13 +22,13 @@
   readonly rank: number;
   /** Whether the caller was refused before. */
   readonly isReturning: boolean;
-  readonly line: ServiceLine;
+  readonly queue: ServiceQueue;
   readonly forecast: OutputForecast;
   /** Output tokens in one event of a stream. */
   readonly tokensPerEvent: number;
   readonly services: DirectServices;
   /** Checks right before the request leaves whether it still may. */
-  readonly checkDispatch: () => SchedulerError | undefined;
+  readonly findDispatchRefusal: () => SchedulerError | undefined;
   /** Called once, at the end. */
   readonly onEnd: () => void;
 }
--- a/src/application/direct/direct_gateway.ts
+++ b/src/application/direct/direct_gateway.ts
@@ -17,15 +17,15 @@
   PeerNetwork,
   RandomSource,
 } from '../../ports/mod.js';
-import { buildElsewhere, CallChecks } from './_call_checks.js';
+import { buildRetryElsewhereError, CallChecks } from './_call_checks.js';
 import type { CallChecksOptions } from './_call_checks.js';
 import type { AccountSpending } from './account_spending.js';
-import { FreedSlots } from './freed_slots.js';
+import { FreedSlotForwarder } from './freed_slots.js';
 import { DirectCall } from './direct_call.js';
 import type { DirectServices } from './direct_services.js';
 import { KeptByKey } from './_kept_by_key.js';
 import type { ServerKeeper } from './server_keeper.js';
-import { ServiceLine } from './service_line.js';
+import { ServiceQueue } from './service_line.js';
 import { WaitingNotices } from './waiting_notices.js';
 
 /** What the gateway needs. */
@@ -52,14 +52,14 @@
   readonly #checks: CallChecks;
 
   /** By service. */
-  readonly #lines = new KeptByKey((serviceId) => this.#createLine(serviceId));
+  readonly #queues = new KeptByKey((serviceId) => this.#createQueue(serviceId));
 
-  readonly #freedSlots: FreedSlots;
+  readonly #freedSlotForwarder: FreedSlotForwarder;
 
-  readonly #notices: WaitingNotices;
+  readonly #waitingNotices: WaitingNotices;
 
   /** By service. */
-  readonly #retries = new KeptByKey(() => new RetryShare(this.#options.retryBounds));
+  readonly #retryShares = new KeptByKey(() => new RetryShare(this.#options.retryBounds));
 
   readonly #calls = new Set<DirectCall>();
 
@@ -67,9 +67,9 @@
   readonly #forecasts = new KeptByKey(() => new OutputForecast());
 
   /** By route. */
-  readonly #returning = new KeptByKey(() => new ReturningCallers());
+  readonly #returningCallers = new KeptByKey(() => new ReturningCallers());
 
-  #isRefusing = false;
+  #isRefusingNew = false;
 
   /** @param options - what the gateway needs */
   constructor(options: DirectGatewayOptions) {
@@ -77,21 +77,24 @@
     this.#checks = new CallChecks(options);
     this.#services = {
       ...options,
-      noteAttempt: (serviceId) => this.#retries.take(serviceId).noteAttempt(options.clock.nowMs()),
+      noteFirstAttempt: (serviceId) =>
+        this.#retryShares.take(serviceId).noteAttempt(options.clock.nowMs()),
       takeRetry: (serviceId) =>
-        this.#retries.take(serviceId).takeRetry(options.clock.nowMs(), options.countEntryHosts()),
+        this.#retryShares
+          .take(serviceId)
+          .takeRetry(options.clock.nowMs(), options.countEntryHosts()),
     };
-    this.#freedSlots = new FreedSlots({
+    this.#freedSlotForwarder = new FreedSlotForwarder({
       ...options,
-      getUrgency: (serviceId) => this.#lines.find(serviceId)?.firstUrgency ?? Infinity,
-      advance: (serviceId) => this.#lines.find(serviceId)?.advance(),
+      getFirstUrgency: (serviceId) => this.#queues.find(serviceId)?.firstUrgency ?? Infinity,
+      dispatchWaiting: (serviceId) => this.#queues.find(serviceId)?.dispatchWaiting(),
     });
-    this.#notices = new WaitingNotices(options);
+    this.#waitingNotices = new WaitingNotices(options);
     options.servers.onRestart((endedId) => {
-      [...this.#calls].forEach((call) => call.noteServerEnded(endedId));
+      [...this.#calls].forEach((call) => call.handleServerEnded(endedId));
     });
     options.crashes.onHeld((contentId) => {
-      [...this.#calls].forEach((call) => call.noteHeld(contentId));
+      [...this.#calls].forEach((call) => call.handleQuarantine(contentId));
     });
   }
 
@@ -102,22 +105,22 @@
 
   /** Calls that wait for a slot. */
   get waitingCount(): number {
-    return this.#lines.list().reduce((sum, [, { size }]) => sum + size, 0);
+    return this.#queues.list().reduce((sum, [, { size }]) => sum + size, 0);
   }
 
   /** @returns calls that wait for a slot, by service */
   countWaiting(): Record<string, number> {
-    return Object.fromEntries(this.#listWaiting().map(([id, { size }]) => [id, size]));
+    return Object.fromEntries(this.#listNonEmptyQueues().map(([id, { size }]) => [id, size]));
   }
 
   /** @returns urgency of the first call that waits, by service */
   listFirstWaiting(): Record<string, number> {
-    const waiting = this.#listWaiting();
-    return Object.fromEntries(waiting.map(([id, { firstUrgency }]) => [id, firstUrgency]));
+    const queues = this.#listNonEmptyQueues();
+    return Object.fromEntries(queues.map(([id, { firstUrgency }]) => [id, firstUrgency]));
   }
 
-  #listWaiting(): readonly (readonly [string, ServiceLine])[] {
-    return this.#lines.list().filter(([, { size }]) => size > 0);
+  #listNonEmptyQueues(): readonly (readonly [string, ServiceQueue])[] {
+    return this.#queues.list().filter(([, { size }]) => size > 0);
   }
 
   /** Whether callers may be sent to this entry host. */
@@ -128,7 +131,7 @@
 
   /** Refuses new calls from now on, as another entry host can serve them. */
   refuseNew(): void {
-    this.#isRefusing = true;
+    this.#isRefusingNew = true;
   }
 
   /** Ends every call that is still under way, as honestly as can be. */
@@ -138,7 +141,7 @@
 
   /** Gives slots that have become free elsewhere to waiting calls. */
   advance(): void {
-    this.#lines.list().forEach(([, line]) => line.advance());
+    this.#queues.list().forEach(([, line]) => line.dispatchWaiting());
   }
 
   /**
@@ -149,7 +152,7 @@
    */
   handle(request: DirectRequest, reply: DirectReply): void {
     try {
-      this.#start(request, reply);
+      this.#startCall(request, reply);
     } catch (error) {
       const refusal =
         error instanceof SchedulerError
@@ -160,16 +163,17 @@
     }
   }
 
-  #start(request: DirectRequest, reply: DirectReply): void {
+  #startCall(request: DirectRequest, reply: DirectReply): void {
     const { random, spending } = this.#options;
-    if (this.#isRefusing) throw buildElsewhere(ErrorKind.EntryHostStopping);
+    if (this.#isRefusingNew) throw buildRetryElsewhereError(ErrorKind.EntryHostStopping);
     const checked = this.#checks.check(request);
     const { table, route, account, contentId } = checked;
     const serviceId = pickService(route, random.nextFraction());
     if (serviceId === undefined) throw new SchedulerError(ErrorKind.NoBackendServer);
     if (account) {
-      const waitMs = spending.take(account, request);
-      if (waitMs > 0) throw new SchedulerError(ErrorKind.TokensLimited, { retryAfterMs: waitMs });
+      const retryAfterMs = spending.take(account, request);
+      if (retryAfterMs > 0)
+        throw new SchedulerError(ErrorKind.TokensLimited, { retryAfterMs: retryAfterMs });
     }
     const call: DirectCall = new DirectCall({
       request,
@@ -179,32 +183,32 @@
       serviceId,
       account,
       rank: computeRank(route, account),
-      isReturning: this.#returning.take(route.name).isReturning(request.deadlineMs),
-      line: this.#lines.take(serviceId),
+      isReturning: this.#returningCallers.take(route.name).isReturning(request.deadlineMs),
+      queue: this.#queues.take(serviceId),
       forecast: this.#forecasts.take(route.name),
       tokensPerEvent: table.findService(serviceId)?.tokensPerEvent ?? 1,
       services: this.#services,
-      checkDispatch: () => this.#checks.findRefusal(checked, request),
-      onEnd: () => this.#handleEnd(call),
+      findDispatchRefusal: () => this.#checks.findDispatchRefusal(checked, request),
+      onEnd: () => this.#handleCallEnd(call),
     });
     this.#calls.add(call);
     call.start();
   }
 
-  #createLine(serviceId: string): ServiceLine {
+  #createQueue(serviceId: string): ServiceQueue {
     const { clock, random, servers } = this.#options;
-    const line: ServiceLine = new ServiceLine({
+    const queue: ServiceQueue = new ServiceQueue({
       clock,
       random,
       listCandidates: () => servers.listCandidates(serviceId),
-      noteWaiting: () => this.#notices.note(serviceId, line),
-      passFreed: (serverId) => this.#freedSlots.pass(serverId),
-      countWaitingElsewhere: () => servers.countWaitingAt(serviceId),
+      onWaiting: () => this.#waitingNotices.notifyPeers(serviceId, queue),
+      forwardFreedSlot: (serverId) => this.#freedSlotForwarder.forward(serverId),
+      countWaitingAtPeers: () => servers.countWaitingAt(serviceId),
     });
-    return line;
+    return queue;
   }
 
-  #handleEnd(call: DirectCall): void {
+  #handleCallEnd(call: DirectCall): void {
     this.#calls.delete(call);
     if (call.account && !call.mayHaveRun) {
       this.#options.spending.release(call.account, call.request);
--- a/src/application/direct/direct_services.ts
+++ b/src/application/direct/direct_services.ts
@@ -25,7 +25,7 @@
   readonly servers: ServerKeeper;
   readonly crashes: CrashKeeper;
   /** @param serviceId - a service that a request is sent to for the first time */
-  readonly noteAttempt: (serviceId: string) => void;
+  readonly noteFirstAttempt: (serviceId: string) => void;
   /** @param serviceId - a service. @returns whether a retry may be sent to it */
   readonly takeRetry: (serviceId: string) => boolean;
 }
--- a/src/application/direct/direct_stop.ts
+++ b/src/application/direct/direct_stop.ts
@@ -10,16 +10,16 @@
  * Time for which calls are still taken after the stop has begun, in milliseconds:
  * callers keep addresses for some seconds and may not know yet.
  */
-const ACCEPT_MS = 3_000;
+const ACCEPT_PERIOD_MS = 3_000;
 
 /** Part of the time limit after which calls that are still under way are ended. */
-const END_PART = 0.86;
+const END_CALLS_FRACTION = 0.86;
 
 /** Time between two looks at whether everything is done, in milliseconds. */
-const LOOK_INTERVAL_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
 /** Quiet time after the last call for which refusals are still given, in milliseconds. */
-const LINGER_MS = 1_500;
+const REFUSAL_PERIOD_MS = 1_500;
 
 /** What a planned stop works with. */
 export interface DirectStopOptions {
@@ -47,17 +47,20 @@
   const startedAtMs = clock.nowMs();
   log.write(LogLevel.Info, 'stop_begun', { calls: options.countCalls(), limitMs });
   options.announce();
-  await wait(clock, Math.min(ACCEPT_MS, limitMs / 2));
+  await wait(clock, Math.min(ACCEPT_PERIOD_MS, limitMs / 2));
   options.refuseNew();
-  const endAtMs = startedAtMs + limitMs * END_PART;
-  const lingerUntilMs = clock.nowMs() + LINGER_MS;
-  while (clock.nowMs() < endAtMs && (options.countCalls() > 0 || clock.nowMs() < lingerUntilMs)) {
-    await wait(clock, LOOK_INTERVAL_MS);
+  const endCallsAtMs = startedAtMs + limitMs * END_CALLS_FRACTION;
+  const refuseUntilMs = clock.nowMs() + REFUSAL_PERIOD_MS;
+  while (
+    clock.nowMs() < endCallsAtMs &&
+    (options.countCalls() > 0 || clock.nowMs() < refuseUntilMs)
+  ) {
+    await wait(clock, POLL_INTERVAL_MS);
   }
   const cutCalls = options.countCalls();
   options.endAll();
   options.closeIdle();
-  await wait(clock, LOOK_INTERVAL_MS);
+  await wait(clock, POLL_INTERVAL_MS);
   log.write(LogLevel.Info, 'stop_ended', { cutCalls, tookMs: clock.nowMs() - startedAtMs });
 }
 
--- a/src/application/direct/direct_stop_test.ts
+++ b/src/application/direct/direct_stop_test.ts
@@ -7,7 +7,7 @@
 const LIMIT_MS = 8_000;
 
 /** Plays a stop while calls are under way that end at the given times. */
-async function playStop(endsAtMs: readonly number[]): Promise<{
+async function simulateStop(endsAtMs: readonly number[]): Promise<{
   readonly steps: string[];
   readonly tookMs: number;
 }> {
@@ -15,17 +15,17 @@
   const startMs = clock.nowMs();
   const steps: string[] = [];
   let tookMs = Infinity;
-  const note = (step: string) => (): void => {
+  const recordStep = (step: string) => (): void => {
     steps.push(`${step} ${clock.nowMs() - startMs}`);
   };
   const stopped = runDirectStop({
     clock,
     log: new FakeLog(),
     limitMs: LIMIT_MS,
-    announce: note('announce'),
-    refuseNew: note('refuse'),
-    closeIdle: note('close'),
-    endAll: note('end'),
+    announce: recordStep('announce'),
+    refuseNew: recordStep('refuse'),
+    closeIdle: recordStep('close'),
+    endAll: recordStep('end'),
     countCalls: () => endsAtMs.filter((endMs) => clock.nowMs() - startMs < endMs).length,
   }).then(() => {
     tookMs = clock.nowMs() - startMs;
@@ -36,15 +36,15 @@
 }
 
 t.test('runDirectStop() unlists at once, and takes calls for three seconds more', async (t) => {
-  const { steps } = await playStop([]);
+  const { steps } = await simulateStop([]);
   t.same(steps.slice(0, 2), ['announce 0', 'refuse 3000']);
 });
 
 t.test('runDirectStop() waits for what is under way, up to its limit', async (t) => {
-  const { steps, tookMs } = await playStop([6_000]);
+  const { steps, tookMs } = await simulateStop([6_000]);
   t.match(steps.at(-1), /close 60\d\d/);
   t.ok(tookMs < 6_200);
-  const long = await playStop([60_000]);
+  const long = await simulateStop([60_000]);
   t.match(long.steps.at(-2), /end 69\d\d/);
   t.ok(long.tookMs < LIMIT_MS);
 });
@@ -56,7 +56,7 @@
       fc.asyncProperty(
         fc.array(fc.integer({ min: 0, max: 12_000 }), { maxLength: 8 }),
         async (ends) => {
-          const { steps, tookMs } = await playStop(ends);
+          const { steps, tookMs } = await simulateStop(ends);
           const endedAtMs = Number(/end (\d+)/.exec(steps.join())?.[1]);
           const isCut = ends.some((endMs) => endMs <= (LIMIT_MS * 5) / 6 && endMs > endedAtMs);
           return !isCut && tookMs < LIMIT_MS;
--- a/src/application/direct/freed_slots.ts
+++ b/src/application/direct/freed_slots.ts
@@ -11,15 +11,15 @@
 const MAX_HOPS = 3;
 
 /** What the handing on needs. */
-export interface FreedSlotsOptions {
+export interface FreedSlotForwarderOptions {
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly servers: ServerKeeper;
   readonly metrics: Metrics;
   /** @param serviceId - which service. @returns urgency of the first call that waits here; Infinity: none */
-  readonly getUrgency: (serviceId: string) => number;
+  readonly getFirstUrgency: (serviceId: string) => number;
   /** @param serviceId - service whose free slots are to be given to calls that wait here */
-  readonly advance: (serviceId: string) => void;
+  readonly dispatchWaiting: (serviceId: string) => void;
 }
 
 /**
@@ -33,11 +33,11 @@
  * each: answers in time rose from 547 to 604 of 1,107 calls of the highest rank and from 529
  * to 559 of 2,076 of the next one.
  */
-export class FreedSlots {
-  readonly #options: FreedSlotsOptions;
+export class FreedSlotForwarder {
+  readonly #options: FreedSlotForwarderOptions;
 
   /** @param options - what the handing on needs */
-  constructor(options: FreedSlotsOptions) {
+  constructor(options: FreedSlotForwarderOptions) {
     this.#options = options;
     options.peers.handle(PeerMessageType.FreedSlot, ({ incarnation }, message) =>
       this.#handle(incarnation, message),
@@ -45,35 +45,36 @@
   }
 
   /** @param serverId - life of a backend server whose slot an own request has given back */
-  pass(serverId: string): void {
-    this.#give(serverId, 0);
+  forward(serverId: string): void {
+    this.#forwardOrDispatch(serverId, 0);
   }
 
   #handle(from: string, { serverId, hops }: FreedSlotMessage): void {
-    this.#moveSlot(from, serverId, -1);
-    this.#give(serverId, hops, from);
+    this.#adjustPeerInFlight(from, serverId, -1);
+    this.#forwardOrDispatch(serverId, hops, from);
   }
 
-  #give(serverId: string, hops: number, from?: string): void {
-    const { clock, servers, getUrgency, advance } = this.#options;
+  #forwardOrDispatch(serverId: string, hops: number, from?: string): void {
+    const { clock, servers, getFirstUrgency: getUrgency, dispatchWaiting: advance } = this.#options;
     const serviceId = servers.find(serverId)?.serviceId;
     if (serviceId === undefined) return;
-    const first = hops < MAX_HOPS ? servers.peers.findFirstWaiting(serviceId, from) : undefined;
-    const mustPass = first !== undefined && first.urgency < getUrgency(serviceId);
-    if (mustPass && this.#isFree(serverId)) {
+    const mostUrgent =
+      hops < MAX_HOPS ? servers.peers.findFirstWaiting(serviceId, from) : undefined;
+    const mustForward = mostUrgent !== undefined && mostUrgent.urgency < getUrgency(serviceId);
+    if (mustForward && this.#hasFreeSlot(serverId)) {
       const message = { type: PeerMessageType.FreedSlot, serverId, hops: hops + 1 } as const;
-      this.#send(first.source, serviceId, message);
+      this.#send(mostUrgent.source, serviceId, message);
     } else if (from !== undefined) servers.findLoad(serverId)?.share.noteFreed(clock.nowMs());
     advance(serviceId);
   }
 
-  #isFree(serverId: string): boolean {
+  #hasFreeSlot(serverId: string): boolean {
     const { servers } = this.#options;
     return servers.isUsable(serverId) && (servers.findLoad(serverId)?.freeSlots ?? 0) > 0;
   }
 
   /** A peer has taken a slot, or given one back, and will only report that later. */
-  #moveSlot(source: string, serverId: string, change: number): void {
+  #adjustPeerInFlight(source: string, serverId: string, change: number): void {
     const { servers } = this.#options;
     servers.peers.adjust(source, serverId, change);
     servers.findLoad(serverId)?.addPeersInFlight(change);
@@ -83,7 +84,7 @@
     const { peers, servers, metrics } = this.#options;
     const { serverId, hops } = message;
     if (!peers.send(to, message)) return;
-    this.#moveSlot(to, serverId, 1);
+    this.#adjustPeerInFlight(to, serverId, 1);
     servers.findLoad(serverId)?.share.noteTaken();
     servers.peers.noteServed(to, serviceId);
     metrics.count('freed_slots_passed_total', { hops: String(hops) });
--- a/src/application/direct/freed_slots_test.ts
+++ b/src/application/direct/freed_slots_test.ts
@@ -10,7 +10,7 @@
 import { settle, VirtualClock } from '../../../test/support/virtual_clock.js';
 import { ServerOutcome } from '../../domain/backend_servers/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
-import { FreedSlots } from './freed_slots.js';
+import { FreedSlotForwarder } from './freed_slots.js';
 import type { ServerKeeper } from './server_keeper.js';
 
 const WORK = { promptTokens: 1, outputTokens: 1 };
@@ -18,13 +18,13 @@
 class SlotHost {
   readonly servers: ServerKeeper;
 
-  readonly slots: FreedSlots;
+  readonly slots: FreedSlotForwarder;
 
   readonly incarnation: string;
 
   urgency = Infinity;
 
-  advanced = 0;
+  dispatchCount = 0;
 
   constructor(
     hub: FakePeerHub,
@@ -43,14 +43,14 @@
     const value = Buffer.from(JSON.stringify(buildServer('s-1', { slots: 1 })));
     this.servers.applyAll([{ key: 'servers/s-1', value, revision: 1 }], CALM_CONTEXT);
     this.servers.listCandidates('engines');
-    this.slots = new FreedSlots({
+    this.slots = new FreedSlotForwarder({
       clock,
       metrics: new FakeMetrics(),
       peers,
       servers: this.servers,
-      getUrgency: () => this.urgency,
-      advance: () => {
-        this.advanced += 1;
+      getFirstUrgency: () => this.urgency,
+      dispatchWaiting: () => {
+        this.dispatchCount += 1;
       },
     });
   }
@@ -60,15 +60,15 @@
   }
 
   /** An own call takes the slot and gives it back. */
-  use(): void {
+  useSlot(): void {
     const load = this.servers.findLoad('s-1');
     load?.begin(WORK);
     load?.end(ServerOutcome.Answered, this.clock.nowMs());
-    this.slots.pass('s-1');
+    this.slots.forward('s-1');
   }
 
   /** Hears that calls wait at a peer. */
-  hearWaiting(peer: SlotHost, urgency: number, inFlight = 0): void {
+  receiveWaitingReport(peer: SlotHost, urgency: number, inFlight = 0): void {
     this.servers.applyPeer(peer.incarnation, {
       ...NO_FIGURES,
       inFlight: { 's-1': inFlight },
@@ -84,7 +84,7 @@
   return { hub, hosts: ['a', 'b', 'c'].map((id) => new SlotHost(hub, clock, id)) };
 }
 
-function countHandedOn(hub: FakePeerHub): number {
+function countForwarded(hub: FakePeerHub): number {
   return hub.delivered.filter(({ message }) => message.type === PeerMessageType.FreedSlot).length;
 }
 
@@ -96,45 +96,45 @@
   const { hosts } = startHosts();
   const [a, b] = hosts as [SlotHost, SlotHost];
   a.urgency = 3;
-  a.hearWaiting(b, 0);
-  b.hearWaiting(a, 3, 1);
+  a.receiveWaitingReport(b, 0);
+  b.receiveWaitingReport(a, 3, 1);
   t.equal(b.freeSlots, 0);
-  a.use();
+  a.useSlot();
   t.equal(a.freeSlots, 0, 'the slot counts as taken by the other host');
   await settle();
   t.equal(b.freeSlots, 1);
-  t.equal(b.advanced, 1);
+  t.equal(b.dispatchCount, 1);
 });
 
 t.test('a host keeps a slot for a call of its own that is as urgent', async (t) => {
   const { hub, hosts } = startHosts();
   const [a, b] = hosts as [SlotHost, SlotHost];
   a.urgency = 0;
-  a.hearWaiting(b, 0);
-  a.use();
+  a.receiveWaitingReport(b, 0);
+  a.useSlot();
   await settle();
-  t.equal(countHandedOn(hub), 0);
+  t.equal(countForwarded(hub), 0);
   t.equal(a.freeSlots, 1);
 });
 
 t.test('one waiting call is handed one slot until its host reports again', async (t) => {
   const { hub, hosts } = startHosts();
   const [a, b] = hosts as [SlotHost, SlotHost];
-  a.hearWaiting(b, 0);
-  a.use();
+  a.receiveWaitingReport(b, 0);
+  a.useSlot();
   a.servers.findLoad('s-1')?.setPeersInFlight(0);
-  a.use();
+  a.useSlot();
   await settle();
-  t.equal(countHandedOn(hub), 1);
+  t.equal(countForwarded(hub), 1);
 });
 
 t.test('a slot is handed on a bounded number of times', async (t) => {
   // Each host believes that another one has a more urgent call.
   const { hub, hosts } = startHosts();
   hosts.forEach((host) => {
-    hosts.filter((other) => other !== host).forEach((other) => host.hearWaiting(other, 0));
+    hosts.filter((other) => other !== host).forEach((other) => host.receiveWaitingReport(other, 0));
   });
-  (hosts[0] as SlotHost).use();
+  (hosts[0] as SlotHost).useSlot();
   await settle();
-  t.ok(countHandedOn(hub) <= 3, String(countHandedOn(hub)));
+  t.ok(countForwarded(hub) <= 3, String(countForwarded(hub)));
 });
--- a/src/application/direct/place_keeper.ts
+++ b/src/application/direct/place_keeper.ts
@@ -22,7 +22,7 @@
 export class PlaceKeeper {
   readonly #options: PlaceKeeperOptions;
 
-  readonly #zones = new ClosedZones();
+  readonly #closedZones = new ClosedZones();
 
   /** When zones were last seen to be opened again, on the monotonic clock. */
   readonly #openedAtMs = new Map<string, number>();
@@ -34,12 +34,12 @@
 
   /** Zones that are closed. */
   get closedCount(): number {
-    return this.#zones.size;
+    return this.#closedZones.size;
   }
 
   /** @param zone - an availability zone. @returns whether its backend servers get nothing */
   isClosed(zone: string): boolean {
-    return this.#zones.has(zone);
+    return this.#closedZones.has(zone);
   }
 
   /** @param zone - an availability zone. @returns when it was opened again, in milliseconds of the monotonic clock */
@@ -55,9 +55,9 @@
    */
   applyAll(items: readonly FeedItem[], context: FeedContext): void {
     const zones = items.flatMap(({ key }) => this.#readZone(key) ?? []);
-    const { closed, opened } = this.#zones.replace(new Set(zones));
-    closed.forEach((zone) => this.#noteClosed(zone, context));
-    opened.forEach((zone) => this.#noteOpened(zone, context));
+    const { closed, opened } = this.#closedZones.replace(new Set(zones));
+    closed.forEach((zone) => this.#logClosed(zone, context));
+    opened.forEach((zone) => this.#recordOpened(zone, context));
   }
 
   /**
@@ -71,8 +71,8 @@
       const zone = this.#readZone(key);
       if (zone === undefined) return;
       // The key alone closes a zone: what it holds may be unreadable.
-      if (value !== undefined && this.#zones.close(zone)) this.#noteClosed(zone, context);
-      if (value === undefined && this.#zones.open(zone)) this.#noteOpened(zone, context);
+      if (value !== undefined && this.#closedZones.close(zone)) this.#logClosed(zone, context);
+      if (value === undefined && this.#closedZones.open(zone)) this.#recordOpened(zone, context);
     });
   }
 
@@ -86,21 +86,21 @@
     return undefined;
   }
 
-  #noteClosed(zone: string, context: FeedContext): void {
-    this.#log('zone_closed', zone, context);
+  #logClosed(zone: string, context: FeedContext): void {
+    this.#logChange('zone_closed', zone, context);
   }
 
-  #noteOpened(zone: string, context: FeedContext): void {
+  #recordOpened(zone: string, context: FeedContext): void {
     this.#openedAtMs.set(zone, this.#options.clock.nowMs());
-    this.#log('zone_opened', zone, context);
+    this.#logChange('zone_opened', zone, context);
   }
 
-  #log(event: string, zone: string, { askedAt, ageMs, wasAway }: FeedContext): void {
+  #logChange(event: string, zone: string, { askedAt, ageMs, wasAway }: FeedContext): void {
     const { clock, log } = this.#options;
     const now = { steadyMs: clock.nowMs(), wallMs: clock.wallMs() };
     log.write(LogLevel.Info, event, {
       zone,
-      closedZones: this.#zones.size,
+      closedZones: this.#closedZones.size,
       ageMs: Math.round(ageMs + computeElapsedMs(askedAt, now)),
       storeWasAway: wasAway,
     });
--- a/src/application/direct/requests_in_doubt_test.ts
+++ b/src/application/direct/requests_in_doubt_test.ts
@@ -10,8 +10,8 @@
 import type { FakeReply } from '../../../test/support/direct_ends.js';
 import { ErrorKind } from '../../domain/errors/mod.js';
 
-const CONTACT_MS = 3_000;
-const MAX_LATER = 3;
+const PROPAGATION_MS = 3_000;
+const MAX_LATE_ARRIVALS = 3;
 
 async function startFleet(t: Test, options: Partial<CrashFleetOptions> = {}): Promise<CrashFleet> {
   const fleet = new CrashFleet(t, { hosts: 6, servers: 12, ...options });
@@ -19,12 +19,12 @@
   return fleet;
 }
 
-function countLater(fleet: CrashFleet, body: string): number {
-  return fleet.countArrivals(body, fleet.findEndMs(body, 3) + CONTACT_MS);
+function countLateArrivals(fleet: CrashFleet, body: string): number {
+  return fleet.countArrivals(body, fleet.findEndMs(body, 3) + PROPAGATION_MS);
 }
 
 /** Two contents whose calls always come together, one of which ends servers. */
-async function playTogether(fleet: CrashFleet, rounds: number): Promise<FakeReply[]> {
+async function callTogether(fleet: CrashFleet, rounds: number): Promise<FakeReply[]> {
   const replies: FakeReply[] = [];
   for (let round = 0; round < rounds; round += 1) {
     fleet.call(round, 'ends');
@@ -39,8 +39,8 @@
   for (const isRepeatable of [true, false]) {
     const route = { isRepeatable };
     const fleet = await startFleet(t, { servers: 1, runMs: 300, route });
-    const replies = await playTogether(fleet, 300);
-    t.ok(countLater(fleet, 'ends') <= MAX_LATER);
+    const replies = await callTogether(fleet, 300);
+    t.ok(countLateArrivals(fleet, 'ends') <= MAX_LATE_ARRIVALS);
     t.ok(replies.slice(-20, -5).every(({ hasEnded }) => hasEnded));
     t.notOk(replies.some(({ error }) => error?.kind === ErrorKind.RequestHeld));
   }
@@ -54,7 +54,7 @@
     await fleet.clock.advance(100);
   }
   t.ok(fleet.findEndMs('turns', 3) < Infinity);
-  t.ok(countLater(fleet, 'turns') <= MAX_LATER);
+  t.ok(countLateArrivals(fleet, 'turns') <= MAX_LATE_ARRIVALS);
   t.equal(fleet.call(0, 'turns').error?.kind, ErrorKind.RequestHeld);
 });
 
@@ -65,7 +65,7 @@
     for (let host = 0; host < 20; host += 1) fleet.call(host, 'ends');
     await fleet.clock.advance(1_000);
   }
-  t.ok(countLater(fleet, 'ends') <= MAX_LATER);
+  t.ok(countLateArrivals(fleet, 'ends') <= MAX_LATE_ARRIVALS);
 });
 
 t.test('an entry host that starts or comes back knows the trials of the others', async (t) => {
@@ -79,13 +79,13 @@
   }
   fleet.hub.healAll();
   fleet.addHost(t, 4);
-  await fleet.clock.advance(CONTACT_MS);
+  await fleet.clock.advance(PROPAGATION_MS);
   const before = fleet.countArrivals('ends');
   for (let round = 0; round < 40; round += 1) {
     fleet.call(2 + (round % 2), 'ends');
     await fleet.clock.advance(300);
   }
-  t.ok(fleet.countArrivals('ends') - before <= MAX_LATER);
+  t.ok(fleet.countArrivals('ends') - before <= MAX_LATE_ARRIVALS);
 });
 
 t.test('the only entry host that is asked tries soon, whoever is first in line', async (t) => {
--- a/src/application/direct/routing_keeper.ts
+++ b/src/application/direct/routing_keeper.ts
@@ -29,7 +29,7 @@
 export class RoutingKeeper {
   readonly #options: RoutingKeeperOptions;
 
-  readonly #age = new ConfirmedAge();
+  readonly #confirmedAge = new ConfirmedAge();
 
   readonly #changeHandlers: (() => void)[] = [];
 
@@ -53,7 +53,7 @@
   /** @returns how long ago it was surely the newest, in milliseconds */
   computeAgeMs(): number {
     const { clock } = this.#options;
-    return this.#age.computeAgeMs({ steadyMs: clock.nowMs(), wallMs: clock.wallMs() });
+    return this.#confirmedAge.computeAgeMs({ steadyMs: clock.nowMs(), wallMs: clock.wallMs() });
   }
 
   /**
@@ -67,17 +67,17 @@
     { askedAt, ageMs }: FeedContext,
   ): void {
     const { clock, key } = this.#options;
-    const isUsable = values
+    const areAllUsable = values
       .filter((item) => item.key === key && item.value !== undefined)
-      .map(({ value }) => this.#accept(value as Uint8Array))
+      .map(({ value }) => this.#applyConfiguration(value as Uint8Array))
       .every((accepted) => accepted);
     // A configuration that can't be read may take a key away: what is in force is
     // confirmed no more, and keyed calls are refused once it is too old.
-    if (!isUsable) return;
-    this.#age.confirm(askedAt, { steadyMs: clock.nowMs(), wallMs: clock.wallMs() }, ageMs);
+    if (!areAllUsable) return;
+    this.#confirmedAge.confirm(askedAt, { steadyMs: clock.nowMs(), wallMs: clock.wallMs() }, ageMs);
   }
 
-  #accept(value: Uint8Array): boolean {
+  #applyConfiguration(value: Uint8Array): boolean {
     const { log, metrics, decode } = this.#options;
     let document: RoutingDocument;
     try {
--- a/src/application/direct/server_ending_requests_test.ts
+++ b/src/application/direct/server_ending_requests_test.ts
@@ -14,12 +14,12 @@
 import type { DirectRequest } from '../../ports/mod.js';
 
 /** Time in which word of a third end reaches all entry hosts in touch, in milliseconds. */
-const CONTACT_MS = 3_000;
+const PROPAGATION_MS = 3_000;
 
 /** Most times that such a request may reach servers after that. */
-const MAX_LATER = 3;
+const MAX_LATE_ARRIVALS = 3;
 
-const ENDING = 'ends its server';
+const CRASHING = 'ends its server';
 
 t.test('a request under which three servers have ended is sent to no more', async (t) => {
   // Symptom: one request ended 26 servers within nine seconds, and calls beside it failed.
@@ -32,13 +32,13 @@
   const fleet = new CrashFleet(t, { hosts: 7, servers: 13, route: { isRepeatable: true } });
   await fleet.start();
   for (let round = 0; round < 60; round += 1) {
-    fleet.call(round, ENDING);
+    fleet.call(round, CRASHING);
     fleet.call(round + 3, `sound ${round}`);
     await fleet.clock.advance(200);
   }
-  const thirdEndMs = fleet.findEndMs(ENDING, 3);
+  const thirdEndMs = fleet.findEndMs(CRASHING, 3);
   t.ok(thirdEndMs < Infinity);
-  t.ok(fleet.countArrivals(ENDING, thirdEndMs + CONTACT_MS) <= MAX_LATER);
+  t.ok(fleet.countArrivals(CRASHING, thirdEndMs + PROPAGATION_MS) <= MAX_LATE_ARRIVALS);
 });
 
 t.test('a request that servers answer with an error at times is held all the same', async (t) => {
@@ -48,13 +48,16 @@
     const fleet = new CrashFleet(t, { hosts: 6, servers: 14, errorShare: 1 / 3, seed, route });
     await fleet.start();
     for (let round = 0; round < 100; round += 1) {
-      fleet.call(round, ENDING);
+      fleet.call(round, CRASHING);
       fleet.call(round + 3, `sound ${round}`);
       await fleet.clock.advance(150);
     }
-    const thirdEndMs = fleet.findEndMs(ENDING, 3);
+    const thirdEndMs = fleet.findEndMs(CRASHING, 3);
     t.ok(thirdEndMs < Infinity);
-    t.ok(fleet.countArrivals(ENDING, thirdEndMs + CONTACT_MS) <= MAX_LATER, `seed ${seed}`);
+    t.ok(
+      fleet.countArrivals(CRASHING, thirdEndMs + PROPAGATION_MS) <= MAX_LATE_ARRIVALS,
+      `seed ${seed}`,
+    );
   }
 });
 
@@ -64,11 +67,14 @@
     const fleet = new CrashFleet(t, { hosts: 6, servers: 14, unframedShare: 1 / 3, seed });
     await fleet.start();
     for (let round = 0; round < 100; round += 1) {
-      fleet.call(round, ENDING);
+      fleet.call(round, CRASHING);
       await fleet.clock.advance(150);
     }
-    const thirdEndMs = fleet.findEndMs(ENDING, 3);
-    t.ok(fleet.countArrivals(ENDING, thirdEndMs + CONTACT_MS) <= MAX_LATER, `seed ${seed}`);
+    const thirdEndMs = fleet.findEndMs(CRASHING, 3);
+    t.ok(
+      fleet.countArrivals(CRASHING, thirdEndMs + PROPAGATION_MS) <= MAX_LATE_ARRIVALS,
+      `seed ${seed}`,
+    );
   }
 });
 
@@ -93,12 +99,12 @@
       const fleet = new CrashFleet(t, { hosts: 4, servers: 12, route });
       await fleet.start();
       for (let round = 0; round < 30; round += 1) {
-        fleet.call(round, ENDING, call);
+        fleet.call(round, CRASHING, call);
         await fleet.clock.advance(300);
       }
-      const thirdEndMs = fleet.findEndMs(ENDING, 3);
-      t.ok(fleet.countArrivals(ENDING, thirdEndMs + CONTACT_MS) <= MAX_LATER, name);
-      const reply = fleet.call(0, ENDING, call);
+      const thirdEndMs = fleet.findEndMs(CRASHING, 3);
+      t.ok(fleet.countArrivals(CRASHING, thirdEndMs + PROPAGATION_MS) <= MAX_LATE_ARRIVALS, name);
+      const reply = fleet.call(0, CRASHING, call);
       t.match(
         reply.error,
         { kind: ErrorKind.RequestHeld, run: RunOutcome.NotRun, status: 503 },
@@ -130,8 +136,8 @@
     const kinds = replies.map(({ error }) => error?.kind);
     t.notOk(kinds.includes(ErrorKind.RequestHeld), `seed ${seed}`);
     for (const body of ['ends 0', 'ends 1', 'ends 2']) {
-      const laterMs = fleet.findEndMs(body, 3) + CONTACT_MS;
-      t.ok(fleet.countArrivals(body, laterMs) <= MAX_LATER, `seed ${seed}: ${body}`);
+      const laterMs = fleet.findEndMs(body, 3) + PROPAGATION_MS;
+      t.ok(fleet.countArrivals(body, laterMs) <= MAX_LATE_ARRIVALS, `seed ${seed}: ${body}`);
     }
   }
 });
@@ -220,28 +226,28 @@
   await fleet.start();
   fleet.hub.partition(['h-3'], ['h-1', 'h-2']);
   for (let round = 0; round < 6; round += 1) {
-    fleet.call(round % 2, ENDING);
+    fleet.call(round % 2, CRASHING);
     await fleet.clock.advance(300);
   }
   fleet.hub.healAll();
   fleet.addHost(t, 4);
-  await fleet.clock.advance(CONTACT_MS);
-  const before = fleet.countArrivals(ENDING);
-  t.equal(fleet.call(2, ENDING).error?.kind, ErrorKind.RequestHeld);
-  t.equal(fleet.call(3, ENDING).error?.kind, ErrorKind.RequestHeld);
-  t.equal(fleet.countArrivals(ENDING), before);
+  await fleet.clock.advance(PROPAGATION_MS);
+  const before = fleet.countArrivals(CRASHING);
+  t.equal(fleet.call(2, CRASHING).error?.kind, ErrorKind.RequestHeld);
+  t.equal(fleet.call(3, CRASHING).error?.kind, ErrorKind.RequestHeld);
+  t.equal(fleet.countArrivals(CRASHING), before);
 });
 
 t.test('a call that waits hears at once that its like is held', async (t) => {
   const fleet = new CrashFleet(t, { hosts: 1, servers: 4, slots: 1, route: { timeoutMs: 60_000 } });
   await fleet.start();
   for (let round = 0; round < 2; round += 1) {
-    fleet.call(0, ENDING);
+    fleet.call(0, CRASHING);
     await fleet.clock.advance(100);
   }
-  fleet.call(0, ENDING);
+  fleet.call(0, CRASHING);
   fleet.call(0, 'sound');
-  const waiting = fleet.call(0, ENDING, { deadlineMs: 60_000 });
+  const waiting = fleet.call(0, CRASHING, { deadlineMs: 60_000 });
   t.equal(waiting.error, undefined);
   await fleet.clock.advance(80);
   t.equal(waiting.error?.kind, ErrorKind.RequestHeld);
@@ -253,11 +259,11 @@
     const fleet = new CrashFleet(t, { hosts: 2, servers: 8 });
     await fleet.start();
     for (let round = 0; round < 4; round += 1) {
-      fleet.call(round, ENDING);
+      fleet.call(round, CRASHING);
       await fleet.clock.advance(300);
     }
-    t.equal(fleet.call(0, ENDING).error?.kind, ErrorKind.RequestHeld);
-    await fleet.clock.advance(REMEMBERED_MS + CONTACT_MS);
-    t.equal(fleet.call(0, ENDING).error, undefined);
+    t.equal(fleet.call(0, CRASHING).error?.kind, ErrorKind.RequestHeld);
+    await fleet.clock.advance(REMEMBERED_MS + PROPAGATION_MS);
+    t.equal(fleet.call(0, CRASHING).error, undefined);
   },
 );
--- a/src/application/direct/service_line.ts
+++ b/src/application/direct/service_line.ts
@@ -11,107 +11,107 @@
 import type { Clock, RandomSource, Timer } from '../../ports/mod.js';
 
 /** Time between two looks at the waiting calls, in milliseconds; fine against aims of 100 ms and more. */
-const LOOK_INTERVAL_MS = 15;
+const CHECK_INTERVAL_MS = 15;
 
 /** Time over which freed slots are counted, in milliseconds. */
-const RATE_WINDOW_MS = 2_000;
+const FREED_WINDOW_MS = 2_000;
 
 /**
  * Slots taken to get free in that time where fewer were seen. With too few seen, a
  * call would be refused that only had to wait for a moment; one that waits in vain
  * is refused in time to be in time elsewhere.
  */
-const MIN_FREED = 20;
+const MIN_FREED_SLOTS = 20;
 
 /** Part of each sample in the average time that a slot is held. */
-const HOLD_ALPHA = 0.1;
+const HOLD_TIME_ALPHA = 0.1;
 
 /** That time before anything was learnt, in milliseconds: of the order of a short answer. */
-const START_HOLD_MS = 200;
+const INITIAL_HOLD_MS = 200;
 
 /** A call as the line sees it. */
-export interface LineCall extends WaitingCall {
+export interface QueuedCall extends WaitingCall {
   readonly work: RequestWork;
   /** Output tokens that it is expected to have. */
   readonly expectedTokens: number;
   /** When its caller or its route gives up, on the monotonic clock. */
-  readonly endsAtMs: number;
+  readonly deadlineAtMs: number;
   /** Backend servers that it was sent to already. */
   readonly excluded: ReadonlySet<string>;
   /** Regions that it may be sent to. */
   readonly regions: Regions;
   /** @param candidate - the backend server that it is to be sent to now */
-  grant(candidate: Candidate): void;
+  dispatch(candidate: Candidate): void;
   /** It can't be started in time. @param clearMs - predicted wait for a slot, in milliseconds */
-  giveUp(clearMs: number): void;
+  shed(clearMs: number): void;
 }
 
 /** What a line needs. */
-export interface ServiceLineOptions {
+export interface ServiceQueueOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   /** @returns backend servers that may be given work */
   readonly listCandidates: () => readonly Candidate[];
   /** Called when a call begins to wait. */
-  readonly noteWaiting: () => void;
-  /** Gives a freed slot to the entry host whose call goes first; ends in {@link ServiceLine.advance} here. */
-  readonly passFreed: (serverId: string) => void;
+  readonly onWaiting: () => void;
+  /** Gives a freed slot to the entry host whose call goes first; ends in {@link ServiceQueue.dispatchWaiting} here. */
+  readonly forwardFreedSlot: (serverId: string) => void;
   /** @returns calls that wait for the same slots at peers */
-  readonly countWaitingElsewhere: () => number;
+  readonly countWaitingAtPeers: () => number;
 }
 
 /** The waiting calls of one service at this entry host. */
-export class ServiceLine {
-  readonly #options: ServiceLineOptions;
+export class ServiceQueue {
+  readonly #options: ServiceQueueOptions;
 
-  readonly #line = new WaitingLine<LineCall>();
+  readonly #queue = new WaitingLine<QueuedCall>();
 
   readonly #outlook = new WaitOutlook();
 
   /** When slots got free, oldest first. */
   readonly #freedAtMs: number[] = [];
 
-  #holdMs = START_HOLD_MS;
+  #averageHoldMs = INITIAL_HOLD_MS;
 
   #timer: Timer | undefined;
 
   /** @param options - what the line needs */
-  constructor(options: ServiceLineOptions) {
+  constructor(options: ServiceQueueOptions) {
     this.#options = options;
   }
 
   /** Calls that wait. */
   get size(): number {
-    return this.#line.size;
+    return this.#queue.size;
   }
 
   /** Urgency of the first call that waits; Infinity when none does. */
   get firstUrgency(): number {
-    return this.#line.firstUrgency;
+    return this.#queue.firstUrgency;
   }
 
   /** @param call - granted at once, made to wait, or given up */
-  submit(call: LineCall): void {
-    if (this.#line.countAhead(call) === 0 && this.#grant(call)) return;
-    const clearMs = this.#predictWaitMs(call);
+  submit(call: QueuedCall): void {
+    if (this.#queue.countAhead(call) === 0 && this.#tryDispatch(call)) return;
+    const predictedWaitMs = this.#predictWaitMs(call);
     const nowMs = this.#options.clock.nowMs();
-    if (!this.#isWorthwhile(call)) {
+    if (!this.#isWaitWorthwhile(call)) {
       // There will be no room for as long as it could wait, whatever the line here looks like.
-      call.giveUp(Math.max(clearMs, call.startByMs - nowMs));
+      call.shed(Math.max(predictedWaitMs, call.startByMs - nowMs));
       return;
     }
-    if (nowMs + clearMs > call.startByMs) {
-      call.giveUp(clearMs);
+    if (nowMs + predictedWaitMs > call.startByMs) {
+      call.shed(predictedWaitMs);
       return;
     }
-    this.#line.add(call);
-    this.#options.noteWaiting();
-    this.#schedule();
+    this.#queue.add(call);
+    this.#options.onWaiting();
+    this.#scheduleCheck();
   }
 
   /** @param call - waits no more */
-  remove(call: LineCall): void {
-    this.#line.remove(call);
+  remove(call: QueuedCall): void {
+    this.#queue.remove(call);
   }
 
   /**
@@ -120,24 +120,24 @@
    * @param serverId - life of the backend server
    * @param heldMs - how long it held the slot, in milliseconds
    */
-  noteFreed(serverId: string, heldMs: number): void {
-    this.#holdMs += HOLD_ALPHA * (heldMs - this.#holdMs);
+  handleSlotFreed(serverId: string, heldMs: number): void {
+    this.#averageHoldMs += HOLD_TIME_ALPHA * (heldMs - this.#averageHoldMs);
     this.#freedAtMs.push(this.#options.clock.nowMs());
     this.#dropOldFreed();
-    this.#options.passFreed(serverId);
+    this.#options.forwardFreedSlot(serverId);
   }
 
   /** Gives free slots to waiting calls. */
-  advance(): void {
-    if (this.#line.size === 0) return;
+  dispatchWaiting(): void {
+    if (this.#queue.size === 0) return;
     let freeSlots = this.#countFreeSlots();
     if (freeSlots === 0) return;
-    for (const call of [...this.#line.list()]) {
-      const candidate = this.#pick(call, this.#line.size);
+    for (const call of [...this.#queue.list()]) {
+      const candidate = this.#pickCandidate(call, this.#queue.size);
       // A grant may end other calls: each is asked for again when its turn comes.
-      if (candidate && this.#line.remove(call)) {
+      if (candidate && this.#queue.remove(call)) {
         this.#outlook.note(computeUrgency(call), true, this.#options.clock.nowMs());
-        call.grant(candidate);
+        call.dispatch(candidate);
         freeSlots -= 1;
       }
       if (freeSlots <= 0) return;
@@ -145,28 +145,28 @@
   }
 
   /** Gives up calls that can't be started in time any more. */
-  expire(): void {
+  shedExpired(): void {
     const nowMs = this.#options.clock.nowMs();
-    this.#line.takeExpired(nowMs).forEach((call) => {
+    this.#queue.takeExpired(nowMs).forEach((call) => {
       this.#outlook.note(computeUrgency(call), false, nowMs);
-      call.giveUp(this.#predictWaitMs(call));
+      call.shed(this.#predictWaitMs(call));
     });
   }
 
-  #isWorthwhile(call: LineCall): boolean {
+  #isWaitWorthwhile(call: QueuedCall): boolean {
     const { clock, random } = this.#options;
     return this.#outlook.isWorthwhile(computeUrgency(call), clock.nowMs(), random.nextFraction());
   }
 
   /** Predicted wait of a call that doesn't wait yet, in milliseconds. */
-  #predictWaitMs(call: LineCall): number {
+  #predictWaitMs(call: QueuedCall): number {
     this.#dropOldFreed();
-    const perFreedMs = RATE_WINDOW_MS / Math.max(MIN_FREED, this.#freedAtMs.length);
-    return (this.#line.countAhead(call) + 1) * perFreedMs;
+    const msPerFreedSlot = FREED_WINDOW_MS / Math.max(MIN_FREED_SLOTS, this.#freedAtMs.length);
+    return (this.#queue.countAhead(call) + 1) * msPerFreedSlot;
   }
 
   #dropOldFreed(): void {
-    dropOlder(this.#freedAtMs, this.#options.clock.nowMs() - RATE_WINDOW_MS);
+    dropOlderThan(this.#freedAtMs, this.#options.clock.nowMs() - FREED_WINDOW_MS);
   }
 
   #countFreeSlots(): number {
@@ -176,18 +176,23 @@
       .reduce((sum, { load }) => sum + load.countOpenSlots(nowMs), 0);
   }
 
-  #grant(call: LineCall): boolean {
+  #tryDispatch(call: QueuedCall): boolean {
     // Whoever waits here comes after this call: a free slot is its own at once.
-    const candidate = this.#pick(call, 0);
-    if (candidate) call.grant(candidate);
+    const candidate = this.#pickCandidate(call, 0);
+    if (candidate) call.dispatch(candidate);
     return candidate !== undefined;
   }
 
-  #pick(
-    { work, expectedTokens, endsAtMs, excluded, regions }: LineCall,
+  #pickCandidate(
+    { work, expectedTokens, deadlineAtMs: endsAtMs, excluded, regions }: QueuedCall,
     ownWaiting: number,
   ): Candidate | undefined {
-    const { clock, random, listCandidates, countWaitingElsewhere } = this.#options;
+    const {
+      clock,
+      random,
+      listCandidates,
+      countWaitingAtPeers: countWaitingElsewhere,
+    } = this.#options;
     const nowMs = clock.nowMs();
     return pickServer(listCandidates(), {
       work,
@@ -198,24 +203,24 @@
       nowMs,
       nextFraction: () => random.nextFraction(),
       rivalry: {
-        holdMs: this.#holdMs,
+        holdMs: this.#averageHoldMs,
         ownWaiting,
         waitingElsewhere: countWaitingElsewhere(),
       },
     });
   }
 
-  #schedule(): void {
+  #scheduleCheck(): void {
     if (this.#timer) return;
-    this.#timer = this.#options.clock.setTimer(LOOK_INTERVAL_MS, () => {
+    this.#timer = this.#options.clock.setTimer(CHECK_INTERVAL_MS, () => {
       this.#timer = undefined;
-      this.expire();
-      this.advance();
-      if (this.#line.size > 0) this.#schedule();
+      this.shedExpired();
+      this.dispatchWaiting();
+      if (this.#queue.size > 0) this.#scheduleCheck();
     });
   }
 }
 
-function dropOlder(momentsMs: number[], oldestMs: number): void {
-  while ((momentsMs[0] ?? Infinity) < oldestMs) momentsMs.shift();
+function dropOlderThan(timesMs: number[], oldestMs: number): void {
+  while ((timesMs[0] ?? Infinity) < oldestMs) timesMs.shift();
 }
--- a/src/application/direct/waiting_notices.ts
+++ b/src/application/direct/waiting_notices.ts
@@ -21,7 +21,7 @@
 const MIN_INTERVAL_MS = 40;
 
 /** The calls that wait for one service. */
-export interface WaitingCalls {
+export interface QueueSummary {
   readonly size: number;
   /** Urgency of the first; Infinity when none waits. */
   readonly firstUrgency: number;
@@ -35,12 +35,12 @@
   readonly servers: ServerKeeper;
 }
 
-interface Told {
+interface SentNotice {
   readonly urgency: number;
-  readonly atMs: number;
+  readonly sentAtMs: number;
 }
 
-const NEVER_TOLD: Told = { urgency: Infinity, atMs: Number.NEGATIVE_INFINITY };
+const NEVER_SENT: SentNotice = { urgency: Infinity, sentAtMs: Number.NEGATIVE_INFINITY };
 
 /**
  * A call waits a quarter of a second at most while its aim can be met; reports come every
@@ -52,7 +52,7 @@
   readonly #options: WaitingNoticesOptions;
 
   /** By service. */
-  readonly #told = new Map<string, Told>();
+  readonly #lastSent = new Map<string, SentNotice>();
 
   /** @param options - what the notices need */
   constructor(options: WaitingNoticesOptions) {
@@ -63,16 +63,16 @@
   }
 
   /** @param serviceId - service that a call has begun to wait for. @param waiting - the calls that wait */
-  note(serviceId: string, { size, firstUrgency }: WaitingCalls): void {
+  notifyPeers(serviceId: string, { size, firstUrgency }: QueueSummary): void {
     const { clock, peers, metrics } = this.#options;
     const linked = peers.listLinked();
     const nowMs = clock.nowMs();
-    const told = this.#told.get(serviceId) ?? NEVER_TOLD;
-    const sinceMs = nowMs - told.atMs;
+    const lastSent = this.#lastSent.get(serviceId) ?? NEVER_SENT;
+    const sinceMs = nowMs - lastSent.sentAtMs;
     if (sinceMs < Math.max(MIN_INTERVAL_MS, INTERVAL_PER_PEER_MS * linked.length)) return;
     // The next report has told it anew; after that the notice counts no more.
-    if (sinceMs < REPORT_INTERVAL_MS && told.urgency <= firstUrgency) return;
-    this.#told.set(serviceId, { urgency: firstUrgency, atMs: nowMs });
+    if (sinceMs < REPORT_INTERVAL_MS && lastSent.urgency <= firstUrgency) return;
+    this.#lastSent.set(serviceId, { urgency: firstUrgency, sentAtMs: nowMs });
     const type = PeerMessageType.WaitingNotice;
     linked.forEach(({ incarnation }) => {
       peers.send(incarnation, { type, serviceId, calls: size, firstUrgency });
--- a/src/application/direct/waiting_notices_test.ts
+++ b/src/application/direct/waiting_notices_test.ts
@@ -10,7 +10,7 @@
 interface NoticeHost {
   readonly incarnation: string;
   readonly servers: ServerKeeper;
-  readonly notices: WaitingNotices;
+  readonly waitingNotices: WaitingNotices;
 }
 
 function startHost(hub: FakePeerHub, clock: VirtualClock, id: string): NoticeHost {
@@ -21,7 +21,7 @@
   return {
     incarnation,
     servers,
-    notices: new WaitingNotices({ clock, metrics: new FakeMetrics(), peers, servers }),
+    waitingNotices: new WaitingNotices({ clock, metrics: new FakeMetrics(), peers, servers }),
   };
 }
 
@@ -40,7 +40,7 @@
   const a = startHost(hub, clock, 'a');
   const b = startHost(hub, clock, 'b');
   b.servers.applyPeer(a.incarnation, NO_FIGURES);
-  a.notices.note('engines', { size: 1, firstUrgency: 2 });
+  a.waitingNotices.notifyPeers('engines', { size: 1, firstUrgency: 2 });
   await settle();
   t.match(b.servers.peers.findFirstWaiting('engines'), { source: a.incarnation, urgency: 2 });
 });
@@ -50,12 +50,12 @@
   const hub = new FakePeerHub();
   const a = startHost(hub, clock, 'a');
   startHost(hub, clock, 'b');
-  a.notices.note('engines', { size: 1, firstUrgency: 2 });
+  a.waitingNotices.notifyPeers('engines', { size: 1, firstUrgency: 2 });
   await clock.advance(50);
-  a.notices.note('engines', { size: 2, firstUrgency: 2 });
+  a.waitingNotices.notifyPeers('engines', { size: 2, firstUrgency: 2 });
   await settle();
   t.equal(countNotices(hub), 1);
-  a.notices.note('engines', { size: 3, firstUrgency: 0 });
+  a.waitingNotices.notifyPeers('engines', { size: 3, firstUrgency: 0 });
   await settle();
   t.equal(countNotices(hub), 2);
 });
@@ -65,7 +65,7 @@
   const hub = new FakePeerHub();
   const [a] = Array.from({ length: 9 }, (_value, index) => startHost(hub, clock, `host-${index}`));
   for (let urgency = 500; urgency > 0; urgency -= 1) {
-    a?.notices.note('engines', { size: 1, firstUrgency: urgency });
+    a?.waitingNotices.notifyPeers('engines', { size: 1, firstUrgency: urgency });
     await clock.advance(2);
   }
   // One second, eight peers, one notice in 40 ms.
--- a/src/application/direct/warmup_guard_test.ts
+++ b/src/application/direct/warmup_guard_test.ts
@@ -8,18 +8,18 @@
 import { settle } from '../../../test/support/virtual_clock.js';
 
 /** One of the eight hosts that may send to it sends two requests a second of the 32 that it bears. */
-const WARMUP = { durationMs: 3_000, requestsPerSecond: 32 };
+const WARMUP_BOUND = { durationMs: 3_000, requestsPerSecond: 32 };
 
-const INTERVAL_MS = 525;
+const SEND_INTERVAL_MS = 525;
 
 /** A host with one server of many slots. */
-async function startCold(
+async function startHostWithServer(
   t: Parameters<typeof startDirectHost>[0],
   warmupLeftMs: number,
 ): Promise<DirectHost> {
   const host = await startDirectHost(
     t,
-    { warmup: WARMUP, route: { timeoutMs: 60_000, targetMs: 20_000 } },
+    { warmup: WARMUP_BOUND, route: { timeoutMs: 60_000, targetMs: 20_000 } },
     [],
   );
   host.feed.put('servers/s-1', buildServer('s-1', { slots: 100, warmupLeftMs }));
@@ -33,10 +33,10 @@
 
 t.test('a cold server is filled slowly until it is warm', async (t) => {
   // Guards against servers that fall over since they are filled right after their start.
-  const host = await startCold(t, 3_000);
+  const host = await startHostWithServer(t, 3_000);
   callMany(host, 5);
   t.equal(host.backend.sent.length, 1);
-  await host.clock.advance(INTERVAL_MS + 20);
+  await host.clock.advance(SEND_INTERVAL_MS + 20);
   t.equal(host.backend.sent.length, 2);
   t.equal(host.servers.coldCount, 1);
   await host.clock.advance(3_000);
@@ -47,7 +47,7 @@
 });
 
 t.test('a server that turns cold again is slowed down from its entry on', async (t) => {
-  const host = await startCold(t, 0);
+  const host = await startHostWithServer(t, 0);
   callMany(host, 4);
   t.equal(host.backend.sent.length, 4);
   host.feed.put('servers/s-1', buildServer('s-1', { slots: 100, warmupLeftMs: 2_500 }));
@@ -62,21 +62,21 @@
 
 t.test('servers of a zone that was opened count as cold whatever their entries say', async (t) => {
   // Guards against servers that turned cold unseen: their entries say so a heartbeat later.
-  const host = await startCold(t, 0);
+  const host = await startHostWithServer(t, 0);
   host.feed.put(`${CLOSED_ZONES_PREFIX}hall-a`, {});
   await settle();
   host.feed.remove(`${CLOSED_ZONES_PREFIX}hall-a`);
   await settle();
   callMany(host, 5);
   t.equal(host.backend.sent.length, 1);
-  await host.clock.advance(WARMUP.durationMs);
+  await host.clock.advance(WARMUP_BOUND.durationMs);
   callMany(host, 5);
   t.equal(host.backend.sent.length >= 6, true);
 });
 
 t.test('a host that has not settled sends nothing to a cold server', async (t) => {
   // Guards against many hosts that start at once and each know only themselves.
-  const host = await startCold(t, 3_000);
+  const host = await startHostWithServer(t, 3_000);
   host.isSettled = false;
   callMany(host, 3);
   t.equal(host.backend.sent.length, 0);
