--- a/src/application/direct/_backend_request.ts
+++ b/src/application/direct/_backend_request.ts
@@ -26,7 +26,7 @@
  * @returns the request
  */
 export function buildBackendRequest(
-  { request, account, timeLeftMs: leftMs, stream }: OutgoingCall,
+  { request, account, timeLeftMs, stream }: OutgoingCall,
   { id, serverId, address }: BackendServerEntry,
 ): BackendRequest {
   return {
@@ -35,7 +35,7 @@
     serverId,
     lifeId: id,
     accountId: account?.id,
-    deadlineMs: Math.max(1, Math.floor(leftMs)),
+    deadlineMs: Math.max(1, Math.floor(timeLeftMs)),
     lastEventId: stream?.lastEventId ?? request.lastEventId,
   };
 }
--- a/src/application/direct/_call_obstacle.ts
+++ b/src/application/direct/_call_obstacle.ts
@@ -16,7 +16,7 @@
  * @param regions - regions in which the call may be handled
  * @returns the reason; undefined where a server may be found for it
  */
-export function findUnservableReason(
+export function findRejection(
   servers: ServerKeeper,
   serviceId: string,
   regions: Regions,
--- a/src/application/direct/_call_recorder.ts
+++ b/src/application/direct/_call_recorder.ts
@@ -30,13 +30,13 @@
 
   /**
    * @param backendServer - whom it is sent to
-   * @param decisionFields - what decided
+   * @param details - what decided
    */
-  recordDispatch(backendServer: string, decisionFields: LogFields): void {
+  recordDispatch(backendServer: string, details: LogFields): void {
     const { routing } = this.#options.services;
     this.#write('call_dispatched', {
       backendServer,
-      ...decisionFields,
+      ...details,
       waitedMs: this.#computeElapsedMs(),
       configurationVersion: routing.table?.version,
       configurationAgeMs: Math.round(routing.computeAgeMs()),
--- a/src/application/direct/_call_tries.ts
+++ b/src/application/direct/_call_tries.ts
@@ -29,7 +29,7 @@
 
   readonly #clock: Clock;
 
-  #attemptCount = 0;
+  #count = 0;
 
   #runCount = 0;
 
@@ -45,8 +45,8 @@
   }
 
   /** How often it was sent. */
-  get attemptCount(): number {
-    return this.#attemptCount;
+  get count(): number {
+    return this.#count;
   }
 
   /** Whether any backend server may have run it. */
@@ -61,13 +61,13 @@
 
   /** Whether its caller waits long enough for a trial of its content to show something. */
   get hasTimeForTrial(): boolean {
-    const { arrivedAtMs, deadlineAtMs: endsAtMs } = this.#times;
-    return this.timeLeftMs >= (endsAtMs - arrivedAtMs) * MIN_TRIAL_TIME_FRACTION;
+    const { arrivedAtMs, deadlineAtMs } = this.#times;
+    return this.timeLeftMs >= (deadlineAtMs - arrivedAtMs) * MIN_TRIAL_TIME_FRACTION;
   }
 
   /** It is sent. */
   noteSent(): void {
-    this.#attemptCount += 1;
+    this.#count += 1;
     this.#runCount += 1;
   }
 
@@ -85,6 +85,6 @@
 
   /** @returns whether it may be sent again where the last try has not run */
   maySendAgain(): boolean {
-    return this.#attemptCount < MAX_UNRUN_ATTEMPTS;
+    return this.#count < MAX_UNRUN_ATTEMPTS;
   }
 }
--- a/src/application/direct/_direct_attempt.ts
+++ b/src/application/direct/_direct_attempt.ts
@@ -253,7 +253,7 @@
       totalMs,
       outputTokens,
       stream: this.#stream,
-      sendFallback: sendFallback,
+      sendFallback,
     });
   }
 
--- a/src/application/direct/_stall_watch.ts
+++ b/src/application/direct/_stall_watch.ts
@@ -88,14 +88,14 @@
 
   /** Time until the silence is too long, in milliseconds. */
   #computeTimeLeftMs(): number {
-    const { clock, route, predictedFirstByteMs: predictedMs } = this.#options;
+    const { clock, route, predictedFirstByteMs } = this.#options;
     const nowMs = clock.nowMs();
     if (this.#stream) {
       const limitMs = Math.max(GAP_FACTOR * route.targetGapMs, MIN_SILENCE_MS);
       return this.#stream.lastEventsAtMs + limitMs - nowMs;
     }
     const limitMs = Math.max(
-      FIRST_BYTE_FACTOR * predictedMs,
+      FIRST_BYTE_FACTOR * predictedFirstByteMs,
       FIRST_BYTE_TARGET_FACTOR * route.targetMs,
       MIN_SILENCE_MS,
     );
--- a/src/application/direct/_warmup_guard.ts
+++ b/src/application/direct/_warmup_guard.ts
@@ -76,8 +76,8 @@
 
   /** @param entry - a server. @returns whether it warms up now */
   isCold(entry: BackendServerEntry): boolean {
-    const bound = this.#options.findWarmupBound(entry.serviceId);
-    return bound !== undefined && this.#options.clock.nowMs() < this.#computeWarmAtMs(entry, bound);
+    const limit = this.#options.findWarmupBound(entry.serviceId);
+    return limit !== undefined && this.#options.clock.nowMs() < this.#computeWarmAtMs(entry, limit);
   }
 
   /**
@@ -88,21 +88,21 @@
    */
   update(entry: BackendServerEntry, load: ServerLoad): void {
     const { clock, findWarmupBound } = this.#options;
-    const bound = findWarmupBound(entry.serviceId);
-    if (!bound) return;
-    const warmAtMs = this.#computeWarmAtMs(entry, bound);
+    const limit = findWarmupBound(entry.serviceId);
+    if (!limit) return;
+    const warmAtMs = this.#computeWarmAtMs(entry, limit);
     if (clock.nowMs() >= warmAtMs) {
       load.warmup.set(warmAtMs, 0);
       return;
     }
-    const { senders, intervalMs } = deriveWarmupShare(bound.requestsPerSecond);
+    const { senders, intervalMs } = deriveWarmupShare(limit.requestsPerSecond);
     load.warmup.set(warmAtMs, this.#isSender(entry.id, senders) ? intervalMs : Infinity);
   }
 
   /** Servers may have turned cold while their zone was closed, and their entries say so later. */
-  #computeWarmAtMs({ id, availabilityZone }: BackendServerEntry, bound: WarmupBound): number {
+  #computeWarmAtMs({ id, availabilityZone }: BackendServerEntry, limit: WarmupBound): number {
     const openedAtMs = this.#options.places.findOpenedAtMs(availabilityZone) ?? -Infinity;
-    return Math.max(this.#warmAtMs.get(id) ?? -Infinity, openedAtMs + bound.durationMs);
+    return Math.max(this.#warmAtMs.get(id) ?? -Infinity, openedAtMs + limit.durationMs);
   }
 
   #isSender(id: string, senders: number): boolean {
@@ -113,7 +113,7 @@
     if (cachedRole?.knownHosts === knownHosts) return cachedRole.isSender;
     const hostIds = [hosts.selfId, ...knownHosts.map(({ identity }) => identity.id)];
     const isSender = isWarmupSender(hosts.selfId, hostIds, id, senders);
-    this.#senderRoles.set(id, { knownHosts: knownHosts, isSender });
+    this.#senderRoles.set(id, { knownHosts, isSender });
     return isSender;
   }
 }
--- a/src/application/direct/direct_call.ts
+++ b/src/application/direct/direct_call.ts
@@ -20,7 +20,7 @@
 import { PassKind } from '../crashes/mod.js';
 import type { Pass } from '../crashes/mod.js';
 import { buildBackendRequest } from './_backend_request.js';
-import { findUnservableReason } from './_call_obstacle.js';
+import { findRejection } from './_call_obstacle.js';
 import { CallRecorder, buildAnswerFields } from './_call_recorder.js';
 import { AttemptBudget } from './_call_tries.js';
 import { DirectAttempt } from './_direct_attempt.js';
@@ -58,7 +58,7 @@
 
   #stream: StreamRelay | undefined;
 
-  readonly #attemptBudget: AttemptBudget;
+  readonly #attempts: AttemptBudget;
 
   #hasEnded = false;
 
@@ -82,7 +82,7 @@
     this.arrivedAtMs = services.clock.nowMs();
     const timeoutMs = Math.min(request.deadlineMs ?? Infinity, route.timeoutMs);
     this.deadlineAtMs = this.arrivedAtMs + timeoutMs;
-    this.#attemptBudget = new AttemptBudget(this, route, services.clock);
+    this.#attempts = new AttemptBudget(this, route, services.clock);
     this.startByMs =
       this.arrivedAtMs +
       computeWaitMs({ isLate: this.isLate, timeLeftMs: timeoutMs, targetMs: route.targetMs });
@@ -94,7 +94,7 @@
 
   /** Whether any backend server may have run it. */
   get mayHaveRun(): boolean {
-    return this.#attemptBudget.mayHaveRun;
+    return this.#attempts.mayHaveRun;
   }
 
   /** Client account, where there is one. */
@@ -109,19 +109,15 @@
 
   /** It is sent, waits, or is refused. */
   start(): void {
-    if (this.#findUnservableReason()) this.shed(0);
+    if (this.#findRejection()) this.shed(0);
     else this.#options.queue.submit(this);
   }
 
-  #findUnservableReason(): ErrorKind | undefined {
-    return findUnservableReason(
-      this.#options.services.servers,
-      this.#options.serviceId,
-      this.regions,
-    );
+  #findRejection(): ErrorKind | undefined {
+    return findRejection(this.#options.services.servers, this.#options.serviceId, this.regions);
   }
 
-  dispatch({ id, load }: Candidate): void {
+  grant({ id, load }: Candidate): void {
     const { services, route, request, account } = this.#options;
     const refusal = this.#options.findDispatchRefusal();
     if (refusal) {
@@ -133,19 +129,16 @@
       this.shed(0);
       return;
     }
-    const pass = services.crashes.takePass(
-      this.#options.contentId,
-      this.#attemptBudget.hasTimeForTrial,
-    );
+    const pass = services.crashes.takePass(this.#options.contentId, this.#attempts.hasTimeForTrial);
     if (pass.kind === PassKind.Wait) {
       this.#waitForPass();
       return;
     }
-    this.#attemptBudget.noteSent();
-    if (this.#attemptBudget.attemptCount === 1) services.noteFirstAttempt(server.serviceId);
+    this.#attempts.noteSent();
+    if (this.#attempts.count === 1) services.noteFirstAttempt(server.serviceId);
     this.#recorder.recordDispatch(id, {
       inFlight: load.inFlight,
-      attempt: this.#attemptBudget.attemptCount,
+      attempt: this.#attempts.count,
       isReturning: this.isLate,
       promptTokens: this.work.promptTokens,
       expectedTokens: Math.round(this.expectedTokens),
@@ -159,9 +152,9 @@
       stream: this.#stream,
       tokensPerEvent: this.#options.tokensPerEvent,
       // What a trial shows is worth more than a server that may be faster.
-      mayFailOver: () => pass.kind !== PassKind.Trial && this.#attemptBudget.mayRunAgain(),
+      mayFailOver: () => pass.kind !== PassKind.Trial && this.#attempts.mayRunAgain(),
       request: buildBackendRequest(
-        { request, account, timeLeftMs: this.#attemptBudget.timeLeftMs, stream: this.#stream },
+        { request, account, timeLeftMs: this.#attempts.timeLeftMs, stream: this.#stream },
         server,
       ),
       onEnd: (end) => this.#handleAttemptResult(id, end, pass),
@@ -178,35 +171,32 @@
   }
 
   #resubmit(): void {
-    const { queue: line, services } = this.#options;
-    this.startByMs = services.clock.nowMs() + computeMoveWaitMs(this.#attemptBudget.timeLeftMs);
-    line.submit(this);
+    const { queue, services } = this.#options;
+    this.startByMs = services.clock.nowMs() + computeMoveWaitMs(this.#attempts.timeLeftMs);
+    queue.submit(this);
   }
 
-  shed(predictedWaitMs: number): void {
+  shed(estimatedWaitMs: number): void {
     const { services, route } = this.#options;
     const nowMs = services.clock.nowMs();
     const targetEndsAtMs = this.isLate ? nowMs : this.arrivedAtMs + route.targetMs * AIM_WAIT_PART;
     const retryAfterMs = computeReturnMs({
-      clearMs: predictedWaitMs,
-      timeLeftMs: this.#attemptBudget.timeLeftMs,
+      clearMs: estimatedWaitMs,
+      timeLeftMs: this.#attempts.timeLeftMs,
       aimLeftMs: targetEndsAtMs - nowMs,
       fraction: services.random.nextFraction(),
     });
-    const kind = this.#findUnservableReason() ?? ErrorKind.QueueFull;
-    this.fail(new SchedulerError(kind, { retryAfterMs }), { clearMs: predictedWaitMs });
+    const kind = this.#findRejection() ?? ErrorKind.QueueFull;
+    this.fail(new SchedulerError(kind, { retryAfterMs }), { clearMs: estimatedWaitMs });
   }
 
   /**
    * Ends it with an error.
    *
    * @param error - the answer, if nothing was answered yet
-   * @param decisionFields - what decided, for the log
+   * @param details - what decided, for the log
    */
-  fail(
-    error: SchedulerError,
-    decisionFields: Readonly<Record<string, number | string>> = {},
-  ): void {
+  fail(error: SchedulerError, details: Readonly<Record<string, number | string>> = {}): void {
     if (this.#hasEnded) return;
     const reportedError =
       this.mayHaveRun && error.status === 503
@@ -219,13 +209,13 @@
       kind: reportedError.kind,
       run: reportedError.run,
       retryAfterMs: reportedError.retryAfterMs,
-      ...decisionFields,
+      ...details,
     });
   }
 
-  /** @param lifeId - a life of a backend server that has ended */
-  handleServerEnded(lifeId: string): void {
-    if (this.#attempt?.incarnationId === lifeId) this.#attempt.abandonEndedServer();
+  /** @param incarnationId - a life of a backend server that has ended */
+  handleServerEnded(incarnationId: string): void {
+    if (this.#attempt?.incarnationId === incarnationId) this.#attempt.abandonEndedServer();
   }
 
   /** @param quarantinedId - a content that is sent to no server any more */
@@ -247,30 +237,27 @@
     this.excluded.add(serverId);
     this.#crashEvidence.recordAttempt(serverId, end);
     if (end.failure === undefined) {
-      if (end.outputTokens > 0 && this.#attemptBudget.attemptCount === 1)
+      if (end.outputTokens > 0 && this.#attempts.count === 1)
         this.#options.forecast.learn(this.work, end.outputTokens);
       this.#end('call_answered', buildAnswerFields(serverId, end));
     } else {
-      this.#recorder.recordAttemptFailure(serverId, this.#attemptBudget.attemptCount, end);
+      this.#recorder.recordAttemptFailure(serverId, this.#attempts.count, end);
       this.#stream = end.stream?.hasBegun ? end.stream : undefined;
       this.#handleFailure(serverId, end);
     }
     this.#options.queue.handleSlotFreed(serverId, end.totalMs);
   }
 
-  #handleFailure(serverId: string, { failure, sendFallback: sendFallback }: AttemptResult): void {
+  #handleFailure(serverId: string, { failure, sendFallback }: AttemptResult): void {
     const { services, serviceId } = this.#options;
     const mayHaveRun = mayAttemptHaveRun({ failure });
-    if (!mayHaveRun) this.#attemptBudget.noteNotRun();
+    if (!mayHaveRun) this.#attempts.noteNotRun();
     if (failure === BackendFailure.Misdirected) services.servers.noteEnded(serverId);
-    const isAllowed = mayHaveRun
-      ? this.#attemptBudget.mayRunAgain()
-      : this.#attemptBudget.maySendAgain();
-    const canContinueAnswer =
-      !this.#options.reply.hasBegun || this.#stream?.lastEventId !== undefined;
+    const isAllowed = mayHaveRun ? this.#attempts.mayRunAgain() : this.#attempts.maySendAgain();
+    const canResume = !this.#options.reply.hasBegun || this.#stream?.lastEventId !== undefined;
     // A request that was never written costs the service nothing; all others count as retries.
     const isUncountedRetry = failure === BackendFailure.NotSent;
-    if (isAllowed && canContinueAnswer && (isUncountedRetry || services.takeRetry(serviceId))) {
+    if (isAllowed && canResume && (isUncountedRetry || services.takeRetry(serviceId))) {
       this.#resubmit();
     } else if (sendFallback && !this.#options.reply.hasBegun) {
       sendFallback();
@@ -281,7 +268,7 @@
 
   #cancelAttempt(): void {
     // What has not left can't arrive any more: its connection is closed before it is open.
-    if (this.#attempt?.mayHaveBeenSent === false) this.#attemptBudget.noteNotRun();
+    if (this.#attempt?.mayHaveBeenSent === false) this.#attempts.noteNotRun();
     this.#attempt?.cancel(ServerOutcome.Cancelled);
   }
 
--- a/src/application/direct/direct_gateway.ts
+++ b/src/application/direct/direct_gateway.ts
@@ -172,8 +172,7 @@
     if (serviceId === undefined) throw new SchedulerError(ErrorKind.NoBackendServer);
     if (account) {
       const retryAfterMs = spending.take(account, request);
-      if (retryAfterMs > 0)
-        throw new SchedulerError(ErrorKind.TokensLimited, { retryAfterMs: retryAfterMs });
+      if (retryAfterMs > 0) throw new SchedulerError(ErrorKind.TokensLimited, { retryAfterMs });
     }
     const call: DirectCall = new DirectCall({
       request,
--- a/src/application/direct/freed_slots.ts
+++ b/src/application/direct/freed_slots.ts
@@ -55,17 +55,17 @@
   }
 
   #forwardOrDispatch(serverId: string, hops: number, from?: string): void {
-    const { clock, servers, getFirstUrgency: getUrgency, dispatchWaiting: advance } = this.#options;
+    const { clock, servers, getFirstUrgency, dispatchWaiting } = this.#options;
     const serviceId = servers.find(serverId)?.serviceId;
     if (serviceId === undefined) return;
     const mostUrgent =
       hops < MAX_HOPS ? servers.peers.findFirstWaiting(serviceId, from) : undefined;
-    const mustForward = mostUrgent !== undefined && mostUrgent.urgency < getUrgency(serviceId);
+    const mustForward = mostUrgent !== undefined && mostUrgent.urgency < getFirstUrgency(serviceId);
     if (mustForward && this.#hasFreeSlot(serverId)) {
       const message = { type: PeerMessageType.FreedSlot, serverId, hops: hops + 1 } as const;
       this.#send(mostUrgent.source, serviceId, message);
     } else if (from !== undefined) servers.findLoad(serverId)?.share.noteFreed(clock.nowMs());
-    advance(serviceId);
+    dispatchWaiting(serviceId);
   }
 
   #hasFreeSlot(serverId: string): boolean {
--- a/src/application/direct/service_line.ts
+++ b/src/application/direct/service_line.ts
@@ -41,7 +41,7 @@
   /** Regions that it may be sent to. */
   readonly regions: Regions;
   /** @param candidate - the backend server that it is to be sent to now */
-  dispatch(candidate: Candidate): void;
+  grant(candidate: Candidate): void;
   /** It can't be started in time. @param clearMs - predicted wait for a slot, in milliseconds */
   shed(clearMs: number): void;
 }
@@ -93,15 +93,15 @@
   /** @param call - granted at once, made to wait, or given up */
   submit(call: QueuedCall): void {
     if (this.#queue.countAhead(call) === 0 && this.#tryDispatch(call)) return;
-    const predictedWaitMs = this.#predictWaitMs(call);
+    const estimatedWaitMs = this.#estimateWaitMs(call);
     const nowMs = this.#options.clock.nowMs();
     if (!this.#isWaitWorthwhile(call)) {
       // There will be no room for as long as it could wait, whatever the line here looks like.
-      call.shed(Math.max(predictedWaitMs, call.startByMs - nowMs));
+      call.shed(Math.max(estimatedWaitMs, call.startByMs - nowMs));
       return;
     }
-    if (nowMs + predictedWaitMs > call.startByMs) {
-      call.shed(predictedWaitMs);
+    if (nowMs + estimatedWaitMs > call.startByMs) {
+      call.shed(estimatedWaitMs);
       return;
     }
     this.#queue.add(call);
@@ -137,7 +137,7 @@
       // A grant may end other calls: each is asked for again when its turn comes.
       if (candidate && this.#queue.remove(call)) {
         this.#outlook.note(computeUrgency(call), true, this.#options.clock.nowMs());
-        call.dispatch(candidate);
+        call.grant(candidate);
         freeSlots -= 1;
       }
       if (freeSlots <= 0) return;
@@ -149,7 +149,7 @@
     const nowMs = this.#options.clock.nowMs();
     this.#queue.takeExpired(nowMs).forEach((call) => {
       this.#outlook.note(computeUrgency(call), false, nowMs);
-      call.shed(this.#predictWaitMs(call));
+      call.shed(this.#estimateWaitMs(call));
     });
   }
 
@@ -159,7 +159,7 @@
   }
 
   /** Predicted wait of a call that doesn't wait yet, in milliseconds. */
-  #predictWaitMs(call: QueuedCall): number {
+  #estimateWaitMs(call: QueuedCall): number {
     this.#dropOldFreed();
     const msPerFreedSlot = FREED_WINDOW_MS / Math.max(MIN_FREED_SLOTS, this.#freedAtMs.length);
     return (this.#queue.countAhead(call) + 1) * msPerFreedSlot;
@@ -179,12 +179,12 @@
   #tryDispatch(call: QueuedCall): boolean {
     // Whoever waits here comes after this call: a free slot is its own at once.
     const candidate = this.#pickCandidate(call, 0);
-    if (candidate) call.dispatch(candidate);
+    if (candidate) call.grant(candidate);
     return candidate !== undefined;
   }
 
   #pickCandidate(
-    { work, expectedTokens, deadlineAtMs: endsAtMs, excluded, regions }: QueuedCall,
+    { work, expectedTokens, deadlineAtMs, excluded, regions }: QueuedCall,
     ownWaiting: number,
   ): Candidate | undefined {
     const {
@@ -197,7 +197,7 @@
     return pickServer(listCandidates(), {
       work,
       expectedTokens,
-      timeLeftMs: endsAtMs - nowMs,
+      timeLeftMs: deadlineAtMs - nowMs,
       excluded,
       regions,
       nowMs,
--- a/src/application/direct/warmup_guard_test.ts
+++ b/src/application/direct/warmup_guard_test.ts
@@ -8,7 +8,7 @@
 import { settle } from '../../../test/support/virtual_clock.js';
 
 /** One of the eight hosts that may send to it sends two requests a second of the 32 that it bears. */
-const WARMUP_BOUND = { durationMs: 3_000, requestsPerSecond: 32 };
+const WARMUP_LIMIT = { durationMs: 3_000, requestsPerSecond: 32 };
 
 const SEND_INTERVAL_MS = 525;
 
@@ -19,7 +19,7 @@
 ): Promise<DirectHost> {
   const host = await startDirectHost(
     t,
-    { warmup: WARMUP_BOUND, route: { timeoutMs: 60_000, targetMs: 20_000 } },
+    { warmup: WARMUP_LIMIT, route: { timeoutMs: 60_000, targetMs: 20_000 } },
     [],
   );
   host.feed.put('servers/s-1', buildServer('s-1', { slots: 100, warmupLeftMs }));
@@ -69,7 +69,7 @@
   await settle();
   callMany(host, 5);
   t.equal(host.backend.sent.length, 1);
-  await host.clock.advance(WARMUP_BOUND.durationMs);
+  await host.clock.advance(WARMUP_LIMIT.durationMs);
   callMany(host, 5);
   t.equal(host.backend.sent.length >= 6, true);
 });
