--- a/src/application/direct/direct_call_test.ts
+++ b/src/application/direct/direct_call_test.ts
@@ -8,7 +8,7 @@
 
 const STREAM: DocumentChanges = { route: { isStream: true, isResumable: true } };
 
-t.test('what was never written goes to another backend server', async (t) => {
+t.test('a request that was never written is sent to another backend server', async (t) => {
   const host = await startDirectHost(t);
   const reply = host.call();
   host.sent(0).fail(BackendFailure.NotSent);
@@ -17,7 +17,7 @@
   t.equal(reply.body, 'ok');
 });
 
-t.test('a call that must not be repeated is not sent again once it may have run', async (t) => {
+t.test('a non-repeatable call is not sent again once it may have run', async (t) => {
   const host = await startDirectHost(t);
   const reply = host.call();
   host.sent(0).fail(BackendFailure.Broken);
@@ -26,7 +26,7 @@
   t.equal(reply.error?.run, RunOutcome.MayHaveRun);
 });
 
-t.test('a repeatable call is sent again, to another backend server', async (t) => {
+t.test('a repeatable call is retried at another backend server', async (t) => {
   const host = await startDirectHost(t, { route: { isRepeatable: true } });
   const reply = host.call();
   host.sent(0).fail(BackendFailure.Broken);
@@ -34,11 +34,10 @@
   t.equal(reply.body, 'second');
 });
 
-t.test("a call that may have run isn't sent to its server's next life", async (t) => {
-  // Symptom: a notice is sent twice.
-  // Sequence: a backend server loses power while it works on it, and starts again under
-  // its name; the connection to its former life stays silent.
-  // Cause: by its name the new life is the one that the request is meant for.
+t.test("a call that may have run isn't sent to its server's next incarnation", async (t) => {
+  // Guards against sending a notice twice. A backend server loses power while it works on the
+  // notice, and restarts under the same name; the connection to its previous incarnation stays
+  // silent. By its name alone, the new incarnation looks like the server that has the request.
   const host = await startDirectHost(t, {}, ['s-1']);
   const reply = host.call();
   const changes = { serverId: 's-1', bornAtMs: 5 };
@@ -49,7 +48,7 @@
   t.equal(host.backend.sent.length, 1);
 });
 
-t.test('a resumable stream goes on at once when its server has started anew', async (t) => {
+t.test('a resumable stream fails over at once when its server restarts', async (t) => {
   const host = await startDirectHost(t, STREAM, ['s-1']);
   const reply = host.call();
   host.sent(0).head({ isEventStream: true });
@@ -62,24 +61,24 @@
   t.notOk(reply.isAborted);
 });
 
-t.test("a server's own error is passed on where nobody else can take over", async (t) => {
+t.test("a server's own error is relayed when no other server can take over", async (t) => {
   const host = await startDirectHost(t);
   const reply = host.call();
   host.sent(0).answer(500, 'failed');
   t.match(reply, { head: { status: 500 }, body: 'failed' });
 });
 
-t.test('a status that promises that nothing ran is not passed on from a run', async (t) => {
-  // Symptom: a caller repeats a notice that was sent already.
-  // Sequence: a backend server answers 503 without saying that it did not run it.
-  // Cause: a proxy's status means "not run" to callers, whoever wrote it.
+t.test('a status that means "not run" is not relayed from a run', async (t) => {
+  // Guards against callers that repeat a notice which was already sent. A backend server answers
+  // 503 without stating that it did not run the request; to callers, this status means "not run",
+  // whoever wrote it.
   const host = await startDirectHost(t);
   const reply = host.call();
   host.sent(0).answer(503, 'busy');
   t.equal(reply.error?.status, 502);
 });
 
-t.test('a declined call is refused as not run, with when to come back', async (t) => {
+t.test('a declined call is refused as not run, with a retry-after time', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1']);
   const reply = host.call();
   host.sent(0).fail(BackendFailure.Declined);
@@ -88,10 +87,10 @@
   t.ok((reply.error?.retryAfterMs ?? 0) > 0);
 });
 
-t.test('a stream goes on elsewhere behind its last whole event', async (t) => {
-  // Symptom: pieces of a report are missing or come twice.
-  // Sequence: a stream breaks in the middle of an event; another server goes on.
-  // Cause: half an event had been passed on, or the wrong one was asked for next.
+t.test('a stream continues at another server after its last complete event', async (t) => {
+  // Guards against missing or repeated parts of a report. A stream breaks in the middle of an
+  // event and another server continues it; an incomplete event must not be relayed, and the
+  // next server must be asked for the right event.
   const host = await startDirectHost(t, STREAM);
   const reply = host.call();
   host.sent(0).head({ isEventStream: true });
@@ -107,7 +106,7 @@
   t.ok(reply.hasEnded);
 });
 
-t.test('a stream that may not go on elsewhere is broken off, not ended', async (t) => {
+t.test('a stream that may not be resumed is aborted, not ended', async (t) => {
   const host = await startDirectHost(t, { route: { isStream: true, isResumable: false } });
   const reply = host.call();
   host.sent(0).head({ isEventStream: true });
@@ -116,7 +115,7 @@
   t.match(reply, { isAborted: true, hasEnded: false });
 });
 
-t.test('a silent stream is cancelled before another server goes on', async (t) => {
+t.test('a silent stream is cancelled before another server continues it', async (t) => {
   const host = await startDirectHost(t, STREAM);
   host.call();
   host.sent(0).head({ isEventStream: true });
@@ -126,10 +125,10 @@
   t.equal(host.sent(1).request.lastEventId, '1');
 });
 
-t.test('a stream is watched by its pauses once it has begun', async (t) => {
-  // Symptom: a stream of a long prompt stands still for nine seconds.
-  // Sequence: its first event comes early, then nothing.
-  // Cause: the next look at it was set by the time that its first byte might have taken.
+t.test('a stream is checked for pauses once it has begun', async (t) => {
+  // Guards against a stream of a long prompt that stalls for nine seconds unnoticed. Its first
+  // event arrives early and no other follows; the next check must not be scheduled by the time
+  // that the first byte might have taken.
   const host = await startDirectHost(t, { route: { ...STREAM.route, timeoutMs: 30_000 } });
   host.call({ work: { promptTokens: 300_000, outputTokens: 100 }, deadlineMs: 20_000 });
   host.sent(0).head({ isEventStream: true });
@@ -138,7 +137,7 @@
   t.ok(host.sent(0).isCancelled);
 });
 
-t.test('a caller that leaves ends the run', async (t) => {
+t.test('a disconnected caller ends the run', async (t) => {
   const host = await startDirectHost(t);
   const reply = host.call();
   reply.leave();
@@ -146,7 +145,7 @@
   t.equal(host.gateway.callCount, 0);
 });
 
-t.test('a call ends with its time, and says whether it may have run', async (t) => {
+t.test('a call that times out reports that it may have run', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1']);
   const sent = host.call();
   await host.clock.advance(2_000);
@@ -154,8 +153,8 @@
   t.ok(host.sent(0).isCancelled);
 });
 
-t.test('a call whose time ends before its connection is open has not run', async (t) => {
-  // Guards against callers who may not repeat what has reached no server.
+t.test('a call that times out before its connection opens has not run', async (t) => {
+  // Guards against forbidding callers to repeat a request that reached no server.
   const host = await startDirectHost(t, {}, ['s-1']);
   const reply = host.call();
   host.sent(0).mayHaveLeft = false;
@@ -165,7 +164,7 @@
   t.ok(host.sent(0).isCancelled);
 });
 
-t.test("the route's timeout ends a call whose caller would wait longer", async (t) => {
+t.test("the route's timeout ends a call whose deadline is later", async (t) => {
   const host = await startDirectHost(t, { route: { timeoutMs: 500 } });
   const reply = host.call({ deadlineMs: 9_000 });
   t.equal(host.sent(0).request.deadlineMs, 500);
@@ -174,11 +173,11 @@
 });
 
 t.test(
-  'a stream that broke before its first event begins anew, with the head of who answers',
+  "a stream that breaks before its first event starts over with the new server's head",
   async (t) => {
-    // Symptom: an answer bears the mark of a backend server that sent none of it.
-    // Sequence: a stream breaks behind its head; another server runs the request from its start.
-    // Cause: the first head was kept although nothing had been passed on.
+    // Guards against an answer with the headers of a backend server that sent no part of it. A
+    // stream breaks after its head, and another server runs the request from the start; the
+    // first head must be discarded because nothing was relayed.
     const host = await startDirectHost(t, STREAM);
     const reply = host.call();
     host.sent(0).head({ isEventStream: true });
@@ -190,11 +189,10 @@
   },
 );
 
-t.test('an answer that was begun and can not be joined is broken off', async (t) => {
-  // Symptom: a caller gets the start of one answer and the whole of another.
-  // Sequence: a repeatable call's long answer is passed on as it comes and breaks; or a
-  // stream whose events have no IDs does.
-  // Cause: the call was sent again although there was nothing to go on from.
+t.test('an answer that has begun and can not be resumed is aborted', async (t) => {
+  // Guards against a caller that gets the start of one answer and the whole of another: a long
+  // answer of a repeatable call breaks while it is relayed, or a stream breaks whose events have
+  // no IDs. In both cases a retry has no position to continue from.
   const long = await startDirectHost(t, { route: { isRepeatable: true } });
   const plain = long.call();
   long.sent(0).head();
@@ -211,11 +209,10 @@
   t.ok(stream.isAborted);
 });
 
-t.test('what is not the rest of a begun stream is never joined to it', async (t) => {
-  // Symptom: an error's body stands in the middle of a report, or the call never ends.
-  // Sequence: a stream breaks; the server that is to go on answers with an error, or
-  // with a plain answer.
-  // Cause: any answer was passed on, whatever had been passed on before.
+t.test('an answer that does not continue a begun stream is never appended to it', async (t) => {
+  // Guards against an error body in the middle of a report, and against calls that never end. A
+  // stream breaks, and the server that should continue it answers with an error or a plain
+  // answer.
   for (const status of [500, 200, 404]) {
     const host = await startDirectHost(t, STREAM);
     const reply = host.call();
--- a/src/application/direct/direct_gateway_test.ts
+++ b/src/application/direct/direct_gateway_test.ts
@@ -11,7 +11,7 @@
 import { LimitUnit } from '../../domain/routing/mod.js';
 import { BackendFailure } from '../../ports/mod.js';
 
-t.test('a call is sent with the rest of its time and answered', async (t) => {
+t.test('a call is sent with its remaining time and answered', async (t) => {
   const host = await startDirectHost(t);
   const reply = host.call();
   t.match(host.sent(0).request, { accountId: 'firm-a', deadlineMs: 2_000 });
@@ -20,17 +20,16 @@
   t.equal(host.gateway.callCount, 0);
 });
 
-t.test('before any configuration, calls are refused as not run', async (t) => {
+t.test('calls are refused as not run before the first configuration arrives', async (t) => {
   const host = new DirectHost();
   const reply = host.call();
   t.equal(reply.error?.kind, ErrorKind.ConfigurationMissing);
   t.equal(reply.error?.run, RunOutcome.NotRun);
 });
 
-t.test('an unknown key is refused for good only by who surely knows all keys', async (t) => {
-  // Symptom: a caller with a new key is refused for good.
-  // Sequence: a key is added while this entry host can't reach the store.
-  // Cause: what isn't in an old configuration was taken for what is in none.
+t.test('an unknown key is refused permanently only with a current configuration', async (t) => {
+  // Guards against refusing new keys permanently. A key may be added while this entry host can't
+  // reach the store; its absence from an old configuration does not show that it is invalid.
   const host = await startDirectHost(t);
   t.equal(host.call({ key: 'other' }).error?.kind, ErrorKind.Unauthenticated);
   t.equal(host.call({ path: '/none/' }).error?.kind, ErrorKind.NotFound);
@@ -41,10 +40,9 @@
   t.equal(host.call().error, undefined);
 });
 
-t.test('keys are not believed once their confirmation is too old', async (t) => {
-  // Symptom: a key that was taken away is served for as long as an outage lasts.
-  // Sequence: the store is out of reach of one entry host; a key is taken away.
-  // Cause: what was known last was taken for what is true.
+t.test('keys are rejected once the configuration is unconfirmed for too long', async (t) => {
+  // Guards against accepting a revoked key for as long as an outage lasts. A key may be revoked
+  // while this entry host can't reach the store; the last known configuration may be outdated.
   const host = await startDirectHost(t);
   host.feed.isSilent = true;
   await host.clock.advance(MAX_KEY_AGE_MS + 1_000);
@@ -52,7 +50,7 @@
   t.equal(host.gateway.isServing, false);
 });
 
-t.test('a key that is taken away while its call waits ends the call unsent', async (t) => {
+t.test('a call whose key is revoked while it waits is refused unsent', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1']);
   host.call();
   host.call();
@@ -64,10 +62,10 @@
   t.equal(host.backend.sent.length, 2);
 });
 
-t.test('a suspension between waiting and sending is noticed before the call leaves', async (t) => {
-  // Symptom: a revoked key's request runs after a machine was suspended.
-  // Sequence: a call waits for a slot; the machine is suspended; the slot gets free.
-  // Cause: the check of the key was made before the suspension.
+t.test('a suspension of the process is detected before a waiting call is sent', async (t) => {
+  // Guards against running a request with a revoked key after the machine was suspended: the
+  // call waits for a slot, the machine is suspended, and the slot becomes free. A check of the
+  // key made before the suspension is no longer valid then.
   const host = await startDirectHost(t, { route: { timeoutMs: 60_000 } }, ['s-1']);
   host.call();
   host.call();
@@ -78,7 +76,7 @@
   t.equal(host.backend.sent.length, 2);
 });
 
-t.test('a call over the limit is refused; one that never ran costs nothing', async (t) => {
+t.test('a call over the rate limit is refused; one that never ran is not counted', async (t) => {
   const limit = { unit: LimitUnit.Tokens, ratePerSecond: 100, burst: 1_000, unitsOfUnsized: 50 };
   const host = await startDirectHost(t, { limit });
   const work = { promptTokens: 150, outputTokens: 10 };
@@ -92,7 +90,7 @@
   t.equal(host.call({ work }).error?.kind, ErrorKind.TokensLimited);
 });
 
-t.test('an address that another life answers at is not used again', async (t) => {
+t.test('an address at which another incarnation answers is not used again', async (t) => {
   const host = await startDirectHost(t);
   host.call();
   const gone = host.sent(0).request.serverId;
@@ -102,7 +100,7 @@
   t.not(host.sent(2).request.serverId, gone);
 });
 
-t.test('a server that leaves gets no new work', async (t) => {
+t.test('a draining server gets no new work', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1']);
   host.feed.put('servers/s-1', buildServer('s-1', { isLeaving: true }));
   await settle();
@@ -112,7 +110,7 @@
   t.equal(reply.error?.run, RunOutcome.NotRun);
 });
 
-t.test('after the stop has begun in earnest, new calls are refused as not run', async (t) => {
+t.test('new calls are refused as not run once the gateway refuses new calls', async (t) => {
   const host = await startDirectHost(t);
   const running = host.call();
   host.gateway.refuseNew();
--- a/src/application/direct/direct_stop_test.ts
+++ b/src/application/direct/direct_stop_test.ts
@@ -6,7 +6,7 @@
 
 const LIMIT_MS = 8_000;
 
-/** Plays a stop while calls are under way that end at the given times. */
+/** Simulates a shutdown with calls in progress that end at the given times. */
 async function simulateStop(endsAtMs: readonly number[]): Promise<{
   readonly steps: string[];
   readonly tookMs: number;
@@ -35,12 +35,12 @@
   return { steps, tookMs };
 }
 
-t.test('runDirectStop() unlists at once, and takes calls for three seconds more', async (t) => {
+t.test('runDirectStop() announces at once and accepts calls for three more seconds', async (t) => {
   const { steps } = await simulateStop([]);
   t.same(steps.slice(0, 2), ['announce 0', 'refuse 3000']);
 });
 
-t.test('runDirectStop() waits for what is under way, up to its limit', async (t) => {
+t.test('runDirectStop() waits for calls in progress, up to its limit', async (t) => {
   const { steps, tookMs } = await simulateStop([6_000]);
   t.match(steps.at(-1), /close 60\d\d/);
   t.ok(tookMs < 6_200);
@@ -50,7 +50,7 @@
 });
 
 t.test(
-  'runDirectStop() cuts no call that ends well before the limit, and is always in time',
+  'runDirectStop() cuts off no call that ends well before the limit, and is always in time',
   async () => {
     await fc.assert(
       fc.asyncProperty(
--- a/src/application/direct/freed_slots_test.ts
+++ b/src/application/direct/freed_slots_test.ts
@@ -14,7 +14,7 @@
 import type { ServerKeeper } from './server_keeper.js';
 
 const WORK = { promptTokens: 1, outputTokens: 1 };
-/** A host before one engine with one slot, which a call of its own has taken. */
+/** An entry host that knows one engine with one slot, which an own call has taken. */
 class SlotHost {
   readonly servers: ServerKeeper;
 
@@ -59,7 +59,7 @@
     return this.servers.findLoad('s-1')?.freeSlots ?? 0;
   }
 
-  /** An own call takes the slot and gives it back. */
+  /** Takes the slot for an own call and gives it back. */
   useSlot(): void {
     const load = this.servers.findLoad('s-1');
     load?.begin(WORK);
@@ -67,7 +67,7 @@
     this.slots.forward('s-1');
   }
 
-  /** Hears that calls wait at a peer. */
+  /** Receives a peer's report of waiting calls. */
   receiveWaitingReport(peer: SlotHost, urgency: number, inFlight = 0): void {
     this.servers.applyPeer(peer.incarnation, {
       ...NO_FIGURES,
@@ -88,11 +88,11 @@
   return hub.delivered.filter(({ message }) => message.type === PeerMessageType.FreedSlot).length;
 }
 
-t.test('a freed slot goes at once to the host whose call comes first', async (t) => {
-  // Symptom: under overload, urgent calls are refused while less urgent ones are served.
-  // Sequence: each of several hosts has a few calls waiting; a request ends at a host that
-  // has a less urgent one waiting, or none.
-  // Cause: whoever's request had ended filled the slot, and others heard of it too late.
+t.test('a freed slot is forwarded at once to the host with the most urgent call', async (t) => {
+  // Guards against refusing urgent calls under overload while less urgent ones are served. A
+  // few calls wait at each of several hosts, and a request ends at a host where only a less
+  // urgent call waits, or none. Without forwarding, that host fills the slot itself, and the
+  // others learn of it too late.
   const { hosts } = startHosts();
   const [a, b] = hosts as [SlotHost, SlotHost];
   a.urgency = 3;
@@ -106,7 +106,7 @@
   t.equal(b.dispatchCount, 1);
 });
 
-t.test('a host keeps a slot for a call of its own that is as urgent', async (t) => {
+t.test('a host keeps a slot for an own call that is as urgent', async (t) => {
   const { hub, hosts } = startHosts();
   const [a, b] = hosts as [SlotHost, SlotHost];
   a.urgency = 0;
@@ -117,7 +117,7 @@
   t.equal(a.freeSlots, 1);
 });
 
-t.test('one waiting call is handed one slot until its host reports again', async (t) => {
+t.test('a waiting call gets one forwarded slot until its host reports again', async (t) => {
   const { hub, hosts } = startHosts();
   const [a, b] = hosts as [SlotHost, SlotHost];
   a.receiveWaitingReport(b, 0);
@@ -128,8 +128,8 @@
   t.equal(countForwarded(hub), 1);
 });
 
-t.test('a slot is handed on a bounded number of times', async (t) => {
-  // Each host believes that another one has a more urgent call.
+t.test('a slot is forwarded a bounded number of times', async (t) => {
+  // Each host assumes that another host has a more urgent call.
   const { hub, hosts } = startHosts();
   hosts.forEach((host) => {
     hosts.filter((other) => other !== host).forEach((other) => host.receiveWaitingReport(other, 0));
--- a/src/application/direct/place_keeper_test.ts
+++ b/src/application/direct/place_keeper_test.ts
@@ -8,7 +8,7 @@
 import { settle } from '../../../test/support/virtual_clock.js';
 import { ErrorKind } from '../../domain/errors/mod.js';
 
-/** A host with a backend server in each of two zones. */
+/** Starts a host with one backend server in each of two zones. */
 async function startInTwoZones(t: Parameters<typeof startDirectHost>[0]): Promise<DirectHost> {
   const host = await startDirectHost(t, {}, ['s-1']);
   host.feed.put('servers/s-2', buildServer('s-2', { availabilityZone: 'hall-b' }));
@@ -30,8 +30,8 @@
   return host.servers.listCandidates('engines').map(({ id }) => id);
 }
 
-t.test('a closed zone gets no call, and gets them again once it is open', async (t) => {
-  // Guards against work for servers that operators have had evacuated.
+t.test('a closed zone gets no calls until it is reopened', async (t) => {
+  // Guards against sending work to servers that operators have evacuated.
   const host = await startInTwoZones(t);
   await closeZone(host, 'hall-a');
   t.same(listIds(host), ['s-2']);
@@ -44,7 +44,7 @@
   t.ok(host.log.lines.some(({ event }) => event === 'zone_opened'));
 });
 
-t.test('zones close and open apart, and again within a moment', async (t) => {
+t.test('zones close and open independently, and repeatedly within a short time', async (t) => {
   const host = await startInTwoZones(t);
   await closeZone(host, 'hall-a');
   await closeZone(host, 'hall-b');
@@ -57,9 +57,9 @@
 });
 
 t.test(
-  'a closure that can not be read closes, and one without a name changes nothing',
+  'an unreadable closure closes its zone, and one without a name changes nothing',
   async (t) => {
-    // Guards against doubt that opens what was closed.
+    // Guards against reopening a closed zone because its entry is unclear.
     const host = await startInTwoZones(t);
     await closeZone(host, 'hall-a', 'no object');
     await closeZone(host, '');
@@ -80,7 +80,7 @@
   t.same(listIds(late), []);
 });
 
-t.test('a zone that was opened while the history was dropped is open', async (t) => {
+t.test('a zone that was reopened in a gap of the change history is open', async (t) => {
   const host = await startInTwoZones(t);
   await closeZone(host, 'hall-a');
   host.knowledge.applyAll(
@@ -90,8 +90,8 @@
   t.same(listIds(host), ['s-1']);
 });
 
-t.test('servers of a closed zone are not told of as ended', async (t) => {
-  // Guards against a closure that peers take for the end of all its servers.
+t.test('servers of a closed zone are not reported as ended', async (t) => {
+  // Guards against peers that mistake a closure for the end of all servers in the zone.
   const host = await startInTwoZones(t);
   await closeZone(host, 'hall-a');
   host.feed.put('servers/s-1', buildServer('s-1', { slots: 3 }));
@@ -114,7 +114,7 @@
   },
 );
 
-t.test('a call that waits when its zone closes is not sent there', async (t) => {
+t.test('a waiting call is not sent to a zone that closes meanwhile', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1']);
   host.call();
   host.call();
@@ -126,8 +126,8 @@
   t.equal(waiting.error?.run, 'not_run');
 });
 
-t.test('a call is sent to servers of the regions alone that route and account allow', async (t) => {
-  // Guards against bodies that leave the regions which their owners are bound to.
+t.test('a call is sent only to servers in the allowed regions', async (t) => {
+  // Guards against request bodies that leave the regions to which their owners are bound.
   const host = await startDirectHost(t, { route: { regions: ['south', 'north'] } }, []);
   host.feed.put('servers/s-1', buildServer('s-1', { availabilityZone: 'far-a' }));
   host.feed.put('servers/s-2', buildServer('s-2', { availabilityZone: 'unknown' }));
--- a/src/application/direct/requests_in_doubt_test.ts
+++ b/src/application/direct/requests_in_doubt_test.ts
@@ -1,5 +1,5 @@
 /**
- * Requests of which it isn't known yet whether they end servers, over several entry hosts.
+ * Tests several entry hosts with requests that are suspected of crashing servers.
  *
  * @module
  */
@@ -23,7 +23,7 @@
   return fleet.countArrivals(body, fleet.findEndMs(body, 3) + PROPAGATION_MS);
 }
 
-/** Two contents whose calls always come together, one of which ends servers. */
+/** Calls two contents that always arrive together, one of which crashes servers. */
 async function callTogether(fleet: CrashFleet, rounds: number): Promise<FakeReply[]> {
   const replies: FakeReply[] = [];
   for (let round = 0; round < rounds; round += 1) {
@@ -34,8 +34,8 @@
   return replies;
 }
 
-t.test('of two contents that always run together the sound one is answered', async (t) => {
-  // Guards against an outage of whoever asks for what never ran anywhere but beside such a request.
+t.test('of two contents that always run together the harmless one is answered', async (t) => {
+  // Guards against an outage for callers of a content that only ever ran beside a crashing one.
   for (const isRepeatable of [true, false]) {
     const route = { isRepeatable };
     const fleet = await startFleet(t, { servers: 1, runMs: 300, route });
@@ -46,8 +46,8 @@
   }
 });
 
-t.test('what was answered for long and begins to end servers is held', async (t) => {
-  // Guards against a memory of answers that goes before what servers do now.
+t.test('a content that was answered for long and starts to crash is quarantined', async (t) => {
+  // Guards against earlier answers that outweigh what servers do now.
   const fleet = await startFleet(t, { turnsAfterMs: 5_000 });
   for (let round = 0; round < 200; round += 1) {
     fleet.call(round, 'turns');
@@ -58,8 +58,8 @@
   t.equal(fleet.call(0, 'turns').error?.kind, ErrorKind.RequestHeld);
 });
 
-t.test('a herd of the same request at all entry hosts makes few trials', async (t) => {
-  // Guards against each entry host trying for itself what comes to all of them at once.
+t.test('simultaneous repeats at all entry hosts cause few trials', async (t) => {
+  // Guards against each entry host running its own trial of a content that all receive at once.
   const fleet = await startFleet(t, { hosts: 20, servers: 30 });
   for (let round = 0; round < 15; round += 1) {
     for (let host = 0; host < 20; host += 1) fleet.call(host, 'ends');
@@ -68,8 +68,8 @@
   t.ok(countLateArrivals(fleet, 'ends') <= MAX_LATE_ARRIVALS);
 });
 
-t.test('an entry host that starts or comes back knows the trials of the others', async (t) => {
-  // Guards against trials that begin anew with each entry host that has not heard of them.
+t.test('an entry host that starts or reconnects knows the trials of the others', async (t) => {
+  // Guards against trials that start over at each entry host that has not received their results.
   const fleet = await startFleet(t, { servers: 4, slots: 1, runMs: 300, hosts: 3 });
   fleet.hub.partition(['h-3'], ['h-1', 'h-2']);
   for (let round = 0; round < 30; round += 1) {
@@ -88,8 +88,9 @@
   t.ok(fleet.countArrivals('ends') - before <= MAX_LATE_ARRIVALS);
 });
 
-t.test('the only entry host that is asked tries soon, whoever is first in line', async (t) => {
-  // Guards against a content that waits for an entry host to which nobody sends it.
+t.test('the only entry host that receives a content soon runs its trial', async (t) => {
+  // Guards against a content that waits for the first entry host in the trial queue, which may
+  // receive no call with that content.
   for (const host of [0, 1, 2, 3, 4, 5]) {
     const fleet = await startFleet(t, { servers: 6, route: { isRepeatable: true } });
     const first = fleet.call(host, 'sound');
--- a/src/application/direct/routing_keeper_test.ts
+++ b/src/application/direct/routing_keeper_test.ts
@@ -2,7 +2,7 @@
 import { buildDocument, startDirectHost } from '../../../test/support/direct_host.js';
 import { settle } from '../../../test/support/virtual_clock.js';
 
-t.test('RoutingKeeper puts a newer configuration in force, and never an older one', async (t) => {
+t.test('RoutingKeeper applies a newer configuration and never an older one', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1']);
   host.feed.put('configuration', buildDocument(7));
   await settle();
@@ -11,10 +11,10 @@
   t.equal(host.routing.table?.version, 7);
 });
 
-t.test('RoutingKeeper keeps the last good configuration, and trusts its keys less', async (t) => {
-  // Symptom: a configuration that can't be read ends the service, or hides a revocation.
-  // Sequence: operators publish something malformed.
-  // Cause: either it replaced what was in force, or what is in force was confirmed by it.
+t.test('RoutingKeeper keeps the last valid configuration, and trusts its keys less', async (t) => {
+  // Guards against an unreadable configuration that ends the service or hides a revocation.
+  // Operators publish malformed data; it must neither replace the configuration in effect nor
+  // confirm it.
   const host = await startDirectHost(t, {}, ['s-1']);
   await host.clock.advance(100);
   host.feed.put('configuration', 'no configuration');
@@ -24,7 +24,7 @@
   t.ok(host.log.lines.some(({ event }) => event === 'configuration_refused'));
 });
 
-t.test('RoutingKeeper gets older while the store is silent, and young again after', async (t) => {
+t.test('RoutingKeeper ages while the store is silent, and recovers afterwards', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1']);
   await host.clock.advance(1_000);
   t.equal(host.routing.computeAgeMs(), 1_000);
--- a/src/application/direct/server_ending_requests_test.ts
+++ b/src/application/direct/server_ending_requests_test.ts
@@ -1,5 +1,5 @@
 /**
- * Requests under which backend servers end, over several entry hosts.
+ * Tests several entry hosts with requests that crash backend servers.
  *
  * @module
  */
@@ -13,22 +13,22 @@
 import type { Route } from '../../domain/routing/mod.js';
 import type { DirectRequest } from '../../ports/mod.js';
 
-/** Time in which word of a third end reaches all entry hosts in touch, in milliseconds. */
+/** Time in which all connected entry hosts learn of a third crash, in milliseconds. */
 const PROPAGATION_MS = 3_000;
 
-/** Most times that such a request may reach servers after that. */
+/** Maximum number of times that a crashing request may reach servers after that time. */
 const MAX_LATE_ARRIVALS = 3;
 
 const CRASHING = 'ends its server';
 
-t.test('a request under which three servers have ended is sent to no more', async (t) => {
-  // Symptom: one request ended 26 servers within nine seconds, and calls beside it failed.
-  // Sequence: a server runs the request and ends; the entry host sends it to another one; the
-  // caller sends it again, under a new ID and to another entry host; each of them does the same.
-  // Cause: a run that ended its server was held against the server only, never against the request,
-  // and each repeat, under a new ID and at any entry host, began with a clean record.
-  // Proof: the same content was running at each end and was never answered, while most of what ran
-  // beside it was; held by its content at all entry hosts, it ends no more than three.
+t.test('a request that has crashed three servers is no longer sent', async (t) => {
+  // Guards against one request that crashed 26 servers within nine seconds, while calls beside
+  // it failed. A server runs the request and crashes; the entry host sends it to another server;
+  // the caller repeats it with a new ID at another entry host, and each of them does the same.
+  // A crash was counted only against the server and never against the request, so each repeat
+  // started with a clean record. The content that runs at each crash and is never answered,
+  // while most others that ran beside it are, identifies the request: quarantined by its content
+  // ID at all entry hosts, it crashes no more than three servers.
   const fleet = new CrashFleet(t, { hosts: 7, servers: 13, route: { isRepeatable: true } });
   await fleet.start();
   for (let round = 0; round < 60; round += 1) {
@@ -41,8 +41,8 @@
   t.ok(fleet.countArrivals(CRASHING, thirdEndMs + PROPAGATION_MS) <= MAX_LATE_ARRIVALS);
 });
 
-t.test('a request that servers answer with an error at times is held all the same', async (t) => {
-  // Guards against a request that goes on ending servers since some answer it with an error.
+t.test('a request that is sometimes answered with an error is still quarantined', async (t) => {
+  // Guards against a request that keeps crashing servers because some answer it with an error.
   for (const seed of [1, 2, 3, 4, 5, 6]) {
     const route = { isRepeatable: seed % 2 === 0 };
     const fleet = new CrashFleet(t, { hosts: 6, servers: 14, errorShare: 1 / 3, seed, route });
@@ -61,8 +61,8 @@
   }
 });
 
-t.test('an answer that its server ends instead of finishing clears nothing', async (t) => {
-  // Guards against a server's end that looks like the end of an answer without a length.
+t.test('an answer that a crash cuts off does not clear its content', async (t) => {
+  // Guards against a crash that looks like the end of an answer without a length.
   for (const seed of [1, 2, 3, 4, 5, 6]) {
     const fleet = new CrashFleet(t, { hosts: 6, servers: 14, unframedShare: 1 / 3, seed });
     await fleet.start();
@@ -79,7 +79,7 @@
 });
 
 t.test(
-  'it is found on routes of every kind, and its callers hear that it was not run',
+  'a crashing request is quarantined on all kinds of routes, and refused as not run',
   async (t) => {
     const kinds: readonly { name: string; route: Partial<Route>; call?: Partial<DirectRequest> }[] =
       [
@@ -114,11 +114,10 @@
   },
 );
 
-t.test('several of them at once are found, and nothing that ran beside them is held', async (t) => {
-  // Symptom: calls are refused for the ends of servers at which they only happened to run.
-  // Sequence: three requests that end servers come at the same time, among many others; calls
-  // break off at one server, are sent again, and break off at the next.
-  // Cause: whatever was running at three ends was taken for their cause.
+t.test('several crashing requests are identified, and harmless ones are not held', async (t) => {
+  // Guards against refusing calls because servers crashed at which they merely ran. Three
+  // crashing requests arrive at the same time among many others; calls break off at one server,
+  // are retried, and break off at the next. What ran at three crashes is not always their cause.
   for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
     const random = new SeededRandom(seed);
     const fleet = new CrashFleet(t, { hosts: 5, servers: 13, route: { isRepeatable: true } });
@@ -142,10 +141,10 @@
   }
 });
 
-t.test('a popular request that runs at all servers of a failing rack is not held', async (t) => {
-  // Symptom: after a rack has failed, what most callers ask for is refused.
-  // Sequence: it was running at each server of the rack.
-  // Cause: ends that came together were counted as if it had been sent to one after the other.
+t.test('a popular request on all servers of a failing rack is not quarantined', async (t) => {
+  // Guards against refusing the most requested content after a rack failure. The content ran at
+  // each server of the rack; simultaneous crashes must not count like crashes at one server
+  // after the other.
   const fleet = new CrashFleet(t, {
     hosts: 3,
     servers: 9,
@@ -168,10 +167,9 @@
   t.same(held, []);
 });
 
-t.test('servers that leave as planned, one after the other, hold nothing', async (t) => {
-  // Symptom: a long request is refused during a release.
-  // Sequence: each server that it is given is replaced, and closes what it didn't finish.
-  // Cause: a planned end was taken for one under a request.
+t.test('servers that drain one after the other quarantine nothing', async (t) => {
+  // Guards against refusing a long request during a rolling release. Each server that receives
+  // it is replaced and closes unfinished requests; a planned end is no crash.
   const fleet = new CrashFleet(t, {
     hosts: 2,
     servers: 6,
@@ -191,11 +189,10 @@
   t.equal(reply.error, undefined);
 });
 
-t.test('connections that are cut hold nothing, whatever the cut looks like', async (t) => {
-  // Symptom: an entry host that was cut off has all others refuse what it had under way.
-  // Sequence: its connections are reset again and again, and new ones are refused, though the
-  // servers live; others hear of it and believe it.
-  // Cause: what one entry host sees of its links was taken for what the servers do.
+t.test('connections that are cut quarantine nothing, whatever the cut looks like', async (t) => {
+  // Guards against a partitioned entry host that makes all others refuse its requests. Its
+  // connections are reset repeatedly and new ones are refused although the servers are alive.
+  // What one entry host observes of its links does not show what the servers do.
   const fleet = new CrashFleet(t, { hosts: 3, servers: 5, runMs: 400, route: { maxAttempts: 1 } });
   await fleet.start();
   const [cut] = fleet.hosts as [DirectHost];
@@ -218,10 +215,10 @@
   t.same(cut.log.list('request_held'), []);
 });
 
-t.test('an entry host that starts later, or was cut off, holds what the others hold', async (t) => {
-  // Symptom: a request that all others refuse ends further servers through one entry host.
-  // Sequence: that one had just started, or was without links when the servers ended.
-  // Cause: word of the ends was sent once, to those that were there.
+t.test('an entry host that starts or reconnects later quarantines the same content', async (t) => {
+  // Guards against a request that all other entry hosts refuse but one still sends. That one had
+  // just started, or had no links when the servers crashed; crash notes that are sent only once,
+  // to the hosts connected at that time, would miss it.
   const fleet = new CrashFleet(t, { hosts: 3, servers: 12 });
   await fleet.start();
   fleet.hub.partition(['h-3'], ['h-1', 'h-2']);
@@ -238,7 +235,7 @@
   t.equal(fleet.countArrivals(CRASHING), before);
 });
 
-t.test('a call that waits hears at once that its like is held', async (t) => {
+t.test('a waiting call is refused at once when its content is quarantined', async (t) => {
   const fleet = new CrashFleet(t, { hosts: 1, servers: 4, slots: 1, route: { timeoutMs: 60_000 } });
   await fleet.start();
   for (let round = 0; round < 2; round += 1) {
@@ -253,17 +250,14 @@
   t.equal(waiting.error?.kind, ErrorKind.RequestHeld);
 });
 
-t.test(
-  'a request is held no more once it has not come for long, and comes through again',
-  async (t) => {
-    const fleet = new CrashFleet(t, { hosts: 2, servers: 8 });
-    await fleet.start();
-    for (let round = 0; round < 4; round += 1) {
-      fleet.call(round, CRASHING);
-      await fleet.clock.advance(300);
-    }
-    t.equal(fleet.call(0, CRASHING).error?.kind, ErrorKind.RequestHeld);
-    await fleet.clock.advance(REMEMBERED_MS + PROPAGATION_MS);
-    t.equal(fleet.call(0, CRASHING).error, undefined);
-  },
-);
+t.test('a content is released from quarantine after it was not requested for long', async (t) => {
+  const fleet = new CrashFleet(t, { hosts: 2, servers: 8 });
+  await fleet.start();
+  for (let round = 0; round < 4; round += 1) {
+    fleet.call(round, CRASHING);
+    await fleet.clock.advance(300);
+  }
+  t.equal(fleet.call(0, CRASHING).error?.kind, ErrorKind.RequestHeld);
+  await fleet.clock.advance(REMEMBERED_MS + PROPAGATION_MS);
+  t.equal(fleet.call(0, CRASHING).error, undefined);
+});
--- a/src/application/direct/server_ending_storms_test.ts
+++ b/src/application/direct/server_ending_storms_test.ts
@@ -1,15 +1,15 @@
 /**
- * Many requests that end servers, failing racks and sound requests all at once.
+ * Tests many crashing requests, failing racks and harmless requests at the same time.
  *
  * @module
  */
 import t from 'tap';
 import { playStorm } from '../../../test/support/crash_storm.js';
 
-/** Rounds before the first trouble, in which what many callers ask for is answered. */
+/** Rounds before the first failure, in which popular contents are answered. */
 const CALM_ROUNDS = 20;
 
-t.test('in a storm of failures what ends servers is held, and nothing else', async (t) => {
+t.test('a storm of failures quarantines crashing contents and nothing else', async (t) => {
   for (let seed = 1; seed <= 30; seed += 1) {
     t.same(
       await playStorm(t, { seed, calmRounds: CALM_ROUNDS }),
@@ -19,44 +19,45 @@
   }
 });
 
-t.test('in a storm of three such requests none is sent on too often', async (t) => {
-  // Symptom: one of them ends four servers more than three seconds after its third.
-  // Sequence: three such requests and failing racks take most of eleven servers at once; what
-  // ran beside each other is told apart late.
+t.test('a storm of three crashing contents sends none of them too often', async (t) => {
+  // Guards against a content that crashes four servers more than three seconds after its third
+  // crash. Three crashing contents and failing racks take down most of eleven servers at once,
+  // so contents that ran beside each other are told apart late.
   t.same(await playStorm(t, { seed: 85, calmRounds: CALM_ROUNDS }), { heldSound: [], sentOn: [] });
 });
 
-t.test('a storm from the first second on has nothing held that was never answered', async (t) => {
-  // Symptom: what many callers ask for is held.
-  // Sequence: several such requests take all servers down from the first second on; nothing of
-  // it was ever answered, and it ran beside each of them.
+t.test('a storm from the first second on quarantines no harmless content', async (t) => {
+  // Guards against quarantining popular contents. Several crashing contents take down all
+  // servers from the first second on, so a popular content was never answered and ran beside
+  // each of them.
   t.same(await playStorm(t, { seed: 1, calmRounds: 0 }), { heldSound: [], sentOn: [] });
 });
 
-t.test('fresh storms in which trials went wrong have nothing sound held', async (t) => {
-  // Guards against trials that show nothing: stalled, at a failing rack, or of callers who left.
+t.test('storms with failed trials quarantine no harmless content', async (t) => {
+  // Guards against trials without a result: stalled, at a failing rack, or of callers that
+  // disconnected.
   for (const seed of [16, 41, 199, 375, 1_149]) {
     t.same(await playStorm(t, { seed, calmRounds: 0 }), { heldSound: [], sentOn: [] }, `${seed}`);
   }
 });
 
-t.test('a storm in which servers answer errors, too, sends nothing on too often', async (t) => {
-  // Guards against errors that clear a content, in storms of several such requests.
+t.test('a storm with error answers sends no crashing content too often', async (t) => {
+  // Guards against error answers that clear a content, with several crashing contents.
   for (const seed of [1_003, 1_014, 1_029]) {
     const { sentOn } = await playStorm(t, { seed, calmRounds: 20, errorShare: 1 / 3 });
     t.same(sentOn, [], `${seed}`);
   }
 });
 
-t.test('a storm in which a server fails under a trial has nothing sound held', async (t) => {
-  // Guards against an end that only happened during a trial and is taken for its doing.
+t.test('a storm with a server failure during a trial holds no harmless content', async (t) => {
+  // Guards against a crash that only coincides with a trial and is attributed to its content.
   for (const seed of [2_160, 2_269, 3_256]) {
     t.same(await playStorm(t, { seed, calmRounds: 0 }), { heldSound: [], sentOn: [] }, `${seed}`);
   }
 });
 
 t.test('a storm in which servers fail by themselves twice has nothing sound held', async (t) => {
-  // Guards against two ends beside one content that are taken for its doing.
+  // Guards against two crashes that only coincide with one content and are attributed to it.
   for (const seed of [2_145, 4_357]) {
     t.same(await playStorm(t, { seed, calmRounds: 0 }), { heldSound: [], sentOn: [] }, `${seed}`);
   }
--- a/src/application/direct/waiting_notices_test.ts
+++ b/src/application/direct/waiting_notices_test.ts
@@ -30,11 +30,10 @@
     .length;
 }
 
-t.test('peers hear at once that a fresh call waits', async (t) => {
-  // Symptom: fresh calls are refused while late ones of the same route are served.
-  // Sequence: a fresh call begins to wait right after its host's report; before the next
-  // one, another host's request ends, and its slot goes to a late call there.
-  // Cause: peers knew of waiting calls from reports alone.
+t.test('peers learn at once that a fresh call waits', async (t) => {
+  // Guards against refusing fresh calls while late ones of the same route are served. A fresh
+  // call starts to wait right after its host's report; before the next report, a request of
+  // another host ends, and its slot goes to a late call there. Reports alone are too slow.
   const clock = new VirtualClock();
   const hub = new FakePeerHub();
   const a = startHost(hub, clock, 'a');
@@ -45,7 +44,7 @@
   t.match(b.servers.peers.findFirstWaiting('engines'), { source: a.incarnation, urgency: 2 });
 });
 
-t.test('only calls that go before what was told are worth a notice', async (t) => {
+t.test('only calls more urgent than the last notice cause another notice', async (t) => {
   const clock = new VirtualClock();
   const hub = new FakePeerHub();
   const a = startHost(hub, clock, 'a');
@@ -60,7 +59,7 @@
   t.equal(countNotices(hub), 2);
 });
 
-t.test('notices are bounded by the number of peers', async (t) => {
+t.test('the rate of notices is bounded by the number of peers', async (t) => {
   const clock = new VirtualClock();
   const hub = new FakePeerHub();
   const [a] = Array.from({ length: 9 }, (_value, index) => startHost(hub, clock, `host-${index}`));
@@ -68,6 +67,6 @@
     a?.waitingNotices.notifyPeers('engines', { size: 1, firstUrgency: urgency });
     await clock.advance(2);
   }
-  // One second, eight peers, one notice in 40 ms.
+  // In one second, eight peers each receive at most one notice per 40 ms.
   t.ok(countNotices(hub) <= 8 * 25, String(countNotices(hub)));
 });
--- a/src/application/direct/warmup_guard_test.ts
+++ b/src/application/direct/warmup_guard_test.ts
@@ -7,12 +7,12 @@
 import type { DirectHost } from '../../../test/support/direct_host.js';
 import { settle } from '../../../test/support/virtual_clock.js';
 
-/** One of the eight hosts that may send to it sends two requests a second of the 32 that it bears. */
+/** Of 32 requests a second, each of the eight hosts that may send to the server sends two. */
 const WARMUP_LIMIT = { durationMs: 3_000, requestsPerSecond: 32 };
 
 const SEND_INTERVAL_MS = 525;
 
-/** A host with one server of many slots. */
+/** Starts a host with one server that has many slots. */
 async function startHostWithServer(
   t: Parameters<typeof startDirectHost>[0],
   warmupLeftMs: number,
@@ -32,7 +32,7 @@
 }
 
 t.test('a cold server is filled slowly until it is warm', async (t) => {
-  // Guards against servers that fall over since they are filled right after their start.
+  // Guards against overloading servers right after their start.
   const host = await startHostWithServer(t, 3_000);
   callMany(host, 5);
   t.equal(host.backend.sent.length, 1);
@@ -46,7 +46,7 @@
   t.equal(host.backend.sent.length, before + 20);
 });
 
-t.test('a server that turns cold again is slowed down from its entry on', async (t) => {
+t.test('a server that turns cold again is slowed down as soon as its entry says so', async (t) => {
   const host = await startHostWithServer(t, 0);
   callMany(host, 4);
   t.equal(host.backend.sent.length, 4);
@@ -60,8 +60,8 @@
   t.equal(host.backend.sent.length >= 8, true);
 });
 
-t.test('servers of a zone that was opened count as cold whatever their entries say', async (t) => {
-  // Guards against servers that turned cold unseen: their entries say so a heartbeat later.
+t.test('servers of a reopened zone count as cold whatever their entries say', async (t) => {
+  // Guards against servers that turned cold unnoticed: their entries report it one heartbeat later.
   const host = await startHostWithServer(t, 0);
   host.feed.put(`${CLOSED_ZONES_PREFIX}hall-a`, {});
   await settle();
@@ -75,7 +75,7 @@
 });
 
 t.test('a host that has not settled sends nothing to a cold server', async (t) => {
-  // Guards against many hosts that start at once and each know only themselves.
+  // Guards against many hosts that start at the same time and each know only themselves.
   const host = await startHostWithServer(t, 3_000);
   host.isSettled = false;
   callMany(host, 3);
@@ -85,7 +85,7 @@
   t.equal(host.backend.sent.length, 1);
 });
 
-t.test('services without a bound are filled at once', async (t) => {
+t.test('services without a warmup limit are filled at once', async (t) => {
   const host = await startDirectHost(t, {}, []);
   host.feed.put('servers/s-1', buildServer('s-1', { slots: 100, warmupLeftMs: 3_000 }));
   await settle();
