--- a/src/application/direct/_call_recorder.ts
+++ b/src/application/direct/_call_recorder.ts
@@ -50,7 +50,7 @@
    *
    * @param backendServer - incarnation ID of the backend server
    * @param attempt - number of the attempt, from 1
-   * @param end - result of the attempt
+   * @param result - result of the attempt
    */
   recordAttemptFailure(
     backendServer: string,
--- a/src/application/direct/_run_evidence.ts
+++ b/src/application/direct/_run_evidence.ts
@@ -67,7 +67,7 @@
 /**
  * Tells whether an attempt may have run the request.
  *
- * @param end - result of the attempt
+ * @param result - result of the attempt
  * @returns whether the backend server may have run it
  */
 export function mayAttemptHaveRun({ failure }: Pick<AttemptResult, 'failure'>): boolean {
--- a/src/application/direct/server_ending_requests_test.ts
+++ b/src/application/direct/server_ending_requests_test.ts
@@ -114,7 +114,7 @@
   },
 );
 
-t.test('several crashing requests are identified, and harmless ones are not held', async (t) => {
+t.test('several crashing requests are quarantined, and no harmless ones', async (t) => {
   // Guards against refusing calls because servers crashed at which they merely ran. Three
   // crashing requests arrive at the same time among many others; calls break off at one server,
   // are retried, and break off at the next. What ran at three crashes is not always their cause.
--- a/src/application/direct/server_ending_storms_test.ts
+++ b/src/application/direct/server_ending_storms_test.ts
@@ -49,7 +49,7 @@
   }
 });
 
-t.test('a storm with a server failure during a trial holds no harmless content', async (t) => {
+t.test('a server failure during a trial quarantines no harmless content', async (t) => {
   // Guards against a crash that only coincides with a trial and is attributed to its content.
   for (const seed of [2_160, 2_269, 3_256]) {
     t.same(await playStorm(t, { seed, calmRounds: 0 }), { heldSound: [], sentOn: [] }, `${seed}`);
--- a/src/application/direct/service_line.ts
+++ b/src/application/direct/service_line.ts
@@ -50,7 +50,7 @@
    *
    * @param estimatedWaitMs - estimated wait for a slot, in milliseconds
    */
-  shed(clearMs: number): void;
+  shed(estimatedWaitMs: number): void;
 }
 
 /** Dependencies of {@link ServiceQueue}. */
--- a/src/application/direct/waiting_notices.ts
+++ b/src/application/direct/waiting_notices.ts
@@ -71,7 +71,7 @@
     const lastSent = this.#lastSent.get(serviceId) ?? NEVER_SENT;
     const sinceMs = nowMs - lastSent.sentAtMs;
     if (sinceMs < Math.max(MIN_INTERVAL_MS, INTERVAL_PER_PEER_MS * linked.length)) return;
-    // Until the next report replaces it, the last notice still covers calls that are less urgent.
+    // Until the next report replaces it, the last notice covers calls that are no more urgent.
     if (sinceMs < REPORT_INTERVAL_MS && lastSent.urgency <= firstUrgency) return;
     this.#lastSent.set(serviceId, { urgency: firstUrgency, sentAtMs: nowMs });
     const type = PeerMessageType.WaitingNotice;
