--- a/src/application/direct/_backend_request.ts
+++ b/src/application/direct/_backend_request.ts
@@ -1,5 +1,5 @@
 /**
- * What a backend server is sent of a call.
+ * Builds the request that one attempt of a call sends to a backend server.
  *
  * @module
  */
@@ -8,25 +8,25 @@
 import type { BackendRequest, DirectRequest } from '../../ports/mod.js';
 import type { StreamRelay } from './_answer_relay.js';
 
-/** A call as far as its backend server learns of it. */
-export interface SentCall {
+/** The parts of a call that a backend server receives. */
+export interface OutgoingCall {
   readonly request: DirectRequest;
   readonly account: ClientAccount | undefined;
-  /** Time that its caller still waits, in milliseconds. */
-  readonly leftMs: number;
-  /** The stream that goes on, where this is not the first try. */
+  /** Time left until the call's deadline, in milliseconds. */
+  readonly timeLeftMs: number;
+  /** The stream that this attempt continues; undefined on a first attempt. */
   readonly stream: StreamRelay | undefined;
 }
 
 /**
- * Builds one try's request.
+ * Builds the request of one attempt.
  *
  * @param call - the call
- * @param server - where it is sent
+ * @param server - registry entry of the backend server that the request is sent to
  * @returns the request
  */
 export function buildBackendRequest(
-  { request, account, leftMs, stream }: SentCall,
+  { request, account, timeLeftMs, stream }: OutgoingCall,
   { id, serverId, address }: BackendServerEntry,
 ): BackendRequest {
   return {
@@ -35,7 +35,7 @@
     serverId,
     lifeId: id,
     accountId: account?.id,
-    deadlineMs: Math.max(1, Math.floor(leftMs)),
+    deadlineMs: Math.max(1, Math.floor(timeLeftMs)),
     lastEventId: stream?.lastEventId ?? request.lastEventId,
   };
 }
--- a/src/application/direct/_call_recorder.ts
+++ b/src/application/direct/_call_recorder.ts
@@ -1,15 +1,15 @@
 /**
- * Log lines and metrics of one call.
+ * Writes the log lines and metrics of one call.
  *
  * @module
  */
 import { LogLevel } from '../../domain/errors/mod.js';
 import type { ClientAccount, Route } from '../../domain/routing/mod.js';
 import type { DirectRequest, LogFields } from '../../ports/mod.js';
-import type { AttemptEnd } from './_direct_attempt.js';
+import type { AttemptResult } from './_direct_attempt.js';
 import type { DirectServices } from './direct_services.js';
 
-/** Whose call is recorded. */
+/** The call to record, and where the log and metrics go. */
 export interface CallRecorderOptions {
   readonly services: DirectServices;
   readonly request: DirectRequest;
@@ -19,53 +19,63 @@
   readonly arrivedAtMs: number;
 }
 
-/** Writes one line a decision, with the request's ID and what decided. */
+/** Logs each decision on a call with its request ID and the values that the decision used. */
 export class CallRecorder {
   readonly #options: CallRecorderOptions;
 
-  /** @param options - whose call */
+  /** @param options - the call to record */
   constructor(options: CallRecorderOptions) {
     this.#options = options;
   }
 
   /**
-   * @param backendServer - whom it is sent to
-   * @param inputs - what decided
+   * Records that the call is sent to a backend server.
+   *
+   * @param backendServer - incarnation ID of the backend server
+   * @param details - values that the decision used
    */
-  noteDispatch(backendServer: string, inputs: LogFields): void {
+  recordDispatch(backendServer: string, details: LogFields): void {
     const { routing } = this.#options.services;
     this.#write('call_dispatched', {
       backendServer,
-      ...inputs,
-      waitedMs: this.#measureMs(),
+      ...details,
+      waitedMs: this.#computeElapsedMs(),
       configurationVersion: routing.table?.version,
       configurationAgeMs: Math.round(routing.computeAgeMs()),
     });
   }
 
   /**
-   * @param backendServer - whom it was sent to
-   * @param attempt - number of the try
-   * @param end - how it ended
+   * Records a failed attempt.
+   *
+   * @param backendServer - incarnation ID of the backend server
+   * @param attempt - number of the attempt, from 1
+   * @param result - result of the attempt
    */
-  noteFailure(backendServer: string, attempt: number, { failure, reason }: AttemptEnd): void {
+  recordAttemptFailure(
+    backendServer: string,
+    attempt: number,
+    { failure, reason }: AttemptResult,
+  ): void {
     this.#write('attempt_failed', { backendServer, failure, reason, attempt });
     this.#options.services.metrics.count('attempts_failed_total', { failure: String(failure) });
   }
 
   /**
-   * @param event - how the call ended
-   * @param fields - what decided
+   * Records the end of the call.
+   *
+   * @param event - log event that says how the call ended
+   * @param fields - values that the decision used
    */
-  noteEnd(event: string, fields: LogFields): void {
+  recordEnd(event: string, fields: LogFields): void {
     const { metrics } = this.#options.services;
-    const totalMs = this.#measureMs();
+    const totalMs = this.#computeElapsedMs();
     this.#write(event, { totalMs, ...fields });
     metrics.count('calls_ended_total', { event, kind: String(fields.kind ?? 'none') });
     metrics.record('call_duration_ms', totalMs, { event });
   }
 
-  #measureMs(): number {
+  #computeElapsedMs(): number {
     return Math.round(this.#options.services.clock.nowMs() - this.#options.arrivedAtMs);
   }
 
@@ -82,17 +92,19 @@
 }
 
 /**
- * @param serverId - life of the backend server that has answered
- * @param end - how the try ended
- * @returns fields of the call's last log line
+ * Builds the fields of the log line that ends an answered call.
+ *
+ * @param serverId - incarnation ID of the backend server that answered
+ * @param result - result of the attempt
+ * @returns the log fields
  */
-export function buildAnswerFields(serverId: string, end: AttemptEnd): LogFields {
+export function buildAnswerFields(serverId: string, result: AttemptResult): LogFields {
   return {
     backendServer: serverId,
-    status: end.status,
-    firstByteMs: Math.round(end.firstByteMs),
-    predictedFirstByteMs: Math.round(end.predictedMs),
-    outputTokens: end.outputTokens,
-    longestPauseMs: end.stream && Math.round(end.stream.longestPauseMs),
+    status: result.status,
+    firstByteMs: Math.round(result.firstByteMs),
+    predictedFirstByteMs: Math.round(result.predictedFirstByteMs),
+    outputTokens: result.outputTokens,
+    longestPauseMs: result.stream && Math.round(result.stream.longestPauseMs),
   };
 }
--- a/src/application/direct/_doubt_wait.ts
+++ b/src/application/direct/_doubt_wait.ts
@@ -1,5 +1,5 @@
 /**
- * The wait of a call whose content is in doubt.
+ * Makes a call wait while its content is on probation.
  *
  * @module
  */
@@ -7,48 +7,51 @@
 import { ErrorKind, SchedulerError } from '../../domain/errors/mod.js';
 import type { DirectCallOptions } from './direct_call_options.js';
 
-/** Advice to callers whose time to wait is over, in milliseconds. */
-const RETURN_MS = 1_000;
+/** Retry-after time of callers whose wait expired, in milliseconds. */
+const RETRY_AFTER_MS = 1_000;
 
-/** What becomes of the wait: one of both, at most once. */
-export interface DoubtWaitHandlers {
-  /** It may ask for leave again. */
+/** Handlers for the end of the wait. At most one of them is called, and only once. */
+export interface ProbationWaitHandlers {
+  /** Called when the call may ask for a pass again. */
   readonly onResume: () => void;
-  /** @param error - what its caller hears */
+  /** @param error - refusal to send to the caller */
   readonly onExpired: (error: SchedulerError) => void;
 }
 
-/** Waits while another request of the same content shows whether that ends servers. */
-export class DoubtWait {
-  readonly #end: () => void;
+/**
+ * Waits while another request with the same content runs as a trial, which shows whether the
+ * content crashes backend servers.
+ */
+export class ProbationWait {
+  readonly #cancel: () => void;
 
   /**
    * @param options - the call
-   * @param endsAtMs - when its caller gives up, on the monotonic clock
-   * @param handlers - what becomes of it
+   * @param deadlineAtMs - when the call times out, on the monotonic clock in milliseconds
+   * @param handlers - called at the end of the wait
    */
   constructor(
     { services, contentId }: DirectCallOptions,
-    endsAtMs: number,
-    handlers: DoubtWaitHandlers,
+    deadlineAtMs: number,
+    handlers: ProbationWaitHandlers,
   ) {
     const { clock, crashes } = services;
-    const timer = clock.setTimer(computeDoubtWaitMs(endsAtMs - clock.nowMs()), () => {
-      this.#end();
-      handlers.onExpired(new SchedulerError(ErrorKind.QueueFull, { retryAfterMs: RETURN_MS }));
+    const timer = clock.setTimer(computeDoubtWaitMs(deadlineAtMs - clock.nowMs()), () => {
+      this.#cancel();
+      handlers.onExpired(new SchedulerError(ErrorKind.QueueFull, { retryAfterMs: RETRY_AFTER_MS }));
     });
-    const cancel = crashes.waitForPass(contentId, () => {
+    const cancelPassWait = crashes.waitForPass(contentId, () => {
       timer.cancel();
       handlers.onResume();
     });
-    this.#end = () => {
+    this.#cancel = () => {
       timer.cancel();
-      cancel();
+      cancelPassWait();
     };
   }
 
-  /** Waits no more. */
-  end(): void {
-    this.#end();
+  /** Cancels the wait. Neither handler is called afterwards. */
+  cancel(): void {
+    this.#cancel();
   }
 }
--- a/src/application/direct/_run_evidence.ts
+++ b/src/application/direct/_run_evidence.ts
@@ -1,28 +1,31 @@
 /**
- * What the runs of one call say about its content.
+ * Reports what the attempts of one call show about its content.
  *
  * @module
  */
 import { BackendFailure } from '../../ports/mod.js';
 import { isSuccess } from '../crashes/mod.js';
-import type { AttemptEnd } from './_direct_attempt.js';
+import type { AttemptResult } from './_direct_attempt.js';
 import type { DirectServices } from './direct_services.js';
 
-const NOT_RUN: ReadonlySet<BackendFailure> = new Set([
+const NOT_RUN_FAILURES: ReadonlySet<BackendFailure> = new Set([
   BackendFailure.NotSent,
   BackendFailure.Declined,
   BackendFailure.Misdirected,
 ]);
 
-/** Tells of runs under which their server may have ended, and of those that were answered. */
-export class RunEvidence {
+/**
+ * Reports attempts whose backend server may have crashed, and those that were answered, to the
+ * crash keeper.
+ */
+export class CrashEvidence {
   readonly #services: DirectServices;
 
   readonly #contentId: string;
 
   /**
-   * @param services - where it is kept
-   * @param contentId - the call's content
+   * @param services - give access to the crash keeper and the backend servers
+   * @param contentId - content ID of the call
    */
   constructor(services: DirectServices, contentId: string) {
     this.#services = services;
@@ -30,22 +33,28 @@
   }
 
   /**
-   * @param serverId - life of the backend server that it ran at
-   * @param end - how that ended
+   * Reports the result of an attempt.
+   *
+   * @param serverId - incarnation ID of the backend server
+   * @param result - result of the attempt
    */
-  note(serverId: string, end: AttemptEnd): void {
+  recordAttempt(serverId: string, result: AttemptResult): void {
     const { clock, crashes } = this.#services;
     const contentId = this.#contentId;
-    const startedAtMs = clock.nowMs() - end.totalMs;
-    if (end.isWhole) {
-      const hasSucceeded = end.failure === undefined && end.isFramed && isSuccess(end.status);
+    const startedAtMs = clock.nowMs() - result.totalMs;
+    if (result.isComplete) {
+      const hasSucceeded =
+        result.failure === undefined && result.isFramed && isSuccess(result.status);
       crashes.noteAnswered({ contentId, serverId, startedAtMs, hasSucceeded });
     }
-    if (end.failure === BackendFailure.Lost) this.#noteLost(serverId, startedAtMs);
+    if (result.failure === BackendFailure.Lost) this.#recordLostRun(serverId, startedAtMs);
   }
 
-  /** A server that leaves as planned may close what it didn't finish; nobody ended it. */
-  #noteLost(serverId: string, startedAtMs: number): void {
+  /**
+   * Reports a lost connection as a possible crash. A draining backend server is skipped: it may
+   * close connections with unfinished requests without having crashed.
+   */
+  #recordLostRun(serverId: string, startedAtMs: number): void {
     const { clock, crashes, servers } = this.#services;
     const address = servers.find(serverId)?.address;
     if (address === undefined || !servers.isUsable(serverId)) return;
@@ -56,9 +65,11 @@
 }
 
 /**
- * @param end - how a try ended
- * @returns whether its server may have run the request
+ * Tells whether an attempt may have run the request.
+ *
+ * @param result - result of the attempt
+ * @returns whether the backend server may have run it
  */
-export function hasRun({ failure }: Pick<AttemptEnd, 'failure'>): boolean {
-  return failure === undefined || !NOT_RUN.has(failure);
+export function mayAttemptHaveRun({ failure }: Pick<AttemptResult, 'failure'>): boolean {
+  return failure === undefined || !NOT_RUN_FAILURES.has(failure);
 }
--- a/src/application/direct/_warmup_guard.ts
+++ b/src/application/direct/_warmup_guard.ts
@@ -1,5 +1,5 @@
 /**
- * Which backend servers warm up, and how fast this entry host may fill them.
+ * Tracks which backend servers are warming up and limits how fast this entry host sends to them.
  *
  * @module
  */
@@ -11,47 +11,56 @@
 import type { Clock, EventLog } from '../../ports/mod.js';
 import type { PlaceKeeper } from './place_keeper.js';
 
-/** Entry hosts as the shares are drawn from them. */
+/** The entry hosts among which the right to send to a cold backend server is shared. */
 export interface WarmupHosts {
-  /** Name of this entry host. */
+  /** ID of this entry host. */
   readonly selfId: string;
-  /** @returns all others that are known, also silent ones; the same array until any of them changes */
+  /**
+   * @returns all other known entry hosts, including silent ones; the same array until any of
+   *   them changes
+   */
   readonly listKnown: () => readonly HostState[];
-  /** @returns whether this entry host has been there for long enough to know them all */
+  /** @returns whether this entry host has been up for long enough to know all others */
   readonly isSettled: () => boolean;
 }
 
-/** What the guard needs. */
+/** Dependencies of {@link WarmupGuard}. */
 export interface WarmupGuardOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly places: PlaceKeeper;
   readonly hosts: WarmupHosts;
-  /** @param serviceId - which service. @returns what its servers bear while they warm up; undefined: anything */
+  /**
+   * @param serviceId - ID of the service
+   * @returns load limit of its backend servers while they warm up; undefined: no limit
+   */
   readonly findWarmupBound: (serviceId: string) => WarmupBound | undefined;
 }
 
-interface SenderNote {
-  readonly hosts: readonly HostState[];
+interface CachedSenderRole {
+  readonly knownHosts: readonly HostState[];
   readonly isSender: boolean;
 }
 
-/** Keeps until when servers are cold, and slows their filling down. */
+/** Tracks until when backend servers are cold, and sets the pace at which they receive requests. */
 export class WarmupGuard {
   readonly #options: WarmupGuardOptions;
 
-  /** When servers are warm by their entries, by life; only those that were cold. */
+  /**
+   * When backend servers become warm according to their registry entries, by incarnation ID.
+   * Holds only servers that were reported as cold.
+   */
   readonly #warmAtMs = new Map<string, number>();
 
-  /** Whether this entry host may send to a cold server, by life. */
-  readonly #senders = new Map<string, SenderNote>();
+  /** Whether this entry host may send to a cold backend server, by incarnation ID. */
+  readonly #senderRoles = new Map<string, CachedSenderRole>();
 
-  /** @param options - what the guard needs */
+  /** @param options - dependencies */
   constructor(options: WarmupGuardOptions) {
     this.#options = options;
   }
 
-  /** @param entry - a server's entry as it was just read */
+  /** @param entry - registry entry that was just read */
   noteEntry({ id, serviceId, warmupLeftMs }: BackendServerEntry): void {
     const { clock, log, findWarmupBound } = this.#options;
     const wasCold = this.#warmAtMs.has(id);
@@ -68,52 +77,55 @@
     });
   }
 
-  /** @param id - a life that is over */
+  /** @param id - ID of an incarnation that has ended */
   forget(id: string): void {
     this.#warmAtMs.delete(id);
-    this.#senders.delete(id);
+    this.#senderRoles.delete(id);
   }
 
-  /** @param entry - a server. @returns whether it warms up now */
+  /** @param entry - registry entry of a server. @returns whether the server is warming up now */
   isCold(entry: BackendServerEntry): boolean {
-    const bound = this.#options.findWarmupBound(entry.serviceId);
-    return bound !== undefined && this.#options.clock.nowMs() < this.#computeWarmAtMs(entry, bound);
+    const limit = this.#options.findWarmupBound(entry.serviceId);
+    return limit !== undefined && this.#options.clock.nowMs() < this.#computeWarmAtMs(entry, limit);
   }
 
   /**
-   * Brings the pace of a server up to date.
+   * Updates the pace at which a backend server receives requests.
    *
-   * @param entry - the server
-   * @param load - its load, which holds the pace
+   * @param entry - registry entry of the backend server
+   * @param load - load of the backend server, which holds the pace
    */
   update(entry: BackendServerEntry, load: ServerLoad): void {
     const { clock, findWarmupBound } = this.#options;
-    const bound = findWarmupBound(entry.serviceId);
-    if (!bound) return;
-    const warmAtMs = this.#computeWarmAtMs(entry, bound);
+    const limit = findWarmupBound(entry.serviceId);
+    if (!limit) return;
+    const warmAtMs = this.#computeWarmAtMs(entry, limit);
     if (clock.nowMs() >= warmAtMs) {
       load.warmup.set(warmAtMs, 0);
       return;
     }
-    const { senders, intervalMs } = deriveWarmupShare(bound.requestsPerSecond);
+    const { senders, intervalMs } = deriveWarmupShare(limit.requestsPerSecond);
     load.warmup.set(warmAtMs, this.#isSender(entry.id, senders) ? intervalMs : Infinity);
   }
 
-  /** Servers may have turned cold while their zone was closed, and their entries say so later. */
-  #computeWarmAtMs({ id, availabilityZone }: BackendServerEntry, bound: WarmupBound): number {
+  /**
+   * Computes when a backend server becomes warm. It may have turned cold while its zone was
+   * closed, and its entry reports that only later, so a newly opened zone counts as cold.
+   */
+  #computeWarmAtMs({ id, availabilityZone }: BackendServerEntry, limit: WarmupBound): number {
     const openedAtMs = this.#options.places.findOpenedAtMs(availabilityZone) ?? -Infinity;
-    return Math.max(this.#warmAtMs.get(id) ?? -Infinity, openedAtMs + bound.durationMs);
+    return Math.max(this.#warmAtMs.get(id) ?? -Infinity, openedAtMs + limit.durationMs);
   }
 
   #isSender(id: string, senders: number): boolean {
     const { hosts } = this.#options;
     if (!hosts.isSettled()) return false;
-    const known = hosts.listKnown();
-    const noted = this.#senders.get(id);
-    if (noted?.hosts === known) return noted.isSender;
-    const names = [hosts.selfId, ...known.map(({ identity }) => identity.id)];
-    const isSender = isWarmupSender(hosts.selfId, names, id, senders);
-    this.#senders.set(id, { hosts: known, isSender });
+    const knownHosts = hosts.listKnown();
+    const cachedRole = this.#senderRoles.get(id);
+    if (cachedRole?.knownHosts === knownHosts) return cachedRole.isSender;
+    const hostIds = [hosts.selfId, ...knownHosts.map(({ identity }) => identity.id)];
+    const isSender = isWarmupSender(hosts.selfId, hostIds, id, senders);
+    this.#senderRoles.set(id, { knownHosts, isSender });
     return isSender;
   }
 }
--- a/src/application/direct/direct_call.ts
+++ b/src/application/direct/direct_call.ts
@@ -1,5 +1,5 @@
 /**
- * One call from its arrival to its end.
+ * Handles one call from its arrival to its end.
  *
  * @module
  */
@@ -20,19 +20,19 @@
 import { PassKind } from '../crashes/mod.js';
 import type { Pass } from '../crashes/mod.js';
 import { buildBackendRequest } from './_backend_request.js';
-import { findObstacle } from './_call_obstacle.js';
+import { findRejection } from './_call_obstacle.js';
 import { CallRecorder, buildAnswerFields } from './_call_recorder.js';
-import { CallTries } from './_call_tries.js';
+import { AttemptBudget } from './_call_tries.js';
 import { DirectAttempt } from './_direct_attempt.js';
-import type { AttemptEnd } from './_direct_attempt.js';
-import { DoubtWait } from './_doubt_wait.js';
-import { hasRun, RunEvidence } from './_run_evidence.js';
+import type { AttemptResult } from './_direct_attempt.js';
+import { ProbationWait } from './_doubt_wait.js';
+import { mayAttemptHaveRun, CrashEvidence } from './_run_evidence.js';
 import type { StreamRelay } from './_answer_relay.js';
 import type { DirectCallOptions } from './direct_call_options.js';
-import type { LineCall } from './service_line.js';
+import type { QueuedCall } from './service_line.js';
 
-/** Waits, is sent, sent again where that is allowed, and answered once. */
-export class DirectCall implements LineCall {
+/** Queues a call, sends it, retries it where its route allows that, and answers it once. */
+export class DirectCall implements QueuedCall {
   readonly work: RequestWork;
 
   readonly expectedTokens: number;
@@ -49,8 +49,8 @@
 
   readonly #options: DirectCallOptions;
 
-  /** When the caller or the route's timeout ends the wait. */
-  readonly endsAtMs: number;
+  /** When the call times out: the earlier of the caller's deadline and the route's timeout. */
+  readonly deadlineAtMs: number;
 
   startByMs: number;
 
@@ -58,87 +58,87 @@
 
   #stream: StreamRelay | undefined;
 
-  readonly #tries: CallTries;
+  readonly #attempts: AttemptBudget;
 
   #hasEnded = false;
 
-  #wait: DoubtWait | undefined;
+  #probationWait: ProbationWait | undefined;
 
   readonly #timer: Timer;
 
   readonly #recorder: CallRecorder;
 
-  readonly #evidence: RunEvidence;
+  readonly #crashEvidence: CrashEvidence;
 
-  /** @param options - the call */
+  /** @param options - the call and what it depends on */
   constructor(options: DirectCallOptions) {
     this.#options = options;
     const { request, route, reply, services } = options;
     this.work = request.work;
-    this.expectedTokens = options.forecast.predict(this.work);
+    this.expectedTokens = options.outputEstimator.predict(this.work);
     this.rank = options.rank;
     this.regions = intersectRegions(route.regions, options.account?.regions);
     this.isLate = options.isReturning;
     this.arrivedAtMs = services.clock.nowMs();
-    const longestMs = Math.min(request.deadlineMs ?? Infinity, route.timeoutMs);
-    this.endsAtMs = this.arrivedAtMs + longestMs;
-    this.#tries = new CallTries(this, route, services.clock);
+    const timeoutMs = Math.min(request.deadlineMs ?? Infinity, route.timeoutMs);
+    this.deadlineAtMs = this.arrivedAtMs + timeoutMs;
+    this.#attempts = new AttemptBudget(this, route, services.clock);
     this.startByMs =
       this.arrivedAtMs +
-      computeWaitMs({ isLate: this.isLate, timeLeftMs: longestMs, targetMs: route.targetMs });
+      computeWaitMs({ isLate: this.isLate, timeLeftMs: timeoutMs, targetMs: route.targetMs });
     this.#recorder = new CallRecorder({ ...options, arrivedAtMs: this.arrivedAtMs });
-    this.#evidence = new RunEvidence(services, options.contentId);
-    this.#timer = services.clock.setTimer(longestMs, () => this.#handleTimeout());
-    reply.onGone(() => this.#handleGone());
+    this.#crashEvidence = new CrashEvidence(services, options.contentId);
+    this.#timer = services.clock.setTimer(timeoutMs, () => this.#handleTimeout());
+    reply.onGone(() => this.#handleDisconnect());
   }
 
-  /** Whether any backend server may have run it. */
+  /** Whether any backend server may have run the request. */
   get mayHaveRun(): boolean {
-    return this.#tries.mayHaveRun;
+    return this.#attempts.mayHaveRun;
   }
 
-  /** Client account, where there is one. */
+  /** Client account of the call; undefined on routes that need no key. */
   get account(): ClientAccount | undefined {
     return this.#options.account;
   }
 
-  /** The request itself. */
+  /** The request of the call. */
   get request(): DirectRequest {
     return this.#options.request;
   }
 
-  /** It is sent, waits, or is refused. */
+  /** Sends the call, queues it, or refuses it. */
   start(): void {
-    if (this.#findObstacle()) this.giveUp(0);
-    else this.#options.line.submit(this);
+    if (this.#findRejection()) this.shed(0);
+    else this.#options.queue.submit(this);
   }
 
-  #findObstacle(): ErrorKind | undefined {
-    return findObstacle(this.#options.services.servers, this.#options.serviceId, this.regions);
+  #findRejection(): ErrorKind | undefined {
+    return findRejection(this.#options.services.servers, this.#options.serviceId, this.regions);
   }
 
   grant({ id, load }: Candidate): void {
     const { services, route, request, account } = this.#options;
-    const refusal = this.#options.checkDispatch();
+    const refusal = this.#options.findDispatchRefusal();
     if (refusal) {
       this.fail(refusal);
       return;
     }
     const server = services.servers.find(id);
     if (!server) {
-      this.giveUp(0);
+      this.shed(0);
       return;
     }
-    const pass = services.crashes.takePass(this.#options.contentId, this.#tries.hasTimeForTrial);
+    const pass = services.crashes.takePass(this.#options.contentId, this.#attempts.hasTimeForTrial);
     if (pass.kind === PassKind.Wait) {
       this.#waitForPass();
       return;
     }
-    this.#tries.noteSent();
-    if (this.#tries.count === 1) services.noteAttempt(server.serviceId);
-    this.#recorder.noteDispatch(id, {
+    this.#attempts.recordSent();
+    if (this.#attempts.count === 1) services.recordFirstAttempt(server.serviceId);
+    this.#recorder.recordDispatch(id, {
       inFlight: load.inFlight,
-      attempt: this.#tries.count,
+      attempt: this.#attempts.count,
       isReturning: this.isLate,
       promptTokens: this.work.promptTokens,
       expectedTokens: Math.round(this.expectedTokens),
@@ -151,124 +151,124 @@
       load,
       stream: this.#stream,
       tokensPerEvent: this.#options.tokensPerEvent,
-      // What a trial shows is worth more than a server that may be faster.
-      mayMove: () => pass.kind !== PassKind.Trial && this.#tries.mayRunAgain(),
+      // A trial stays where it is: its result is worth more than a server that may be faster.
+      mayFailOver: () => pass.kind !== PassKind.Trial && this.#attempts.mayRunAgain(),
       request: buildBackendRequest(
-        { request, account, leftMs: this.#tries.leftMs, stream: this.#stream },
+        { request, account, timeLeftMs: this.#attempts.timeLeftMs, stream: this.#stream },
         server,
       ),
-      onEnd: (end) => this.#handleAttemptEnd(id, end, pass),
+      onEnd: (end) => this.#handleAttemptResult(id, end, pass),
     });
     this.#attempt.start();
   }
 
-  /** Waits while another request of its content shows whether that ends servers. */
+  /** Waits while a trial shows whether the call's content crashes backend servers. */
   #waitForPass(): void {
-    this.#wait = new DoubtWait(this.#options, this.endsAtMs, {
-      onResume: () => this.#submitAgain(),
-      onExpired: (error) => this.fail(error, { reason: 'its content is in doubt' }),
+    this.#probationWait = new ProbationWait(this.#options, this.deadlineAtMs, {
+      onResume: () => this.#resubmit(),
+      onExpired: (error) => this.fail(error, { reason: 'its content is on probation' }),
     });
   }
 
-  #submitAgain(): void {
-    const { line, services } = this.#options;
-    this.startByMs = services.clock.nowMs() + computeMoveWaitMs(this.#tries.leftMs);
-    line.submit(this);
+  #resubmit(): void {
+    const { queue, services } = this.#options;
+    this.startByMs = services.clock.nowMs() + computeMoveWaitMs(this.#attempts.timeLeftMs);
+    queue.submit(this);
   }
 
-  giveUp(clearMs: number): void {
+  shed(estimatedWaitMs: number): void {
     const { services, route } = this.#options;
     const nowMs = services.clock.nowMs();
-    const aimEndsAtMs = this.isLate ? nowMs : this.arrivedAtMs + route.targetMs * AIM_WAIT_PART;
+    const targetEndsAtMs = this.isLate ? nowMs : this.arrivedAtMs + route.targetMs * AIM_WAIT_PART;
     const retryAfterMs = computeReturnMs({
-      clearMs,
-      timeLeftMs: this.#tries.leftMs,
-      aimLeftMs: aimEndsAtMs - nowMs,
+      clearMs: estimatedWaitMs,
+      timeLeftMs: this.#attempts.timeLeftMs,
+      aimLeftMs: targetEndsAtMs - nowMs,
       fraction: services.random.nextFraction(),
     });
-    const kind = this.#findObstacle() ?? ErrorKind.QueueFull;
-    this.fail(new SchedulerError(kind, { retryAfterMs }), { clearMs });
+    const kind = this.#findRejection() ?? ErrorKind.QueueFull;
+    this.fail(new SchedulerError(kind, { retryAfterMs }), { clearMs: estimatedWaitMs });
   }
 
   /**
-   * Ends it with an error.
+   * Ends the call with an error. Does nothing after the call has ended.
    *
-   * @param error - the answer, if nothing was answered yet
-   * @param inputs - what decided, for the log
+   * @param error - error to answer with; once the answer has begun, it is aborted instead
+   * @param details - values that the decision used, for the log
    */
-  fail(error: SchedulerError, inputs: Readonly<Record<string, number | string>> = {}): void {
+  fail(error: SchedulerError, details: Readonly<Record<string, number | string>> = {}): void {
     if (this.#hasEnded) return;
-    const honest =
+    const reportedError =
       this.mayHaveRun && error.status === 503
         ? new SchedulerError(ErrorKind.BackendServerLost)
         : error;
     const { hasBegun } = this.#options.reply;
     if (hasBegun) this.#options.reply.abort();
-    else this.#options.reply.refuse(honest);
+    else this.#options.reply.refuse(reportedError);
     this.#end(hasBegun ? 'call_broken_off' : 'call_refused', {
-      kind: honest.kind,
-      run: honest.run,
-      retryAfterMs: honest.retryAfterMs,
-      ...inputs,
+      kind: reportedError.kind,
+      run: reportedError.run,
+      retryAfterMs: reportedError.retryAfterMs,
+      ...details,
     });
   }
 
-  /** @param lifeId - a life of a backend server that has ended */
-  noteServerEnded(lifeId: string): void {
-    if (this.#attempt?.lifeId === lifeId) this.#attempt.abandonEnded();
+  /** @param incarnationId - ID of an incarnation of a backend server that has ended */
+  handleServerEnded(incarnationId: string): void {
+    if (this.#attempt?.incarnationId === incarnationId) this.#attempt.abandonEndedServer();
   }
 
-  /** @param contentId - a content that is sent to no server any more */
-  noteHeld(contentId: string): void {
-    if (contentId !== this.#options.contentId || this.#attempt) return;
-    const refusal = this.#options.checkDispatch();
+  /** @param quarantinedId - ID of a content that was quarantined: it is no longer sent anywhere */
+  handleQuarantine(quarantinedId: string): void {
+    if (quarantinedId !== this.#options.contentId || this.#attempt) return;
+    const refusal = this.#options.findDispatchRefusal();
     if (refusal) this.fail(refusal);
   }
 
-  /** Ends it because this process ends. */
+  /** Ends the call because this process stops. */
   stop(): void {
     this.#cancelAttempt();
     this.fail(new SchedulerError(ErrorKind.EntryHostStopping));
   }
 
-  #handleAttemptEnd(serverId: string, end: AttemptEnd, pass: Pass): void {
-    if (!hasRun(end)) pass.handBack();
+  #handleAttemptResult(serverId: string, result: AttemptResult, pass: Pass): void {
+    if (!mayAttemptHaveRun(result)) pass.handBack();
     this.#attempt = undefined;
     this.excluded.add(serverId);
-    this.#evidence.note(serverId, end);
-    if (end.failure === undefined) {
-      if (end.outputTokens > 0 && this.#tries.count === 1)
-        this.#options.forecast.learn(this.work, end.outputTokens);
-      this.#end('call_answered', buildAnswerFields(serverId, end));
+    this.#crashEvidence.recordAttempt(serverId, result);
+    if (result.failure === undefined) {
+      if (result.outputTokens > 0 && this.#attempts.count === 1)
+        this.#options.outputEstimator.learn(this.work, result.outputTokens);
+      this.#end('call_answered', buildAnswerFields(serverId, result));
     } else {
-      this.#recorder.noteFailure(serverId, this.#tries.count, end);
-      this.#stream = end.stream?.hasBegun ? end.stream : undefined;
-      this.#handleFailure(serverId, end);
+      this.#recorder.recordAttemptFailure(serverId, this.#attempts.count, result);
+      this.#stream = result.stream?.hasBegun ? result.stream : undefined;
+      this.#handleFailure(serverId, result);
     }
-    this.#options.line.noteFreed(serverId, end.totalMs);
+    this.#options.queue.handleSlotFreed(serverId, result.totalMs);
   }
 
-  #handleFailure(serverId: string, { failure, fallback }: AttemptEnd): void {
+  #handleFailure(serverId: string, { failure, sendFallback }: AttemptResult): void {
     const { services, serviceId } = this.#options;
-    const mayHaveRun = hasRun({ failure });
-    if (!mayHaveRun) this.#tries.noteNotRun();
+    const mayHaveRun = mayAttemptHaveRun({ failure });
+    if (!mayHaveRun) this.#attempts.recordNotRun();
     if (failure === BackendFailure.Misdirected) services.servers.noteEnded(serverId);
-    const isAllowed = mayHaveRun ? this.#tries.mayRunAgain() : this.#tries.maySendAgain();
-    const canGoOn = !this.#options.reply.hasBegun || this.#stream?.lastEventId !== undefined;
-    // A request that was never written costs the service nothing; all others count as retries.
-    const isFree = failure === BackendFailure.NotSent;
-    if (isAllowed && canGoOn && (isFree || services.takeRetry(serviceId))) {
-      this.#submitAgain();
-    } else if (fallback && !this.#options.reply.hasBegun) {
-      fallback();
+    const isAllowed = mayHaveRun ? this.#attempts.mayRunAgain() : this.#attempts.maySendAgain();
+    const canResume = !this.#options.reply.hasBegun || this.#stream?.lastEventId !== undefined;
+    // A request that was never written costs the service nothing; all other retries are counted.
+    const isUncountedRetry = failure === BackendFailure.NotSent;
+    if (isAllowed && canResume && (isUncountedRetry || services.takeRetry(serviceId))) {
+      this.#resubmit();
+    } else if (sendFallback && !this.#options.reply.hasBegun) {
+      sendFallback();
       this.#end('call_answered', { backendServer: serverId, failure });
     } else if (mayHaveRun) this.fail(new SchedulerError(ErrorKind.BackendServerLost));
-    else this.giveUp(0);
+    else this.shed(0);
   }
 
   #cancelAttempt(): void {
-    // What has not left can't arrive any more: its connection is closed before it is open.
-    if (this.#attempt?.mayHaveLeft === false) this.#tries.noteNotRun();
+    // An unsent request can't arrive any more: its connection is closed before it opens.
+    if (this.#attempt?.mayHaveBeenSent === false) this.#attempts.recordNotRun();
     this.#attempt?.cancel(ServerOutcome.Cancelled);
   }
 
@@ -278,7 +278,7 @@
     this.fail(new SchedulerError(kind));
   }
 
-  #handleGone(): void {
+  #handleDisconnect(): void {
     if (this.#hasEnded) return;
     this.#cancelAttempt();
     this.#end('caller_gone', { wasSent: this.#attempt !== undefined });
@@ -288,9 +288,9 @@
     if (this.#hasEnded) return;
     this.#hasEnded = true;
     this.#timer.cancel();
-    this.#wait?.end();
-    this.#options.line.remove(this);
-    this.#recorder.noteEnd(event, fields);
+    this.#probationWait?.cancel();
+    this.#options.queue.remove(this);
+    this.#recorder.recordEnd(event, fields);
     this.#options.onEnd();
   }
 }
--- a/src/application/direct/place_keeper.ts
+++ b/src/application/direct/place_keeper.ts
@@ -1,5 +1,5 @@
 /**
- * Follows which availability zones operators have closed to new work.
+ * Tracks which availability zones operators have closed to new work.
  *
  * @module
  */
@@ -9,70 +9,73 @@
 import type { Clock, EventLog, FeedChange, FeedItem, Metrics } from '../../ports/mod.js';
 import type { FeedContext } from './feed_follower.js';
 
-/** What the keeper needs. */
+/** Dependencies of {@link PlaceKeeper}, and where the store holds the closed zones. */
 export interface PlaceKeeperOptions {
-  /** Start of the keys that close a zone while they are there; the zone's name follows. */
+  /** Prefix of the keys that close a zone while they exist; the name of the zone follows. */
   readonly prefix: string;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
 }
 
-/** Keeps the closed zones, and when zones were opened again. */
+/** Holds the closed zones, and when zones were reopened. */
 export class PlaceKeeper {
   readonly #options: PlaceKeeperOptions;
 
-  readonly #zones = new ClosedZones();
+  readonly #closedZones = new ClosedZones();
 
-  /** When zones were last seen to be opened again, on the monotonic clock. */
+  /** When each zone was last seen to be reopened, on the monotonic clock in milliseconds. */
   readonly #openedAtMs = new Map<string, number>();
 
-  /** @param options - what the keeper needs */
+  /** @param options - dependencies and key prefix */
   constructor(options: PlaceKeeperOptions) {
     this.#options = options;
   }
 
-  /** Zones that are closed. */
+  /** Number of closed zones. */
   get closedCount(): number {
-    return this.#zones.size;
+    return this.#closedZones.size;
   }
 
-  /** @param zone - an availability zone. @returns whether its backend servers get nothing */
+  /** @param zone - an availability zone. @returns whether its backend servers get no new work */
   isClosed(zone: string): boolean {
-    return this.#zones.has(zone);
+    return this.#closedZones.has(zone);
   }
 
-  /** @param zone - an availability zone. @returns when it was opened again, in milliseconds of the monotonic clock */
+  /**
+   * @param zone - an availability zone
+   * @returns when it was last reopened, on the monotonic clock in milliseconds; undefined: never
+   */
   findOpenedAtMs(zone: string): number | undefined {
     return this.#openedAtMs.get(zone);
   }
 
   /**
-   * Takes in everything there is.
+   * Applies a snapshot of the store.
    *
-   * @param items - everything that was read
-   * @param context - under which circumstances
+   * @param items - all entries of the snapshot
+   * @param context - when the snapshot was requested, and how current it is
    */
   applyAll(items: readonly FeedItem[], context: FeedContext): void {
     const zones = items.flatMap(({ key }) => this.#readZone(key) ?? []);
-    const { closed, opened } = this.#zones.replace(new Set(zones));
-    closed.forEach((zone) => this.#noteClosed(zone, context));
-    opened.forEach((zone) => this.#noteOpened(zone, context));
+    const { closed, opened } = this.#closedZones.replace(new Set(zones));
+    closed.forEach((zone) => this.#logClosed(zone, context));
+    opened.forEach((zone) => this.#recordOpened(zone, context));
   }
 
   /**
-   * Takes in changes.
+   * Applies changes of the store.
    *
-   * @param changes - everything that has changed
-   * @param context - under which circumstances
+   * @param changes - all entries that changed
+   * @param context - when the changes were requested, and how current they are
    */
   applyChanges(changes: readonly FeedChange[], context: FeedContext): void {
     changes.forEach(({ key, value }) => {
       const zone = this.#readZone(key);
       if (zone === undefined) return;
-      // The key alone closes a zone: what it holds may be unreadable.
-      if (value !== undefined && this.#zones.close(zone)) this.#noteClosed(zone, context);
-      if (value === undefined && this.#zones.open(zone)) this.#noteOpened(zone, context);
+      // The existence of the key closes the zone, even if its value can't be read.
+      if (value !== undefined && this.#closedZones.close(zone)) this.#logClosed(zone, context);
+      if (value === undefined && this.#closedZones.open(zone)) this.#recordOpened(zone, context);
     });
   }
 
@@ -81,26 +84,29 @@
     if (!key.startsWith(prefix)) return undefined;
     const zone = key.slice(prefix.length);
     if (zone !== '') return zone;
-    log.write(LogLevel.Warn, 'zone_closure_refused', { entry: key, reason: 'it names no zone' });
+    log.write(LogLevel.Warn, 'zone_closure_refused', {
+      entry: key,
+      reason: 'the key names no zone',
+    });
     metrics.count('zone_closures_refused_total');
     return undefined;
   }
 
-  #noteClosed(zone: string, context: FeedContext): void {
-    this.#log('zone_closed', zone, context);
+  #logClosed(zone: string, context: FeedContext): void {
+    this.#logChange('zone_closed', zone, context);
   }
 
-  #noteOpened(zone: string, context: FeedContext): void {
+  #recordOpened(zone: string, context: FeedContext): void {
     this.#openedAtMs.set(zone, this.#options.clock.nowMs());
-    this.#log('zone_opened', zone, context);
+    this.#logChange('zone_opened', zone, context);
   }
 
-  #log(event: string, zone: string, { askedAt, ageMs, wasAway }: FeedContext): void {
+  #logChange(event: string, zone: string, { askedAt, ageMs, wasAway }: FeedContext): void {
     const { clock, log } = this.#options;
     const now = { steadyMs: clock.nowMs(), wallMs: clock.wallMs() };
     log.write(LogLevel.Info, event, {
       zone,
-      closedZones: this.#zones.size,
+      closedZones: this.#closedZones.size,
       ageMs: Math.round(ageMs + computeElapsedMs(askedAt, now)),
       storeWasAway: wasAway,
     });
--- a/src/application/direct/warmup_guard_test.ts
+++ b/src/application/direct/warmup_guard_test.ts
@@ -7,19 +7,19 @@
 import type { DirectHost } from '../../../test/support/direct_host.js';
 import { settle } from '../../../test/support/virtual_clock.js';
 
-/** One of the eight hosts that may send to it sends two requests a second of the 32 that it bears. */
-const WARMUP = { durationMs: 3_000, requestsPerSecond: 32 };
+/** Of 32 requests a second, each of the eight hosts that may send to the server sends two. */
+const WARMUP_LIMIT = { durationMs: 3_000, requestsPerSecond: 32 };
 
-const INTERVAL_MS = 525;
+const SEND_INTERVAL_MS = 525;
 
-/** A host with one server of many slots. */
-async function startCold(
+/** Starts a host with one server that has many slots. */
+async function startHostWithServer(
   t: Parameters<typeof startDirectHost>[0],
   warmupLeftMs: number,
 ): Promise<DirectHost> {
   const host = await startDirectHost(
     t,
-    { warmup: WARMUP, route: { timeoutMs: 60_000, targetMs: 20_000 } },
+    { warmup: WARMUP_LIMIT, route: { timeoutMs: 60_000, targetMs: 20_000 } },
     [],
   );
   host.feed.put('servers/s-1', buildServer('s-1', { slots: 100, warmupLeftMs }));
@@ -32,11 +32,11 @@
 }
 
 t.test('a cold server is filled slowly until it is warm', async (t) => {
-  // Guards against servers that fall over since they are filled right after their start.
-  const host = await startCold(t, 3_000);
+  // Guards against overloading servers right after their start.
+  const host = await startHostWithServer(t, 3_000);
   callMany(host, 5);
   t.equal(host.backend.sent.length, 1);
-  await host.clock.advance(INTERVAL_MS + 20);
+  await host.clock.advance(SEND_INTERVAL_MS + 20);
   t.equal(host.backend.sent.length, 2);
   t.equal(host.servers.coldCount, 1);
   await host.clock.advance(3_000);
@@ -46,8 +46,8 @@
   t.equal(host.backend.sent.length, before + 20);
 });
 
-t.test('a server that turns cold again is slowed down from its entry on', async (t) => {
-  const host = await startCold(t, 0);
+t.test('a server that turns cold again is slowed down as soon as its entry says so', async (t) => {
+  const host = await startHostWithServer(t, 0);
   callMany(host, 4);
   t.equal(host.backend.sent.length, 4);
   host.feed.put('servers/s-1', buildServer('s-1', { slots: 100, warmupLeftMs: 2_500 }));
@@ -60,23 +60,23 @@
   t.equal(host.backend.sent.length >= 8, true);
 });
 
-t.test('servers of a zone that was opened count as cold whatever their entries say', async (t) => {
-  // Guards against servers that turned cold unseen: their entries say so a heartbeat later.
-  const host = await startCold(t, 0);
+t.test('servers of a reopened zone count as cold whatever their entries say', async (t) => {
+  // Guards against servers that turned cold unnoticed: their entries report it one heartbeat later.
+  const host = await startHostWithServer(t, 0);
   host.feed.put(`${CLOSED_ZONES_PREFIX}hall-a`, {});
   await settle();
   host.feed.remove(`${CLOSED_ZONES_PREFIX}hall-a`);
   await settle();
   callMany(host, 5);
   t.equal(host.backend.sent.length, 1);
-  await host.clock.advance(WARMUP.durationMs);
+  await host.clock.advance(WARMUP_LIMIT.durationMs);
   callMany(host, 5);
   t.equal(host.backend.sent.length >= 6, true);
 });
 
 t.test('a host that has not settled sends nothing to a cold server', async (t) => {
-  // Guards against many hosts that start at once and each know only themselves.
-  const host = await startCold(t, 3_000);
+  // Guards against many hosts that start at the same time and each know only themselves.
+  const host = await startHostWithServer(t, 3_000);
   host.isSettled = false;
   callMany(host, 3);
   t.equal(host.backend.sent.length, 0);
@@ -85,7 +85,7 @@
   t.equal(host.backend.sent.length, 1);
 });
 
-t.test('services without a bound are filled at once', async (t) => {
+t.test('services without a warmup limit are filled at once', async (t) => {
   const host = await startDirectHost(t, {}, []);
   host.feed.put('servers/s-1', buildServer('s-1', { slots: 100, warmupLeftMs: 3_000 }));
   await settle();
