--- a/src/application/dispatcher/_acquire_slot.ts
+++ b/src/application/dispatcher/_acquire_slot.ts
@@ -1,5 +1,6 @@
 /**
- * The process that gets a slot for one wish.
+ * Acquires a slot for one request: selects a dispatch group, sends the request
+ * to its dispatcher, and fails over when the dispatcher is lost.
  *
  * @module
  */
@@ -12,25 +13,28 @@
 import { CLOSED } from '../channels/mod.js';
 import type { Step } from '../channels/mod.js';
 import type { Slot, SlotWish } from '../views/mod.js';
-import type { PendingWait, WaitEvent } from './_pending_wait.js';
-import { WaitEventKind } from './_pending_wait.js';
+import type { PendingRequest, RequestEvent } from './_pending_request.js';
+import { RequestEventKind } from './_pending_request.js';
 import type { SlotClient } from './slot_client.js';
 
 /**
- * Time after which an unanswered question is repeated, in milliseconds. A link
- * that was replaced may have swallowed the question or its answer without either
- * end being told; the request would wait until its deadline.
+ * Interval at which an unanswered slot request is sent again, in milliseconds.
+ * When a link is replaced, the request or its reply may be lost without an error
+ * at either end; without a resend the request would wait until its deadline.
  */
-const REPEAT_AFTER_MS = 3_000;
+const RESEND_INTERVAL_MS = 3_000;
 
-/** Most times that one wish is asked for in one group: dispatchers come and go, but not for ever. */
-const MAX_QUESTIONS = 16;
+/**
+ * Maximum slot requests sent for one acquisition in one group. It bounds the loop
+ * when dispatchers change again and again.
+ */
+const MAX_REQUESTS_PER_GROUP = 16;
 
-/** Groups of a service that one wish tries before it is refused for lack of room. */
-const MAX_GROUPS = 2;
+/** Maximum groups of a service that one acquisition tries before it is refused. */
+const MAX_GROUPS_PER_ACQUISITION = 2;
 
-/** Refusals that say something of one group only. */
-const REFUSALS_OF_A_GROUP: ReadonlySet<ErrorKind> = new Set([
+/** Refusals that apply to one group only, so that another group may still grant a slot. */
+const GROUP_SPECIFIC_REFUSALS: ReadonlySet<ErrorKind> = new Set([
   ErrorKind.TierClosed,
   ErrorKind.QueueFull,
   ErrorKind.DeadlineUnreachable,
@@ -38,220 +42,252 @@
   ErrorKind.BackendServerRefused,
 ]);
 
-/** How asking for a group ended. */
-type Outcome = { readonly slot: Slot } | { readonly refusal: SchedulerError };
+/** Result of requesting a slot from one group. */
+type GroupOutcome = { readonly slot: Slot } | { readonly refusal: SchedulerError };
 
-/** What is known of one wish while it waits. */
-interface SlotSearch {
+/** State of one acquisition. */
+interface SlotAcquisition {
   readonly client: SlotClient;
-  readonly wish: SlotWish;
+  readonly request: SlotWish;
   readonly startedAtMs: number;
-  /** Backend servers that are out, by the wish or by what was seen since. */
+  /**
+   * Backend servers that must not be used: those that the request excludes, and
+   * those that this entry host rejected after a grant.
+   */
   readonly excluded: Set<string>;
-  /** Dispatchers that could not be reached. */
+  /** Incarnations of the dispatchers that could not be reached. */
   readonly lost: Set<string>;
 }
 
 /**
- * Gets a slot: picks a group, asks its dispatcher, and goes on elsewhere when
- * the dispatcher is lost.
+ * Acquires a slot: picks a group, sends the request to its dispatcher, and fails
+ * over to the next dispatcher or group when needed.
  *
- * @param client - the owner's side
- * @param wish - what the slot is for
+ * @param client - the owner's slot client
+ * @param request - what the slot is for
  * @returns the slot
- * @throws SchedulerError that says `not_run`
+ * @throws SchedulerError with run outcome `not_run`
  */
-export function* acquireSlot(client: SlotClient, wish: SlotWish): Step<Slot> {
+export function* acquireSlot(client: SlotClient, request: SlotWish): Step<Slot> {
   const { clock, configuration, random } = client.options;
   const startedAtMs = clock.nowMs();
-  const service = configuration.findService(wish.serviceId);
+  const service = configuration.findService(request.serviceId);
   const groups = service ? splitDispatchGroups(service) : [];
-  checkOpen(client, wish, groups);
-  const search: SlotSearch = {
+  checkTierOpen(client, request, groups);
+  const acquisition: SlotAcquisition = {
     client,
-    wish,
+    request,
     startedAtMs,
-    excluded: new Set(wish.excluded),
+    excluded: new Set(request.excluded),
     lost: new Set(),
   };
-  let left = groups;
+  let remainingGroups = groups;
   let refusal: SchedulerError | undefined;
-  for (let tried = 0; tried < MAX_GROUPS; tried += 1) {
-    const group = client.loads.pickGroup(left, wish, clock.nowMs(), random.nextFraction());
+  for (let triedGroups = 0; triedGroups < MAX_GROUPS_PER_ACQUISITION; triedGroups += 1) {
+    const group = client.groupLoads.pickGroup(
+      remainingGroups,
+      request,
+      clock.nowMs(),
+      random.nextFraction(),
+    );
     if (!group) break;
-    const outcome = yield* askGroup(search, group);
+    const outcome = yield* requestFromGroup(acquisition, group);
     if ('slot' in outcome) return outcome.slot;
     refusal = outcome.refusal;
-    if (!REFUSALS_OF_A_GROUP.has(refusal.kind)) throw refusal;
-    left = left.filter(({ id }) => id !== group.id);
+    if (!GROUP_SPECIFIC_REFUSALS.has(refusal.kind)) throw refusal;
+    remainingGroups = remainingGroups.filter(({ id }) => id !== group.id);
   }
   throw refusal ?? new SchedulerError(ErrorKind.NoBackendServer);
 }
 
-/** In a service of several groups a tier is closed everywhere as soon as it is in one. */
-function checkOpen(client: SlotClient, wish: SlotWish, groups: readonly DispatchGroup[]): void {
+/**
+ * Throws if the request's tier is closed in any group of a service with several groups: a
+ * tier that is closed in one group counts as closed in all of them.
+ */
+function checkTierOpen(
+  client: SlotClient,
+  request: SlotWish,
+  groups: readonly DispatchGroup[],
+): void {
   const { clock, dispatcher, strategy } = client.options;
   if (groups.length < 2) return;
-  client.loads.update(dispatcher.listGroupLoads(), clock.nowMs());
+  client.groupLoads.update(dispatcher.listGroupLoads(), clock.nowMs());
   if (!strategy.closesTiers) return;
-  const closed = client.loads.findClosed(groups, wish.tier, clock.nowMs());
-  if (!closed) return;
+  const closedLoad = client.groupLoads.findClosedGroup(groups, request.tier, clock.nowMs());
+  if (!closedLoad) return;
   throw new SchedulerError(ErrorKind.TierClosed, {
-    message: `Cannot queue the request: tier ${TIER_NAMES[wish.tier]} is closed in ${closed.groupId}`,
+    message: `Cannot queue the request: tier ${TIER_NAMES[request.tier]} is closed in ${closedLoad.groupId}`,
   });
 }
 
-function* askGroup(search: SlotSearch, group: DispatchGroup): Step<Outcome> {
-  for (let question = 0; question < MAX_QUESTIONS; question += 1) {
-    checkWanted(search);
-    const wait = search.client.openWait(group.id, pickDispatcher(search, group.id));
-    const message = buildRequest(search, wait);
-    if (!search.client.send(wait.dispatcher, message)) {
-      noteLost(search, wait, false);
+function* requestFromGroup(acquisition: SlotAcquisition, group: DispatchGroup): Step<GroupOutcome> {
+  for (let sentRequests = 0; sentRequests < MAX_REQUESTS_PER_GROUP; sentRequests += 1) {
+    checkNotAborted(acquisition);
+    const pending = acquisition.client.openRequest(group.id, pickDispatcher(acquisition, group.id));
+    const message = buildRequestMessage(acquisition, pending);
+    if (!acquisition.client.send(pending.dispatcher, message)) {
+      recordDispatcherLoss(acquisition, pending, false);
       continue;
     }
-    const outcome = yield* waitForAnswer(search, wait, message);
+    const outcome = yield* waitForOutcome(acquisition, pending, message);
     if (outcome) return outcome;
   }
   return { refusal: new SchedulerError(ErrorKind.EntryHostStopping) };
 }
 
-/** @returns undefined when the question should be put anew */
-function* waitForAnswer(
-  search: SlotSearch,
-  wait: PendingWait,
+/** @returns the outcome; undefined when a new request should be sent */
+function* waitForOutcome(
+  acquisition: SlotAcquisition,
+  pending: PendingRequest,
   message: SlotRequestMessage,
-): Step<Outcome | undefined> {
-  const stopWatching = watchWish(search, wait);
+): Step<GroupOutcome | undefined> {
+  const stopWatching = watchRequest(acquisition, pending);
   try {
     for (;;) {
-      const event = yield* wait.events.take();
-      if (event === CLOSED || event.kind === WaitEventKind.Ended) {
-        search.client.closeWait(wait, true);
-        checkWanted(search);
+      const event = yield* pending.events.take();
+      if (event === CLOSED || event.kind === RequestEventKind.Aborted) {
+        acquisition.client.closeRequest(pending, true);
+        checkNotAborted(acquisition);
         return { refusal: new SchedulerError(ErrorKind.EntryHostStopping) };
       }
-      if (event.kind !== WaitEventKind.Silence) return settleWait(search, wait, event);
-      search.client.send(wait.dispatcher, message);
+      if (event.kind !== RequestEventKind.ResendDue)
+        return handleEvent(acquisition, pending, event);
+      acquisition.client.send(pending.dispatcher, message);
     }
   } finally {
     stopWatching();
   }
 }
 
-function settleWait(
-  search: SlotSearch,
-  wait: PendingWait,
-  event: Exclude<WaitEvent, { kind: WaitEventKind.Ended | WaitEventKind.Silence }>,
-): Outcome | undefined {
-  if (event.kind === WaitEventKind.Granted) return acceptGrant(search, wait, event);
-  if (event.kind === WaitEventKind.DispatcherLost) {
-    noteLost(search, wait, true);
+function handleEvent(
+  acquisition: SlotAcquisition,
+  pending: PendingRequest,
+  event: Exclude<RequestEvent, { kind: RequestEventKind.Aborted | RequestEventKind.ResendDue }>,
+): GroupOutcome | undefined {
+  if (event.kind === RequestEventKind.Granted) return acceptGrant(acquisition, pending, event);
+  if (event.kind === RequestEventKind.DispatcherLost) {
+    recordDispatcherLoss(acquisition, pending, true);
     return undefined;
   }
-  search.client.closeWait(wait, false);
-  // The dispatcher gave the queue up; its successor is asked with the time waited.
+  acquisition.client.closeRequest(pending, false);
+  // The dispatcher handed off its queue. The next request goes to its successor and
+  // carries the time waited so far.
   if (event.reason === ErrorKind.EntryHostStopping) return undefined;
   const { reason, retryAfterMs } = event;
   return { refusal: new SchedulerError(reason, { retryAfterMs }) };
 }
 
 function acceptGrant(
-  search: SlotSearch,
-  wait: PendingWait,
-  event: Extract<WaitEvent, { kind: WaitEventKind.Granted }>,
-): Outcome | undefined {
-  const { client, wish } = search;
+  acquisition: SlotAcquisition,
+  pending: PendingRequest,
+  event: Extract<RequestEvent, { kind: RequestEventKind.Granted }>,
+): GroupOutcome | undefined {
+  const { client, request } = acquisition;
   const { clock, configuration, membership, metrics } = client.options;
-  const release = client.holdSlot(wait, event.grantId);
+  const release = client.holdSlot(pending, event.grantId);
   const backendServer = configuration.findBackendServer(event.backendServerId);
   if (!backendServer || membership.isBackendServerLeaving(event.backendServerId)) {
-    // This entry host knows more than the dispatcher did.
+    // This entry host's view is newer than the dispatcher's: the backend server has
+    // been removed from the configuration or is draining.
     release({ outcome: SlotOutcome.Unused, firstByteMs: 0, totalMs: 0, outputTokens: 0 });
-    search.excluded.add(event.backendServerId);
+    acquisition.excluded.add(event.backendServerId);
     return undefined;
   }
-  metrics.count('slot_grants_total', { tier: TIER_NAMES[wish.tier] });
+  metrics.count('slot_grants_total', { tier: TIER_NAMES[request.tier] });
   return { slot: { backendServer, validUntilMs: clock.nowMs() + event.validMs, release } };
 }
 
 /**
- * Picks whom to ask: the responsible entry host; the one that will be after it
- * if that one is lost; this entry host itself if it is the only one left. An
- * entry host that isn't responsible keeps to its fixed share of the windows.
+ * Picks the dispatcher for a group: the responsible entry host; if that one is
+ * lost, the next reachable one by rendezvous hashing; if none is left, this entry
+ * host. A dispatcher that isn't responsible uses only its fixed share of the windows.
+ *
+ * @returns the incarnation of the dispatcher
  */
-function pickDispatcher(search: SlotSearch, groupId: string): string {
-  const { membership, strategy } = search.client.options;
+function pickDispatcher(acquisition: SlotAcquisition, groupId: string): string {
+  const { membership, strategy } = acquisition.client.options;
   const { self } = membership;
   if (strategy.isLocal) return self.incarnation;
   const responsible = membership.pickResponsible(groupId).incarnation;
-  if (!search.lost.has(responsible)) return responsible;
+  if (!acquisition.lost.has(responsible)) return responsible;
   const reachable = membership
     .listEntryHosts()
     .filter(({ state }) => state === PeerState.Live)
     .map(({ identity }) => identity.incarnation)
-    .filter((incarnation) => !search.lost.has(incarnation));
+    .filter((incarnation) => !acquisition.lost.has(incarnation));
   return pickByRendezvous(groupId, reachable) ?? self.incarnation;
 }
 
-function noteLost(search: SlotSearch, wait: PendingWait, mustTell: boolean): void {
-  const { log, membership, metrics } = search.client.options;
-  search.client.closeWait(wait, mustTell);
-  if (wait.dispatcher !== membership.self.incarnation) search.lost.add(wait.dispatcher);
+function recordDispatcherLoss(
+  acquisition: SlotAcquisition,
+  pending: PendingRequest,
+  mustCancel: boolean,
+): void {
+  const { log, membership, metrics } = acquisition.client.options;
+  acquisition.client.closeRequest(pending, mustCancel);
+  if (pending.dispatcher !== membership.self.incarnation) acquisition.lost.add(pending.dispatcher);
   metrics.count('dispatcher_losses_total');
   log.write(LogLevel.Info, 'dispatcher_lost', {
-    requestId: search.wish.requestId,
-    account: search.wish.accountId,
-    group: wait.groupId,
-    dispatcher: wait.dispatcher,
+    requestId: acquisition.request.requestId,
+    account: acquisition.request.accountId,
+    group: pending.groupId,
+    dispatcher: pending.dispatcher,
   });
 }
 
-/** Throws when nobody wants the slot any more. */
-function checkWanted({ client, wish }: SlotSearch): void {
-  if (wish.signal.aborted) throw new SchedulerError(ErrorKind.Cancelled);
-  if (client.options.clock.nowMs() >= wish.deadlineAtMs)
+/** Throws when the caller has cancelled the request or its deadline has passed. */
+function checkNotAborted({ client, request }: SlotAcquisition): void {
+  if (request.signal.aborted) throw new SchedulerError(ErrorKind.Cancelled);
+  if (client.options.clock.nowMs() >= request.deadlineAtMs)
     throw new SchedulerError(ErrorKind.DeadlineExpired);
 }
 
-/** Tells the wait of the wish's end and of silence. */
-function watchWish({ client, wish }: SlotSearch, wait: PendingWait): () => void {
+/**
+ * Notifies the pending request when the caller aborts, when the deadline passes,
+ * and whenever a resend is due.
+ *
+ * @returns a function that stops the notifications
+ */
+function watchRequest({ client, request }: SlotAcquisition, pending: PendingRequest): () => void {
   const { clock } = client.options;
-  const end = (): void => {
-    wait.notify({ kind: WaitEventKind.Ended });
+  const abort = (): void => {
+    pending.notify({ kind: RequestEventKind.Aborted });
   };
-  let silence: Timer | undefined;
-  const watchSilence = (): void => {
-    silence = clock.setTimer(REPEAT_AFTER_MS, () => {
-      wait.notify({ kind: WaitEventKind.Silence });
-      watchSilence();
+  let resendTimer: Timer | undefined;
+  const startResendTimer = (): void => {
+    resendTimer = clock.setTimer(RESEND_INTERVAL_MS, () => {
+      pending.notify({ kind: RequestEventKind.ResendDue });
+      startResendTimer();
     });
   };
-  const deadline = clock.setTimer(wish.deadlineAtMs - clock.nowMs(), end);
-  watchSilence();
-  wish.signal.addEventListener('abort', end, { once: true });
+  const deadlineTimer = clock.setTimer(request.deadlineAtMs - clock.nowMs(), abort);
+  startResendTimer();
+  request.signal.addEventListener('abort', abort, { once: true });
   return () => {
-    deadline.cancel();
-    silence?.cancel();
-    wish.signal.removeEventListener('abort', end);
+    deadlineTimer.cancel();
+    resendTimer?.cancel();
+    request.signal.removeEventListener('abort', abort);
   };
 }
 
-function buildRequest(search: SlotSearch, wait: PendingWait): SlotRequestMessage {
-  const { client, wish, startedAtMs } = search;
+function buildRequestMessage(
+  acquisition: SlotAcquisition,
+  pending: PendingRequest,
+): SlotRequestMessage {
+  const { client, request, startedAtMs } = acquisition;
   const nowMs = client.options.clock.nowMs();
   return {
     type: PeerMessageType.SlotRequest,
-    ticket: wait.ticket,
-    groupId: wait.groupId,
-    accountId: wish.accountId,
-    weight: wish.weight,
-    tier: wish.tier,
-    remainingMs: wish.deadlineAtMs - nowMs,
+    ticket: pending.ticket,
+    groupId: pending.groupId,
+    accountId: request.accountId,
+    weight: request.weight,
+    tier: request.tier,
+    remainingMs: request.deadlineAtMs - nowMs,
     waitedMs: nowMs - startedAtMs,
-    promptTokens: wish.promptTokens,
-    expectedOutputTokens: wish.expectedOutputTokens,
-    blockHashes: wish.blockHashes,
-    excluded: [...search.excluded],
+    promptTokens: request.promptTokens,
+    expectedOutputTokens: request.expectedOutputTokens,
+    blockHashes: request.blockHashes,
+    excluded: [...acquisition.excluded],
   };
 }
--- a/src/application/dispatcher/_group_watch.ts
+++ b/src/application/dispatcher/_group_monitor.ts
@@ -1,32 +1,32 @@
 /**
- * What operators are told of a dispatch group as it goes on.
+ * Log events and gauges of dispatch groups.
  *
  * @module
  */
 import { LogLevel } from '../../domain/errors/mod.js';
 import { Tier, TIER_NAMES, TIERS } from '../../domain/scheduling/mod.js';
 import type { EventLog, Metrics } from '../../ports/mod.js';
-import type { HeldGroup } from './_held_group.js';
+import type { HostedGroup } from './_hosted_group.js';
 
-/** What was last told of a group. */
-interface Noted {
+/** State of a group that is compared to detect changes. */
+interface MonitoredState {
   readonly openTier: Tier;
   readonly ejected: readonly string[];
 }
 
-const NOTHING_NOTED: Noted = { openTier: Tier.Batch, ejected: [] };
+const INITIAL_STATE: MonitoredState = { openTier: Tier.Batch, ejected: [] };
 
-/** Logs changes of a group and sets its gauges. */
-export class GroupWatch {
+/** Logs changes of dispatch groups and sets the groups' gauges. */
+export class GroupMonitor {
   readonly #log: EventLog;
 
   readonly #metrics: Metrics;
 
-  readonly #noted = new Map<string, Noted>();
+  readonly #lastStates = new Map<string, MonitoredState>();
 
   /**
-   * @param log - where changes go
-   * @param metrics - where gauges are set
+   * @param log - receives the changes
+   * @param metrics - receives gauges and counters
    */
   constructor(log: EventLog, metrics: Metrics) {
     this.#log = log;
@@ -34,23 +34,24 @@
   }
 
   /**
-   * Tells what has changed since the last call.
+   * Logs the tiers that closed or reopened and the backend servers that were ejected since the
+   * last call.
    *
    * @param group - the group
    * @param nowMs - monotonic time in milliseconds
    */
-  note(group: HeldGroup, nowMs: number): void {
+  logChanges(group: HostedGroup, nowMs: number): void {
     const { scheduler, id } = group;
-    const before = this.#noted.get(id) ?? NOTHING_NOTED;
+    const previous = this.#lastStates.get(id) ?? INITIAL_STATE;
     const { openTier } = scheduler;
     const ejected = scheduler.pool.listEjected(nowMs);
-    this.#noted.set(id, { openTier, ejected });
-    if (openTier !== before.openTier) {
-      const event = openTier < before.openTier ? 'tiers_closed' : 'tier_reopened';
+    this.#lastStates.set(id, { openTier, ejected });
+    if (openTier !== previous.openTier) {
+      const event = openTier < previous.openTier ? 'tiers_closed' : 'tier_reopened';
       this.#log.write(LogLevel.Warn, event, { group: id, openTier: TIER_NAMES[openTier] });
     }
     ejected
-      .filter((backendServer) => !before.ejected.includes(backendServer))
+      .filter((backendServer) => !previous.ejected.includes(backendServer))
       .forEach((backendServer) => {
         this.#metrics.count('backend_server_ejections_total', { backendServer });
         this.#log.write(LogLevel.Warn, 'backend_server_ejected', { group: id, backendServer });
@@ -58,12 +59,12 @@
   }
 
   /**
-   * Sets a group's gauges.
+   * Sets the gauges of a group.
    *
    * @param group - the group
    * @param nowMs - monotonic time in milliseconds
    */
-  record({ scheduler, id }: HeldGroup, nowMs: number): void {
+  setGauges({ scheduler, id }: HostedGroup, nowMs: number): void {
     const labels = { group: id };
     TIERS.forEach((tier) =>
       this.#metrics.set('dispatcher_waiting_requests', scheduler.countWaiting(tier), {
--- a/src/application/dispatcher/_group_registry.ts
+++ b/src/application/dispatcher/_group_registry.ts
@@ -1,42 +1,42 @@
 /**
- * The dispatch groups that this entry host holds.
+ * Registry of the dispatch groups that this entry host dispatches for.
  *
  * @module
  */
 import { parseGroupService, splitDispatchGroups } from '../../domain/scheduling/mod.js';
-import { HeldGroup } from './_held_group.js';
+import { HostedGroup } from './_hosted_group.js';
 import type { DispatcherOptions } from './dispatcher_options.js';
 
-/** Finds held groups, and begins to hold those of the configuration when they are asked for. */
+/** Finds hosted groups, and creates them from the configuration on demand. */
 export class GroupRegistry {
   readonly #options: DispatcherOptions;
 
-  readonly #groups = new Map<string, HeldGroup>();
+  readonly #groups = new Map<string, HostedGroup>();
 
-  /** @param options - what the dispatcher is built from */
+  /** @param options - the dispatcher's options */
   constructor(options: DispatcherOptions) {
     this.#options = options;
   }
 
-  /** @param groupId - which group. @returns it, if it is held */
-  find(groupId: string): HeldGroup | undefined {
+  /** @param groupId - the group. @returns the hosted group, if there is one */
+  find(groupId: string): HostedGroup | undefined {
     return this.#groups.get(groupId);
   }
 
-  /** @param groupId - which group. @returns it, held from now on; undefined when there is none */
-  open(groupId: string): HeldGroup | undefined {
+  /** @param groupId - the group. @returns it, created if needed; undefined if not configured */
+  open(groupId: string): HostedGroup | undefined {
     const known = this.#groups.get(groupId);
     if (known) return known;
     const service = this.#options.configuration.findService(parseGroupService(groupId));
     const group = service && splitDispatchGroups(service).find(({ id }) => id === groupId);
     if (!service || !group) return undefined;
-    const held = new HeldGroup(this.#options, service, group);
-    this.#groups.set(groupId, held);
-    return held;
+    const created = new HostedGroup(this.#options, service, group);
+    this.#groups.set(groupId, created);
+    return created;
   }
 
-  /** Begins to hold every group that this entry host should. @returns those */
-  openOwn(): HeldGroup[] {
+  /** Creates every group that is assigned to this entry host. @returns the assigned groups */
+  openAssigned(): HostedGroup[] {
     const { configuration, membership, strategy } = this.#options;
     const { incarnation } = membership.self;
     return configuration
@@ -48,17 +48,17 @@
       .flatMap(({ id }) => this.open(id) ?? []);
   }
 
-  /** Forgets groups that the configuration no longer has, once nothing of them is left. */
+  /** Removes groups that are no longer configured and have no queued requests or held slots. */
   prune(): void {
     this.#groups.forEach((group, id) => {
       const { waitingCount, pool } = group.scheduler;
-      const isEmpty = waitingCount === 0 && pool.heldCount === 0;
-      if (isEmpty && !group.update()) this.#groups.delete(id);
+      const isIdle = waitingCount === 0 && pool.heldCount === 0;
+      if (isIdle && !group.update()) this.#groups.delete(id);
     });
   }
 
-  /** @returns every held group */
-  list(): HeldGroup[] {
+  /** @returns all hosted groups */
+  list(): HostedGroup[] {
     return [...this.#groups.values()];
   }
 }
--- a/src/application/dispatcher/_held_group.ts
+++ b/src/application/dispatcher/_hosted_group.ts
@@ -9,7 +9,7 @@
 import type { DispatchGroup, ServerSpec } from '../../domain/scheduling/mod.js';
 import type { DispatcherOptions } from './dispatcher_options.js';
 
-/** Figures for backend servers whose engine kind is not described, such as plain services. */
+/** Default for backend servers whose engine kind is not configured, as in plain services. */
 const DEFAULT_ENGINE_KIND: EngineKind = {
   id: 'default',
   prefillTokensPerSecond: 8_000,
@@ -18,29 +18,31 @@
 };
 
 /**
- * Time after which waiting requests are sent on to a group's new dispatcher, in
- * milliseconds. A peer that flaps would else drag whole queues to and fro.
+ * Time for which another entry host must have been responsible for a group before
+ * the queued requests are handed off to it, in milliseconds. Without the delay a
+ * peer that flaps would cause whole queues to move back and forth.
  */
-export const HAND_BACK_AFTER_MS = 1_000;
+export const HANDOFF_DELAY_MS = 1_000;
 
-/** One group with its scheduler. */
-export class HeldGroup {
+/** A dispatch group with its scheduler. */
+export class HostedGroup {
   readonly scheduler: GroupScheduler;
 
+  /** Whether the group belongs to a plain service, whose backend servers have no prefix cache. */
   readonly isPlain: boolean;
 
-  /** Since when another entry host is responsible, in milliseconds; undefined while this one is. */
-  #foreignSinceMs: number | undefined;
+  /** Since when the group is assigned to another entry host; undefined while assigned here. */
+  #unassignedSinceMs: number | undefined;
 
-  /** Whether waiting requests were sent on since it became another's. */
-  #isHandedBack = false;
+  /** Whether queued requests were handed off since the group was assigned to another entry host. */
+  #isHandedOff = false;
 
   #group: DispatchGroup;
 
   readonly #options: DispatcherOptions;
 
   /**
-   * @param options - what the dispatcher is built from
+   * @param options - the dispatcher's options
    * @param service - the group's service
    * @param group - the group
    */
@@ -57,33 +59,36 @@
     this.update();
   }
 
-  /** The group's name. */
+  /** The group's ID. */
   get id(): string {
     return this.#group.id;
   }
 
-  /** Its backend servers as configured now. */
+  /** The group's backend servers as currently configured. */
   get backendServers(): readonly BackendServer[] {
     return this.#group.backendServers;
   }
 
-  /** Whether this entry host is responsible for it, as far as it knows. */
+  /** Whether this entry host is responsible for the group by its own membership view. */
   get isResponsible(): boolean {
     const { membership } = this.#options;
     return membership.pickResponsible(this.id).incarnation === membership.self.incarnation;
   }
 
-  /** Whether it is dispatched from here for good: by responsibility or by strategy. */
-  get isOwn(): boolean {
+  /**
+   * Whether the group is assigned to this entry host: because it is responsible for
+   * it, or because under a local strategy every entry host dispatches every group.
+   */
+  get isAssigned(): boolean {
     return this.#options.strategy.isLocal || this.isResponsible;
   }
 
   /**
-   * Takes over the configuration and the membership as they are now: backend
-   * servers, who of them leaves, and which part of their windows is this entry
-   * host's.
+   * Applies the current configuration and membership to the scheduler: the backend
+   * servers, which of them are draining, and the fraction of their windows that
+   * this entry host may use.
    *
-   * @returns false when the configuration no longer has the group
+   * @returns false when the group is no longer configured
    */
   update(): boolean {
     const { configuration, membership, clock, strategy } = this.#options;
@@ -99,22 +104,22 @@
   }
 
   /**
-   * Follows who is responsible.
+   * Tracks whether the group is still assigned to this entry host.
    *
    * @param nowMs - monotonic time in milliseconds
-   * @returns whether what waits is to be sent on to another dispatcher now; once
-   *   for each time that responsibility goes
+   * @returns whether queued requests must be handed off now; true once for each
+   *   time that the group is assigned to another entry host
    */
-  updateResponsibility(nowMs: number): boolean {
-    if (this.isOwn) {
-      this.#foreignSinceMs = undefined;
-      this.#isHandedBack = false;
+  updateAssignment(nowMs: number): boolean {
+    if (this.isAssigned) {
+      this.#unassignedSinceMs = undefined;
+      this.#isHandedOff = false;
       return false;
     }
-    this.#foreignSinceMs ??= nowMs;
-    const isSettled = nowMs - this.#foreignSinceMs >= HAND_BACK_AFTER_MS;
-    if (this.#isHandedBack || !isSettled) return false;
-    this.#isHandedBack = true;
+    this.#unassignedSinceMs ??= nowMs;
+    const isSettled = nowMs - this.#unassignedSinceMs >= HANDOFF_DELAY_MS;
+    if (this.#isHandedOff || !isSettled) return false;
+    this.#isHandedOff = true;
     return true;
   }
 
--- a/src/application/dispatcher/_message_outbox.ts
+++ b/src/application/dispatcher/_message_outbox.ts
@@ -1,5 +1,5 @@
 /**
- * Messages that must reach a dispatcher even if its link is down now.
+ * Delivers messages that must reach a dispatcher even if its link is down now.
  *
  * @module
  */
@@ -7,57 +7,57 @@
 import type { MembershipView } from '../views/mod.js';
 
 /**
- * Most messages that are kept for one dispatcher. What is dropped beyond is
- * covered by the dispatcher's own reclaiming of slots.
+ * Maximum queued messages for one dispatcher. When the oldest ones are dropped
+ * beyond it, the dispatcher reclaims the slots concerned after a timeout.
  */
-const MAX_KEPT = 4096;
+const MAX_MESSAGES_PER_PEER = 4096;
 
-/** Sends in order, and keeps what can't be sent until the link is up again. */
+/** Sends messages in order, and queues those that can't be sent until the link is up again. */
 export class MessageOutbox {
   readonly #peers: PeerNetwork;
 
   readonly #membership: MembershipView;
 
-  readonly #kept = new Map<string, PeerMessage[]>();
+  readonly #queues = new Map<string, PeerMessage[]>();
 
   /**
-   * @param peers - the links
-   * @param membership - who is there
+   * @param peers - the links to peers
+   * @param membership - the known incarnations
    */
   constructor(peers: PeerNetwork, membership: MembershipView) {
     this.#peers = peers;
     this.#membership = membership;
-    peers.onLink(({ peer, up }) => up && this.#drain(peer.incarnation));
+    peers.onLink(({ peer, up }) => up && this.#flush(peer.incarnation));
   }
 
-  /** How many messages wait for a link. */
+  /** Number of messages that wait for a link. */
   get size(): number {
-    return [...this.#kept.values()].reduce((sum, messages) => sum + messages.length, 0);
+    return [...this.#queues.values()].reduce((sum, messages) => sum + messages.length, 0);
   }
 
   /**
-   * @param incarnation - whom it is for
+   * @param incarnation - the receiver
    * @param message - the message
    */
   send(incarnation: string, message: PeerMessage): void {
-    const kept = this.#kept.get(incarnation);
-    if (!kept && this.#peers.send(incarnation, message)) return;
-    const messages = kept ?? [];
-    if (messages.length >= MAX_KEPT) messages.shift();
+    const queue = this.#queues.get(incarnation);
+    if (!queue && this.#peers.send(incarnation, message)) return;
+    const messages = queue ?? [];
+    if (messages.length >= MAX_MESSAGES_PER_PEER) messages.shift();
     messages.push(message);
-    this.#kept.set(incarnation, messages);
+    this.#queues.set(incarnation, messages);
   }
 
-  /** Forgets what is kept for incarnations that are gone for good. */
-  prune(): void {
-    [...this.#kept.keys()]
+  /** Drops the messages for incarnations that the membership no longer knows. */
+  pruneUnknownPeers(): void {
+    [...this.#queues.keys()]
       .filter((incarnation) => !this.#membership.findIncarnation(incarnation))
-      .forEach((incarnation) => this.#kept.delete(incarnation));
+      .forEach((incarnation) => this.#queues.delete(incarnation));
   }
 
-  #drain(incarnation: string): void {
-    const messages = this.#kept.get(incarnation) ?? [];
+  #flush(incarnation: string): void {
+    const messages = this.#queues.get(incarnation) ?? [];
     while (messages[0] && this.#peers.send(incarnation, messages[0])) messages.shift();
-    if (messages.length === 0) this.#kept.delete(incarnation);
+    if (messages.length === 0) this.#queues.delete(incarnation);
   }
 }
--- a/src/application/dispatcher/_server_poller.ts
+++ b/src/application/dispatcher/_server_poller.ts
@@ -1,88 +1,93 @@
 /**
- * Reads load reports and cache events of a group's backend servers.
+ * Polls the load reports and cache events of a group's backend servers.
  *
  * @module
  */
 import type { BackendServer } from '../../domain/contracts/types.js';
-import type { HeldGroup } from './_held_group.js';
+import type { HostedGroup } from './_hosted_group.js';
 import type { DispatcherOptions } from './dispatcher_options.js';
 
 /**
  * Time without cache events after which they are read from the beginning, in
- * milliseconds. A backend server that was restarted counts from 0 again; asked
- * for what comes after the old numbers, it would have nothing to tell for long.
+ * milliseconds. A backend server that was restarted numbers its events from 0
+ * again; a read after the old sequence number would return nothing for a long time.
  */
-const REREAD_AFTER_MS = 60_000;
+const CURSOR_RESET_AFTER_MS = 60_000;
 
-/** How far the cache events of a backend server were read. */
-interface ReadMark {
+/** Position up to which the cache events of a backend server were read. */
+interface CacheEventCursor {
+  /** Sequence number of the last event read. */
   readonly sequence: number;
-  /** When the last event came, on the monotonic clock. */
-  readonly atMs: number;
+  /** Time of the last read that returned events or started from 0, on the monotonic clock. */
+  readonly advancedAtMs: number;
 }
 
-/** Reads once at a time for each backend server, however long it takes. */
+/** Polls backend servers, with at most one read in flight for each of them. */
 export class ServerPoller {
   readonly #options: DispatcherOptions;
 
-  /** Backend servers that a read is under way to. */
-  readonly #reading = new Set<string>();
+  /** IDs of the backend servers with a read in flight. */
+  readonly #serversInFlight = new Set<string>();
 
-  /** By backend server. */
-  readonly #marks = new Map<string, ReadMark>();
+  /** Cursors by backend server ID. */
+  readonly #cursors = new Map<string, CacheEventCursor>();
 
-  /** @param options - what the dispatcher is built from */
+  /** @param options - the dispatcher's options */
   constructor(options: DispatcherOptions) {
     this.#options = options;
   }
 
   /**
-   * Reads all backend servers of a group. A silent one holds up only itself.
+   * Polls all backend servers of a group in parallel, except those whose last read is
+   * still in flight. A backend server that doesn't respond delays no other.
    *
-   * @param group - whose backend servers
-   * @returns when every read has ended
+   * @param group - the group to poll
+   * @returns a promise that resolves when all reads have ended
    */
-  async run(group: HeldGroup): Promise<void> {
-    const idle = group.backendServers.filter(({ id }) => !this.#reading.has(id));
-    await Promise.all(idle.map((server) => this.#readServer(group, server)));
+  async run(group: HostedGroup): Promise<void> {
+    const idleServers = group.backendServers.filter(({ id }) => !this.#serversInFlight.has(id));
+    await Promise.all(idleServers.map((server) => this.#readServer(group, server)));
   }
 
-  async #readServer(group: HeldGroup, server: BackendServer): Promise<void> {
-    this.#reading.add(server.id);
+  async #readServer(group: HostedGroup, server: BackendServer): Promise<void> {
+    this.#serversInFlight.add(server.id);
     try {
       await this.#readLoad(group, server);
       if (!group.isPlain) await this.#readCacheEvents(group, server);
     } catch {
-      // Reports are hints. Whether the backend server works is learnt from requests.
+      // Reports are only hints. The health of a backend server is derived from requests.
       this.#options.metrics.count('backend_server_report_failures_total', {
         backendServer: server.id,
       });
     } finally {
-      this.#reading.delete(server.id);
+      this.#serversInFlight.delete(server.id);
     }
   }
 
-  async #readLoad(group: HeldGroup, server: BackendServer): Promise<void> {
+  async #readLoad(group: HostedGroup, server: BackendServer): Promise<void> {
     const load = await this.#options.backend.readLoad(server);
-    const state = group.scheduler.pool.findServer(server.id);
-    state?.noteLoad(load.running + load.waiting, load.leaving, this.#options.clock.nowMs());
+    const serverState = group.scheduler.pool.findServer(server.id);
+    serverState?.noteLoad(load.running + load.waiting, load.leaving, this.#options.clock.nowMs());
     this.#options.noteBackendServerLoad?.(server.id, load.leaving);
   }
 
-  async #readCacheEvents(group: HeldGroup, server: BackendServer): Promise<void> {
-    const startMs = this.#options.clock.nowMs();
-    const mark = this.#marks.get(server.id);
-    const isSilent = !mark || startMs - mark.atMs > REREAD_AFTER_MS;
-    const after = isSilent ? 0 : mark.sequence;
-    const events = await this.#options.backend.readCacheEvents(server, after);
+  async #readCacheEvents(group: HostedGroup, server: BackendServer): Promise<void> {
+    const startedAtMs = this.#options.clock.nowMs();
+    const cursor = this.#cursors.get(server.id);
+    const mustReset = !cursor || startedAtMs - cursor.advancedAtMs > CURSOR_RESET_AFTER_MS;
+    const afterSequence = mustReset ? 0 : cursor.sequence;
+    const events = await this.#options.backend.readCacheEvents(server, afterSequence);
     const hints = group.scheduler.pool.findServer(server.id)?.hints;
     const nowMs = this.#options.clock.nowMs();
     events.forEach(({ stored, blockHash }) => {
       if (stored) hints?.noteStored(blockHash, nowMs);
       else hints?.noteRemoved(blockHash);
     });
-    const sequence = events.reduce((most, event) => Math.max(most, event.sequence), after);
-    const atMs = isSilent || events.length > 0 ? nowMs : mark.atMs;
-    this.#marks.set(server.id, { sequence, atMs });
+    const sequence = events.reduce(
+      (highest, event) => Math.max(highest, event.sequence),
+      afterSequence,
+    );
+    const advancedAtMs = mustReset || events.length > 0 ? nowMs : cursor.advancedAtMs;
+    this.#cursors.set(server.id, { sequence, advancedAtMs });
   }
 }
--- a/src/application/dispatcher/_sibling_tiers.ts
+++ b/src/application/dispatcher/_sibling_tiers.ts
@@ -1,34 +1,38 @@
 /**
- * Closings between the groups of one service.
+ * Combines the open tiers of the groups of one service.
  *
  * @module
  */
 import { parseGroupService, Tier } from '../../domain/scheduling/mod.js';
 import type { GroupLoad } from '../../ports/mod.js';
 
-/** How long another group's word about its gate is believed, in milliseconds. */
-export const SIBLING_VALID_MS = 3_000;
+/** Time for which a reported group load is used, in milliseconds. */
+export const GROUP_LOAD_TTL_MS = 3_000;
 
 /**
- * Computes which tiers the other groups of each group's service have open.
+ * Computes, for each group, the lowest tier that its siblings (the other groups of its service)
+ * all have open.
  *
- * @param loads - known loads of groups
+ * @param loads - the known group loads
  * @param groupIds - the groups to compute for
- * @returns group ID → lowest tier that is open in all others; groups without others are left out
+ * @returns group ID → lowest tier open in all siblings; groups without siblings are omitted
  */
-export function computeSiblingTiers(
+export function computeSiblingOpenTiers(
   loads: readonly GroupLoad[],
   groupIds: readonly string[],
 ): Map<string, Tier> {
   const tiers = new Map<string, Tier>();
   groupIds.forEach((groupId) => {
     const serviceId = parseGroupService(groupId);
-    const others = loads.filter(
+    const siblings = loads.filter(
       (load) => load.groupId !== groupId && parseGroupService(load.groupId) === serviceId,
     );
-    if (others.length === 0) return;
-    const lowest = others.reduce<Tier>((tier, load) => Math.min(tier, load.openTier), Tier.Batch);
-    tiers.set(groupId, lowest);
+    if (siblings.length === 0) return;
+    const lowestOpenTier = siblings.reduce<Tier>(
+      (tier, load) => Math.min(tier, load.openTier),
+      Tier.Batch,
+    );
+    tiers.set(groupId, lowestOpenTier);
   });
   return tiers;
 }
--- a/src/application/dispatcher/_demands.ts
+++ b/src/application/dispatcher/_slot_messages.ts
@@ -1,5 +1,5 @@
 /**
- * Translation between peers' messages and the pure policy.
+ * Maps peer messages to and from the types of the scheduling domain.
  *
  * @module
  */
@@ -13,7 +13,7 @@
   SlotRequestMessage,
 } from '../../ports/mod.js';
 
-const VERDICTS: Readonly<Record<SlotOutcome, ServerVerdict>> = {
+const VERDICT_BY_OUTCOME: Readonly<Record<SlotOutcome, ServerVerdict>> = {
   [SlotOutcome.Answered]: ServerVerdict.Healthy,
   [SlotOutcome.Refused]: ServerVerdict.Refusing,
   [SlotOutcome.Failed]: ServerVerdict.Failing,
@@ -22,21 +22,21 @@
 };
 
 /**
- * Names a wait.
+ * Builds the key that identifies a slot request across owners.
  *
- * @param incarnation - the owner
- * @param ticket - its ticket
- * @returns the name
+ * @param incarnation - the owner's incarnation
+ * @param ticket - the owner's ticket for the request
+ * @returns the key
  */
-export function formatKey(incarnation: string, ticket: number): string {
+export function formatRequestKey(incarnation: string, ticket: number): string {
   return `${incarnation}/${ticket}`;
 }
 
 /**
- * Builds what waits in the queue.
+ * Converts a slot request into the demand that the scheduler queues.
  *
- * @param key - the wait's name
- * @param message - what the owner asked
+ * @param key - the request's key, see {@link formatRequestKey}
+ * @param message - the owner's request
  * @param nowMs - monotonic time in milliseconds
  * @returns the demand
  */
@@ -56,15 +56,15 @@
 }
 
 /**
- * Translates how a slot was used.
+ * Converts the use of a slot into the scheduler's result.
  *
- * @param outcome - how it ended
- * @param message - what was seen; by default nothing
- * @returns the same for the policy
+ * @param outcome - how the use ended
+ * @param message - the owner's measurements; without it all measurements are 0
+ * @returns the result
  */
 export function toSlotResult(outcome: SlotOutcome, message?: SlotReleaseMessage): SlotResult {
   return {
-    verdict: VERDICTS[outcome],
+    verdict: VERDICT_BY_OUTCOME[outcome],
     firstByteMs: message?.firstByteMs ?? 0,
     totalMs: message?.totalMs ?? 0,
     outputTokens: message?.outputTokens ?? 0,
@@ -72,11 +72,11 @@
 }
 
 /**
- * Builds the answer to an owner that gets no slot.
+ * Builds the reply to an owner whose slot request is refused.
  *
  * @param ticket - the owner's ticket
- * @param kind - why
- * @param retryAfterMs - when to come back, in milliseconds
+ * @param kind - the reason
+ * @param retryAfterMs - time after which the caller may retry, in milliseconds
  * @returns the message
  */
 export function buildRefusal(
--- a/src/application/dispatcher/dispatcher_loss_test.ts
+++ b/src/application/dispatcher/dispatcher_loss_test.ts
@@ -20,21 +20,24 @@
 
 interface LossCase {
   readonly name: string;
-  /** Brings the loss about; the first host dispatches, the second owns the request. */
-  readonly lose: (fleet: DispatchFleet, hosts: readonly FixtureHost[]) => Promise<void>;
-  /** Which of the hosts, in order of responsibility, grants in the end. */
-  readonly granter: number;
+  /**
+   * Causes the loss. The hosts are the dispatcher, the owner, the next host in the
+   * order of responsibility, and the owner again.
+   */
+  readonly causeLoss: (fleet: DispatchFleet, hosts: readonly FixtureHost[]) => Promise<void>;
+  /** Index of the host, in the order of responsibility, that finally grants the slot. */
+  readonly granterIndex: number;
 }
 
-const LOSSES: readonly LossCase[] = [
+const LOSS_CASES: readonly LossCase[] = [
   {
-    name: 'it is killed',
-    lose: async (fleet, [dispatcher]) => fleet.kill(dispatcher as FixtureHost),
-    granter: 1,
+    name: 'killed',
+    causeLoss: async (fleet, [dispatcher]) => fleet.kill(dispatcher as FixtureHost),
+    granterIndex: 1,
   },
   {
-    name: 'it is frozen, and suspected after a while',
-    lose: async (fleet, [dispatcher, owner]) => {
+    name: 'frozen and then suspected',
+    causeLoss: async (fleet, [dispatcher, owner]) => {
       fleet.hub.silence(
         (dispatcher as FixtureHost).identity.id,
         (owner as FixtureHost).identity.id,
@@ -42,25 +45,25 @@
       await fleet.clock.advance(2_000);
       fleet.setState(dispatcher as FixtureHost, PeerState.Suspected);
     },
-    granter: 1,
+    granterIndex: 1,
   },
   {
-    name: 'only the link to it is cut: the next in order takes the request',
-    lose: async (fleet, [dispatcher, , , owner]) => {
+    name: 'only its link is cut, the next host grants',
+    causeLoss: async (fleet, [dispatcher, , , owner]) => {
       fleet.hub.cut((dispatcher as FixtureHost).identity.id, (owner as FixtureHost).identity.id);
     },
-    granter: 1,
+    granterIndex: 1,
   },
   {
-    name: 'every link is cut: the owner grants from its own share',
-    lose: async (fleet, [, , , owner]) => {
+    name: 'all links are cut, the owner grants from its own share',
+    causeLoss: async (fleet, [, , , owner]) => {
       HOST_IDS.forEach((id) => fleet.hub.cut(id, (owner as FixtureHost).identity.id));
     },
-    granter: 3,
+    granterIndex: 3,
   },
   {
-    name: 'it is forgotten: another incarnation runs at its address',
-    lose: async (fleet, [dispatcher]) => {
+    name: 'removed after another incarnation started at its address',
+    causeLoss: async (fleet, [dispatcher]) => {
       const { id, incarnation } = (dispatcher as FixtureHost).identity;
       const { identities } = fleet.hosts[0].membership;
       const index = identities.findIndex((one) => one.incarnation === incarnation);
@@ -68,54 +71,53 @@
       fleet.kill(dispatcher as FixtureHost);
       fleet.hosts.forEach(({ membership }) => membership.notify());
     },
-    granter: 1,
+    granterIndex: 1,
   },
   {
-    name: 'it leaves: it sends what waits to the next',
-    lose: async (fleet, [dispatcher]) => {
+    name: 'draining, it hands off its queue to the next host',
+    causeLoss: async (fleet, [dispatcher]) => {
       fleet.hosts.forEach(({ membership }) => {
         membership.states.set((dispatcher as FixtureHost).identity.incarnation, PeerState.Leaving);
         membership.notify();
       });
       await fleet.clock.advance(1_200);
     },
-    granter: 1,
+    granterIndex: 1,
   },
 ];
 
-LOSSES.forEach(({ name, lose, granter }) => {
-  t.test(`SlotClient gets its slot when the dispatcher is lost: ${name}`, async (t) => {
-    // Symptom: a request waits for a dispatcher that is no more. Sequence: it
-    // queues, the dispatcher is lost. Cause: waiting for an answer that can't come.
+LOSS_CASES.forEach(({ name, causeLoss, granterIndex }) => {
+  t.test(`SlotClient acquires its slot when the dispatcher is lost: ${name}`, async (t) => {
+    // Guards against a queued request that waits for the reply of a lost dispatcher.
     const fleet = new DispatchFleet({ hostIds: HOST_IDS, slots: 4 });
     const hosts = fleet.sortHosts();
     const [dispatcher] = hosts;
     const owner = hosts[3] as FixtureHost;
-    const held = await Promise.all(
+    const heldSlots = await Promise.all(
       [1, 2, 3, 4].map(() => dispatcher.slots.acquire(fleet.buildWish())),
     );
-    const wait = watch(owner.slots.acquire(fleet.buildWish()));
+    const pendingSlot = watch(owner.slots.acquire(fleet.buildWish()));
     await settle();
-    t.same(wait, {}, 'queued');
+    t.same(pendingSlot, {}, 'queued');
     const startMs = fleet.clock.nowMs();
-    await lose(
+    await causeLoss(
       fleet,
       [dispatcher, owner, hosts[1], owner].map((host) => host),
     );
     await fleet.clock.advance(100);
-    t.equal(wait.value?.backendServer.id, 'engine-1');
+    t.equal(pendingSlot.value?.backendServer.id, 'engine-1');
     t.ok(fleet.clock.nowMs() - startMs <= 2_200, 'soon after the loss');
-    t.equal(countRunning(hosts[granter] as FixtureHost), 1);
-    wait.value?.release(ANSWERED);
+    t.equal(countRunning(hosts[granterIndex] as FixtureHost), 1);
+    pendingSlot.value?.release(ANSWERED);
     await settle();
-    t.equal(countRunning(hosts[granter] as FixtureHost), 0);
-    held.forEach((slot) => slot.release(ANSWERED));
+    t.equal(countRunning(hosts[granterIndex] as FixtureHost), 0);
+    heldSlots.forEach((slot) => slot.release(ANSWERED));
   });
 });
 
-t.test('DispatcherService keeps to a fixed share while it is not responsible', async (t) => {
-  // Symptom: engines get several times their window. Sequence: each entry host is
-  // cut from the dispatcher and dispatches alone. Cause: everybody uses the whole.
+t.test('DispatcherService uses only a fixed share while it is not responsible', async (t) => {
+  // Guards against engines that get several times their window: all entry hosts are cut
+  // off from the dispatcher, each dispatches alone, and each uses the whole window.
   const fleet = new DispatchFleet({ hostIds: HOST_IDS, slots: 16 });
   const hosts = fleet.sortHosts();
   HOST_IDS.forEach((a) => HOST_IDS.filter((b) => b > a).forEach((b) => fleet.hub.cut(a, b)));
@@ -126,9 +128,9 @@
   t.same(hosts.map(countRunning), [16, 4, 4, 4]);
 });
 
-t.test('SlotClient lets a release reach the dispatcher after the link was down', async (t) => {
-  // Symptom: a slot stays taken. Sequence: the link is down when the answer ends.
-  // Cause: a release that is sent once and forgotten.
+t.test('SlotClient delivers a release once the link to the dispatcher is up again', async (t) => {
+  // Guards against a leaked slot: the link is down when the answer ends, and the release
+  // is sent only once.
   const fleet = new DispatchFleet();
   const [dispatcher, owner] = fleet.sortHosts();
   const slot = await owner.slots.acquire(fleet.buildWish());
@@ -141,29 +143,26 @@
   t.equal(countRunning(dispatcher), 0);
 });
 
-t.test(
-  'DispatcherService reclaims the slots of an owner that is gone, after a while',
-  async (t) => {
-    const fleet = new DispatchFleet();
-    const [dispatcher, owner] = fleet.sortHosts();
-    await owner.slots.acquire(fleet.buildWish());
-    fleet.kill(owner);
-    dispatcher.membership.states.set(owner.identity.incarnation, PeerState.Suspected);
-    await fleet.clock.advance(5_000);
-    dispatcher.membership.states.set(owner.identity.incarnation, PeerState.Live);
-    await fleet.clock.advance(5_500);
-    t.equal(countRunning(dispatcher), 1, 'it was back in between');
-    dispatcher.membership.states.set(owner.identity.incarnation, PeerState.Suspected);
-    await fleet.clock.advance(10_200);
-    t.equal(countRunning(dispatcher), 0);
-  },
-);
+t.test('DispatcherService reclaims the slots of an owner that stays unreachable', async (t) => {
+  const fleet = new DispatchFleet();
+  const [dispatcher, owner] = fleet.sortHosts();
+  await owner.slots.acquire(fleet.buildWish());
+  fleet.kill(owner);
+  dispatcher.membership.states.set(owner.identity.incarnation, PeerState.Suspected);
+  await fleet.clock.advance(5_000);
+  dispatcher.membership.states.set(owner.identity.incarnation, PeerState.Live);
+  await fleet.clock.advance(5_500);
+  t.equal(countRunning(dispatcher), 1, 'it was reachable in between');
+  dispatcher.membership.states.set(owner.identity.incarnation, PeerState.Suspected);
+  await fleet.clock.advance(10_200);
+  t.equal(countRunning(dispatcher), 0);
+});
 
-t.test('DispatcherService reclaims a slot whose release a silent link swallowed', async (t) => {
+t.test('DispatcherService reclaims a slot whose release was lost on a stalled link', async (t) => {
   const fleet = new DispatchFleet();
   const [dispatcher, owner] = fleet.sortHosts();
-  const wish = fleet.buildWish({ deadlineAtMs: fleet.clock.nowMs() + 10_000 });
-  const slot = await owner.slots.acquire(wish);
+  const slotRequest = fleet.buildWish({ deadlineAtMs: fleet.clock.nowMs() + 10_000 });
+  const slot = await owner.slots.acquire(slotRequest);
   fleet.hub.silence(dispatcher.identity.id, owner.identity.id);
   slot.release(ANSWERED);
   await settle();
@@ -171,53 +170,57 @@
   await fleet.clock.advance(39_000);
   t.equal(countRunning(dispatcher), 1);
   await fleet.clock.advance(1_200);
-  t.equal(countRunning(dispatcher), 0, 'thirty seconds past its deadline');
+  t.equal(countRunning(dispatcher), 0, '30 seconds after its deadline');
 });
 
-t.test('DispatcherService grants nothing while its view is not fresh', async (t) => {
-  // Symptom: a woken process hands out slots on a backend server that left while
-  // it slept. Sequence: SIGSTOP, leaving, SIGCONT. Cause: acting on the old view.
+t.test('DispatcherService grants nothing while its membership view is not fresh', async (t) => {
+  // Guards against a process that was paused (SIGSTOP, SIGCONT) and, by its stale view, grants
+  // slots on a backend server that began to drain during the pause.
   const fleet = new DispatchFleet();
   const [dispatcher, owner] = fleet.sortHosts();
   dispatcher.membership.fresh = false;
-  const wait = watch(owner.slots.acquire(fleet.buildWish()));
+  const pendingSlot = watch(owner.slots.acquire(fleet.buildWish()));
   await fleet.clock.advance(1_000);
-  t.same(wait, {});
+  t.same(pendingSlot, {});
   dispatcher.membership.fresh = true;
   await fleet.clock.advance(100);
-  t.ok(wait.value);
+  t.ok(pendingSlot.value);
 });
 
-t.test('DispatcherService keeps its queue while the peer before it flaps', async (t) => {
-  // Symptom: requests are queued anew all the time and lose their place.
-  // Sequence: the first in order is suspected and live again every 300 ms, and
-  // then stays. Cause: following each change at once.
+t.test('DispatcherService keeps its queue while the preferred dispatcher flaps', async (t) => {
+  // Guards against requests that are requeued all the time and lose their queue position:
+  // the first host in order alternates between suspected and live every 300 ms before it
+  // stays live. Queues must not be handed off at each change.
   const fleet = new DispatchFleet({ slots: 1 });
   const [first, second, owner] = fleet.sortHosts() as unknown as FixtureHost[];
   if (!first || !second || !owner) throw new Error('no hosts');
   fleet.setState(first, PeerState.Suspected);
-  const held = await owner.slots.acquire(fleet.buildWish());
-  const waits = [1, 2, 3].map(() => watch(owner.slots.acquire(fleet.buildWish())));
+  const heldSlot = await owner.slots.acquire(fleet.buildWish());
+  const pendingSlots = [1, 2, 3].map(() => watch(owner.slots.acquire(fleet.buildWish())));
   await settle();
-  const countQuestions = (): number =>
+  const countSlotRequests = (): number =>
     fleet.hub.delivered.filter(({ message }) => message.type === PeerMessageType.SlotRequest)
       .length;
-  for (let flap = 0; flap < 21; flap += 1) {
-    fleet.setState(first, flap % 2 === 0 ? PeerState.Live : PeerState.Suspected);
+  for (let flapCount = 0; flapCount < 21; flapCount += 1) {
+    fleet.setState(first, flapCount % 2 === 0 ? PeerState.Live : PeerState.Suspected);
     await fleet.clock.advance(300);
   }
-  t.equal(second.dispatcher.listQueues()[0]?.queued.standard, 3, 'all kept their place');
-  t.ok(countQuestions() <= 4 + 2 * 3, 'no more than the repeated questions');
+  t.equal(second.dispatcher.listQueues()[0]?.queued.standard, 3, 'all requests stay queued');
+  t.ok(countSlotRequests() <= 4 + 2 * 3, 'no more than the resent requests');
   await fleet.clock.advance(900);
-  t.equal(second.dispatcher.listQueues()[0]?.queued.standard, 0, 'moved once it had settled');
-  t.equal(first.dispatcher.listQueues()[0]?.running, 1, 'and granted by the first');
-  t.equal(waits.filter(({ value }) => value).length, 1);
-  held.release(ANSWERED);
+  t.equal(
+    second.dispatcher.listQueues()[0]?.queued.standard,
+    0,
+    'handed off once the first host stays live',
+  );
+  t.equal(first.dispatcher.listQueues()[0]?.running, 1, 'granted by the first host');
+  t.equal(pendingSlots.filter(({ value }) => value).length, 1);
+  heldSlot.release(ANSWERED);
   await settle();
   t.equal(second.dispatcher.listQueues()[0]?.running, 0);
 });
 
-t.test('DispatcherService carries the time waited to the next dispatcher', async (t) => {
+t.test('SlotClient passes the time waited to the next dispatcher', async (t) => {
   const fleet = new DispatchFleet({ slots: 1 });
   const [dispatcher, next, owner] = fleet.sortHosts() as unknown as FixtureHost[];
   if (!dispatcher || !next || !owner) throw new Error('no hosts');
@@ -226,19 +229,22 @@
   await fleet.clock.advance(20_000);
   fleet.kill(dispatcher);
   await settle();
-  const asked = owner.peers.sent.at(-1);
-  t.match(asked, { type: 'slot_request', waitedMs: 20_000, remainingMs: 79_000 });
+  const lastRequest = owner.peers.sent.at(-1);
+  t.match(lastRequest, { type: 'slot_request', waitedMs: 20_000, remainingMs: 79_000 });
 });
 
-t.test('SlotClient ends a wait when nobody at all grants, and says not run', async (t) => {
+t.test('SlotClient ends a request that nobody grants at its deadline', async (t) => {
   const fleet = new DispatchFleet({ hostIds: ['a', 'b'] });
   const [, owner] = fleet.sortHosts();
   owner.membership.fresh = false;
   fleet.hub.cut('a', 'b');
-  const wish = fleet.buildWish({ deadlineAtMs: fleet.clock.nowMs() + 4_000, tier: Tier.Urgent });
-  const wait = watch(owner.slots.acquire(wish));
+  const slotRequest = fleet.buildWish({
+    deadlineAtMs: fleet.clock.nowMs() + 4_000,
+    tier: Tier.Urgent,
+  });
+  const pendingSlot = watch(owner.slots.acquire(slotRequest));
   await fleet.clock.advance(4_000);
-  t.equal((wait.error as SchedulerError).kind, ErrorKind.DeadlineExpired);
+  t.equal((pendingSlot.error as SchedulerError).kind, ErrorKind.DeadlineExpired);
   t.equal(owner.dispatcher.listQueues()[0]?.groupId, `${SERVICE_ID}/0`);
   t.equal(owner.dispatcher.listQueues()[0]?.queued.urgent, 0);
 });
--- a/src/application/dispatcher/dispatcher_options.ts
+++ b/src/application/dispatcher/dispatcher_options.ts
@@ -1,5 +1,5 @@
 /**
- * What the dispatcher's two sides are built from.
+ * Options of the dispatcher service and the slot client.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 import type { ConfigurationView, MembershipView } from '../views/mod.js';
 import type { DispatcherService } from './dispatcher_service.js';
 
-/** What a dispatcher service needs. */
+/** Options of a dispatcher service. */
 export interface DispatcherOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -29,14 +29,14 @@
   readonly backend: BackendServerClient;
   readonly strategy: SchedulingStrategy;
   /**
-   * Called with each load report, so that a backend server that says it leaves is
-   * made known to peers. Default: nobody is told.
+   * Called with each load report, so that peers can be informed of a backend server
+   * that reports itself as draining. Default: nothing is called.
    */
   readonly noteBackendServerLoad?: (backendServerId: string, saysLeaving: boolean) => void;
 }
 
-/** What a slot client needs. */
+/** Options of a slot client. */
 export interface SlotClientOptions extends DispatcherOptions {
-  /** The service of the same process. */
+  /** The dispatcher service in the same process. */
   readonly dispatcher: DispatcherService;
 }
--- a/src/application/dispatcher/dispatcher_service.ts
+++ b/src/application/dispatcher/dispatcher_service.ts
@@ -1,5 +1,5 @@
 /**
- * The dispatcher's side: queues owners' requests for slots and grants them.
+ * Queues owners' slot requests and grants slots.
  *
  * @module
  */
@@ -8,60 +8,60 @@
 import type { Decision, GrantDecision, RefusalDecision } from '../../domain/scheduling/mod.js';
 import { PeerMessageType, SlotOutcome } from '../../ports/mod.js';
 import type { GroupLoad, SlotReleaseMessage, SlotRequestMessage } from '../../ports/mod.js';
-import { buildDemand, buildRefusal, formatKey, toSlotResult } from './_demands.js';
+import { buildDemand, buildRefusal, formatRequestKey, toSlotResult } from './_slot_messages.js';
 import type { DispatcherOptions } from './dispatcher_options.js';
-import { Grant, GrantBook } from './_grant_book.js';
+import { Grant, GrantTable } from './_grant_table.js';
 import { GroupRegistry } from './_group_registry.js';
-import { GroupWatch } from './_group_watch.js';
-import type { HeldGroup } from './_held_group.js';
-import { findExpiredGrants } from './_reclaim.js';
-import { RepeatedTimers } from './_repeated_timers.js';
+import { GroupMonitor } from './_group_monitor.js';
+import type { HostedGroup } from './_hosted_group.js';
+import { findExpiredGrants } from './_expired_grants.js';
+import { IntervalTimers } from './_interval_timers.js';
 import { buildQueueReport } from './queue_report.js';
 import type { QueueReport } from './queue_report.js';
 import { ServerPoller } from './_server_poller.js';
-import { computeSiblingTiers, SIBLING_VALID_MS } from './_sibling_tiers.js';
+import { computeSiblingOpenTiers, GROUP_LOAD_TTL_MS } from './_sibling_tiers.js';
 import type { SlotRequester } from './slot_requester.js';
 
-/** How often everything that is due by time is done, in milliseconds. */
-const TICK_MS = 100;
+/** Interval of the time-driven work (reclaiming, hand-off, dispatching), in milliseconds. */
+const TICK_INTERVAL_MS = 100;
 
-/** How often backend servers are asked for their reports, in milliseconds. */
-const POLL_MS = 1_000;
+/** Interval at which backend servers are polled for their reports, in milliseconds. */
+const POLL_INTERVAL_MS = 1_000;
 
-/** Time that a granted slot may wait for its hand-over, in milliseconds. */
+/** Time within which the owner must hand its request over after the grant, in milliseconds. */
 export const GRANT_VALID_MS = 2_000;
 
-/** One owner's wait in a queue. */
-interface Wait {
+/** An owner's slot request that waits in a group's queue. */
+interface QueuedRequest {
   readonly requester: SlotRequester;
   readonly ticket: number;
   readonly groupId: string;
 }
 
-/** Grants slots on the backend servers of the groups that this entry host holds. */
+/** Grants slots on the backend servers of the dispatch groups that this entry host hosts. */
 export class DispatcherService {
   readonly #options: DispatcherOptions;
 
   readonly #groups: GroupRegistry;
 
-  /** Who asked, by wait. */
-  readonly #waits = new Map<string, Wait>();
+  /** Queued requests by request key. */
+  readonly #queuedRequests = new Map<string, QueuedRequest>();
 
-  readonly #grants = new GrantBook();
+  readonly #grants = new GrantTable();
 
   readonly #poller: ServerPoller;
 
-  readonly #timers: RepeatedTimers;
+  readonly #timers: IntervalTimers;
 
-  readonly #watch: GroupWatch;
+  readonly #monitor: GroupMonitor;
 
-  /** @param options - what it is built from */
+  /** @param options - options of the service */
   constructor(options: DispatcherOptions) {
     this.#options = options;
     this.#groups = new GroupRegistry(options);
     this.#poller = new ServerPoller(options);
-    this.#timers = new RepeatedTimers(options.clock);
-    this.#watch = new GroupWatch(options.log, options.metrics);
+    this.#timers = new IntervalTimers(options.clock);
+    this.#monitor = new GroupMonitor(options.log, options.metrics);
     const { peers, membership, configuration } = options;
     peers.handle(PeerMessageType.SlotRequest, ({ incarnation }, message) =>
       this.handleRequest(
@@ -75,34 +75,34 @@
     peers.handle(PeerMessageType.SlotRelease, ({ incarnation }, message) =>
       this.handleRelease(incarnation, message),
     );
-    peers.onLink(({ peer, up }) => up || this.#cancelWaits(peer.incarnation));
-    membership.onChange(() => this.#runAll());
-    configuration.onChange(() => this.#runAll());
+    peers.onLink(({ peer, up }) => up || this.#cancelRequestsOf(peer.incarnation));
+    membership.onChange(() => this.#dispatchAll());
+    configuration.onChange(() => this.#dispatchAll());
   }
 
   /** Starts the timers. */
   start(): void {
-    this.#timers.start(TICK_MS, () => this.#tick());
-    this.#timers.start(POLL_MS, () => this.#poll());
+    this.#timers.start(TICK_INTERVAL_MS, () => this.#tick());
+    this.#timers.start(POLL_INTERVAL_MS, () => this.#poll());
   }
 
-  /** Stops the timers and sends everything that waits on to other dispatchers. */
+  /** Stops the timers and hands off all queued requests to other dispatchers. */
   stop(): void {
     this.#timers.stop();
-    this.#groups.list().forEach((group) => this.#handBack(group));
+    this.#groups.list().forEach((group) => this.#handOff(group));
   }
 
   /**
-   * Takes in a request for a slot. It is answered by one grant or one refusal. A
-   * repeated one, whose answer may have been lost, is answered again.
+   * Handles a slot request, which gets one grant or one refusal. A resent request
+   * whose grant may have been lost gets the same grant again.
    *
-   * @param requester - who asks
+   * @param requester - the owner that requests the slot
    * @param message - the request
    */
   handleRequest(requester: SlotRequester, message: SlotRequestMessage): void {
-    const key = formatKey(requester.incarnation, message.ticket);
-    if (this.#waits.has(key)) return;
-    const grant = this.#grants.findByKey(key);
+    const key = formatRequestKey(requester.incarnation, message.ticket);
+    if (this.#queuedRequests.has(key)) return;
+    const grant = this.#grants.findByRequestKey(key);
     if (grant) {
       this.#sendGrant(grant);
       return;
@@ -110,36 +110,31 @@
     const group = this.#groups.open(message.groupId);
     if (!group) {
       const kind = ErrorKind.NoBackendServer;
-      requester.send(buildRefusal(message.ticket, kind, TICK_MS));
+      requester.send(buildRefusal(message.ticket, kind, TICK_INTERVAL_MS));
       return;
     }
-    this.#waits.set(key, { requester, ticket: message.ticket, groupId: group.id });
+    this.#queuedRequests.set(key, { requester, ticket: message.ticket, groupId: group.id });
     const nowMs = this.#options.clock.nowMs();
-    this.#apply(group, group.scheduler.submit(buildDemand(key, message, nowMs), nowMs));
-    this.#run(group);
+    this.#applyDecisions(group, group.scheduler.submit(buildDemand(key, message, nowMs), nowMs));
+    this.#dispatchGroup(group);
   }
 
   /**
-   * Ends a wait. A slot that was granted meanwhile counts as unused.
+   * Cancels a slot request. A slot that was already granted for it is released as unused.
    *
-   * @param incarnation - whose wait
-   * @param ticket - which one
+   * @param incarnation - the owner's incarnation
+   * @param ticket - the owner's ticket for the request
    */
   handleCancel(incarnation: string, ticket: number): void {
-    const key = formatKey(incarnation, ticket);
-    const wait = this.#waits.get(key);
-    this.#waits.delete(key);
-    if (wait) this.#groups.find(wait.groupId)?.scheduler.cancel(key);
-    const grant = this.#grants.findByKey(key);
+    const key = formatRequestKey(incarnation, ticket);
+    const queued = this.#queuedRequests.get(key);
+    this.#queuedRequests.delete(key);
+    if (queued) this.#groups.find(queued.groupId)?.scheduler.cancel(key);
+    const grant = this.#grants.findByRequestKey(key);
     if (grant) this.#release(grant, SlotOutcome.Unused);
   }
 
-  /**
-   * Takes a slot back.
-   *
-   * @param incarnation - the owner that held it
-   * @param message - which one, and how it was used
-   */
+  /** Releases a slot. @param incarnation - its owner. @param message - the grant and its use */
   handleRelease(incarnation: string, message: SlotReleaseMessage): void {
     const grant = this.#grants.find(message.groupId, message.grantId);
     if (grant?.fields.requester.incarnation === incarnation)
@@ -147,26 +142,26 @@
   }
 
   /**
-   * Takes in what other dispatchers say of their groups, so that a tier closes in
-   * all groups of a service.
+   * Applies the loads that other dispatchers report, so that a tier that is closed in
+   * one group of a service is closed in all of them.
    *
-   * @param loads - the newest known load of every group
+   * @param loads - the newest known load of each group
    */
-  noteGroupLoads(loads: readonly GroupLoad[]): void {
+  updateGroupLoads(loads: readonly GroupLoad[]): void {
     const nowMs = this.#options.clock.nowMs();
-    const known = [...loads, ...this.listGroupLoads()];
-    computeSiblingTiers(
-      known,
+    const knownLoads = [...loads, ...this.listGroupLoads()];
+    computeSiblingOpenTiers(
+      knownLoads,
       this.#groups.list().map(({ id }) => id),
     ).forEach((openTier, groupId) => {
       const group = this.#groups.find(groupId);
       if (!group) return;
-      const untilMs = nowMs + SIBLING_VALID_MS;
-      this.#apply(group, group.scheduler.noteSiblings(openTier, untilMs, nowMs));
+      const validUntilMs = nowMs + GROUP_LOAD_TTL_MS;
+      this.#applyDecisions(group, group.scheduler.noteSiblings(openTier, validUntilMs, nowMs));
     });
   }
 
-  /** @returns loads of the groups that this entry host is responsible for, for heartbeats */
+  /** @returns loads of the groups for which this entry host is responsible, for heartbeats */
   listGroupLoads(): GroupLoad[] {
     const nowMs = this.#options.clock.nowMs();
     return this.#groups
@@ -179,7 +174,7 @@
       }));
   }
 
-  /** @returns every group that is dispatched from here, for operators */
+  /** @returns a report for operators on each hosted group */
   listQueues(): QueueReport[] {
     const nowMs = this.#options.clock.nowMs();
     return this.#groups
@@ -187,42 +182,42 @@
       .map((group) => buildQueueReport(group, this.#options.strategy, nowMs));
   }
 
-  #run(group: HeldGroup): void {
+  #dispatchGroup(group: HostedGroup): void {
     group.update();
-    // After a pause, who is responsible and who leaves may have changed unseen.
+    // While the process was paused, responsibility and draining may have changed.
     if (!this.#options.membership.isFresh()) return;
-    this.#apply(group, group.scheduler.run(this.#options.clock.nowMs()));
+    this.#applyDecisions(group, group.scheduler.run(this.#options.clock.nowMs()));
   }
 
-  #runAll(): void {
-    this.#groups.list().forEach((group) => this.#run(group));
+  #dispatchAll(): void {
+    this.#groups.list().forEach((group) => this.#dispatchGroup(group));
   }
 
-  #apply(group: HeldGroup, decisions: readonly Decision[]): void {
+  #applyDecisions(group: HostedGroup, decisions: readonly Decision[]): void {
     decisions.forEach((decision) => {
-      const waiting = this.#waits.get(decision.demand.key);
-      this.#waits.delete(decision.demand.key);
-      if (decision.kind === DecisionKind.Refusal) this.#refuse(decision, waiting);
-      else this.#grant(group, decision, waiting);
+      const queued = this.#queuedRequests.get(decision.demand.key);
+      this.#queuedRequests.delete(decision.demand.key);
+      if (decision.kind === DecisionKind.Refusal) this.#refuse(decision, queued);
+      else this.#grant(group, decision, queued);
     });
   }
 
-  #refuse({ reason, retryAfterMs }: RefusalDecision, waiting: Wait | undefined): void {
-    waiting?.requester.send(buildRefusal(waiting.ticket, reason, retryAfterMs));
+  #refuse({ reason, retryAfterMs }: RefusalDecision, queued: QueuedRequest | undefined): void {
+    queued?.requester.send(buildRefusal(queued.ticket, reason, retryAfterMs));
   }
 
   #grant(
-    group: HeldGroup,
+    group: HostedGroup,
     { demand, grantId, backendServerId }: GrantDecision,
-    waiting: Wait | undefined,
+    queued: QueuedRequest | undefined,
   ): void {
     const nowMs = this.#options.clock.nowMs();
-    if (!waiting) {
+    if (!queued) {
       group.scheduler.release(grantId, toSlotResult(SlotOutcome.Unused), nowMs);
       return;
     }
     const grant = new Grant({
-      ...waiting,
+      ...queued,
       key: demand.key,
       groupId: group.id,
       grantId,
@@ -248,12 +243,12 @@
     if (!group) return;
     const result = toSlotResult(outcome, message);
     group.scheduler.release(grantId, result, this.#options.clock.nowMs());
-    this.#run(group);
+    this.#dispatchGroup(group);
   }
 
-  /** An owner whose link is gone can't be granted anything; it asks elsewhere. */
-  #cancelWaits(incarnation: string): void {
-    [...this.#waits]
+  /** Cancels the queued requests of an owner whose link is down; the owner fails over. */
+  #cancelRequestsOf(incarnation: string): void {
+    [...this.#queuedRequests]
       .filter(([, { requester }]) => requester.incarnation === incarnation)
       .forEach(([, { ticket }]) => this.handleCancel(incarnation, ticket));
   }
@@ -271,29 +266,29 @@
     });
     this.#groups
       .list()
-      .filter((group) => group.updateResponsibility(nowMs))
-      .forEach((group) => this.#handBack(group));
-    this.#runAll();
-    this.#groups.list().forEach((group) => this.#watch.note(group, nowMs));
+      .filter((group) => group.updateAssignment(nowMs))
+      .forEach((group) => this.#handOff(group));
+    this.#dispatchAll();
+    this.#groups.list().forEach((group) => this.#monitor.logChanges(group, nowMs));
   }
 
-  /** Sends waiting requests back to their owners, which ask the group's new dispatcher. */
-  #handBack(group: HeldGroup): void {
-    const retryAfterMs = TICK_MS;
+  /** Refuses all queued requests, so that their owners send them to the group's new dispatcher. */
+  #handOff(group: HostedGroup): void {
+    const retryAfterMs = TICK_INTERVAL_MS;
     const refusals = group.scheduler.drainWaiting().map((demand): RefusalDecision => ({
       kind: DecisionKind.Refusal,
       demand,
       reason: ErrorKind.EntryHostStopping,
       retryAfterMs,
     }));
-    this.#apply(group, refusals);
+    this.#applyDecisions(group, refusals);
   }
 
   #poll(): void {
     const nowMs = this.#options.clock.nowMs();
     this.#groups.prune();
-    this.#groups.list().forEach((group) => this.#watch.record(group, nowMs));
-    this.#groups.openOwn().forEach((group) => {
+    this.#groups.list().forEach((group) => this.#monitor.setGauges(group, nowMs));
+    this.#groups.openAssigned().forEach((group) => {
       this.#poller.run(group).catch(() => undefined);
     });
   }
--- a/src/application/dispatcher/dispatcher_service_test.ts
+++ b/src/application/dispatcher/dispatcher_service_test.ts
@@ -10,68 +10,70 @@
 import { DispatchFleet, watch } from '../../../test/support/fleet_fixture.js';
 import type { FixtureHost } from '../../../test/support/fleet_fixture.js';
 
-const USE = { firstByteMs: 20, totalMs: 500, outputTokens: 25 };
+const SLOT_USE = { firstByteMs: 20, totalMs: 500, outputTokens: 25 };
 
 async function acquireMany(
   fleet: DispatchFleet,
   host: FixtureHost,
   count: number,
 ): Promise<Slot[]> {
-  const waits = Array.from({ length: count }, () => watch(host.slots.acquire(fleet.buildWish())));
+  const pendingSlots = Array.from({ length: count }, () =>
+    watch(host.slots.acquire(fleet.buildWish())),
+  );
   await settle();
-  return waits.flatMap(({ value }) => value ?? []);
+  return pendingSlots.flatMap(({ value }) => value ?? []);
 }
 
 interface LeavingCase {
   readonly name: string;
-  readonly tell: (fleet: DispatchFleet, hosts: readonly FixtureHost[]) => Promise<void>;
+  readonly announceDraining: (fleet: DispatchFleet, hosts: readonly FixtureHost[]) => Promise<void>;
 }
 
-const LEAVING: readonly LeavingCase[] = [
+const DRAINING_CASES: readonly LeavingCase[] = [
   {
-    name: 'the dispatcher knows it from the host list or a peer',
-    tell: async (_, [dispatcher]) => {
+    name: 'known to the dispatcher from the host list or a peer',
+    announceDraining: async (_, [dispatcher]) => {
       dispatcher?.membership.leavingBackendServers.add('engine-2');
       dispatcher?.membership.notify();
     },
   },
   {
-    name: 'only its owner knows it',
-    tell: async (_, [, owner]) => {
+    name: 'known only to the owner of the request',
+    announceDraining: async (_, [, owner]) => {
       owner?.membership.leavingBackendServers.add('engine-2');
     },
   },
   {
-    name: 'it says so itself in a load report',
-    tell: async (fleet) => {
+    name: 'reported by the backend server in a load report',
+    announceDraining: async (fleet) => {
       fleet.backend.loads.set('engine-2', { running: 0, waiting: 0, leaving: true });
       await fleet.clock.advance(1_100);
     },
   },
   {
-    name: 'the configuration no longer has it',
-    tell: async (fleet) => fleet.configuration.put(buildService(1)),
+    name: 'removed from the configuration',
+    announceDraining: async (fleet) => fleet.configuration.put(buildService(1)),
   },
 ];
 
-LEAVING.forEach(({ name, tell }) => {
-  t.test(`DispatcherService gives a leaving backend server nothing new: ${name}`, async (t) => {
+DRAINING_CASES.forEach(({ name, announceDraining }) => {
+  t.test(`DispatcherService grants no slot on a draining backend server: ${name}`, async (t) => {
     const fleet = new DispatchFleet({ service: buildService(2), slots: 4 });
     const [dispatcher, owner] = fleet.sortHosts();
-    const before = await acquireMany(fleet, owner, 6);
-    t.ok(before.some(({ backendServer }) => backendServer.id === 'engine-2'));
-    await tell(fleet, [dispatcher, owner]);
-    before.forEach((slot) => slot.release({ outcome: SlotOutcome.Answered, ...USE }));
-    const after = await acquireMany(fleet, owner, 4);
-    t.ok(after.length > 0);
-    t.ok(after.every(({ backendServer }) => backendServer.id === 'engine-1'));
+    const heldBefore = await acquireMany(fleet, owner, 6);
+    t.ok(heldBefore.some(({ backendServer }) => backendServer.id === 'engine-2'));
+    await announceDraining(fleet, [dispatcher, owner]);
+    heldBefore.forEach((slot) => slot.release({ outcome: SlotOutcome.Answered, ...SLOT_USE }));
+    const grantedAfter = await acquireMany(fleet, owner, 4);
+    t.ok(grantedAfter.length > 0);
+    t.ok(grantedAfter.every(({ backendServer }) => backendServer.id === 'engine-1'));
   });
 });
 
-t.test('DispatcherService takes over from another without overloading engines', async (t) => {
-  // Symptom: engines get twice their window after a dispatcher died. Sequence:
-  // its successor starts with all slots free, while the owners' requests run on.
-  // Cause: knowing only its own grants. Load reports, late as they are, tell.
+t.test('DispatcherService takes over from another one without overloading engines', async (t) => {
+  // Guards against engines that get twice their window after a dispatcher crashed: its
+  // successor knows only its own grants and starts with all slots free, while the owners'
+  // requests still run. Load reports, though delayed, make up for it.
   const fleet = new DispatchFleet({ slots: 8 });
   const [dispatcher, next, owner] = fleet.sortHosts() as unknown as FixtureHost[];
   if (!dispatcher || !next || !owner) throw new Error('no hosts');
@@ -83,17 +85,21 @@
   t.equal(
     (await acquireMany(fleet, owner, 8)).length,
     1,
-    'one, so that a wrong report can not stop it',
+    'one is granted, so that a wrong report can not block the group',
   );
   await fleet.clock.advance(3_000);
   fleet.backend.loads.set('engine-1', { running: 1, waiting: 0, leaving: false });
   await fleet.clock.advance(1_100);
-  t.equal(next.dispatcher.listQueues()[0]?.running, 8, 'the reports tell that they have ended');
+  t.equal(
+    next.dispatcher.listQueues()[0]?.running,
+    8,
+    'the reports show that the old requests have ended',
+  );
 });
 
-t.test('DispatcherService does not believe stale load reports', async (t) => {
-  // Symptom: slots stay free. Sequence: reports stop coming while they tell of
-  // full engines. Cause: believing a report for ever.
+t.test('DispatcherService ignores stale load reports', async (t) => {
+  // Guards against slots that stay unused: reports stop while the last one shows full
+  // engines, and it never expires.
   const fleet = new DispatchFleet({ slots: 4 });
   const [dispatcher] = fleet.sortHosts();
   fleet.backend.loads.set('engine-1', { running: 50, waiting: 9, leaving: false });
@@ -104,33 +110,40 @@
   t.equal(dispatcher.dispatcher.listQueues()[0]?.running, 4);
 });
 
-t.test('DispatcherService asks only the backend servers of its own groups', async (t) => {
+t.test('DispatcherService polls only the backend servers of its assigned groups', async (t) => {
   const fleet = new DispatchFleet({ service: buildService(6, 1) });
   await fleet.clock.advance(3_050);
   const reads = new Map<string, number>();
   fleet.backend.reads.forEach((id) => reads.set(id, (reads.get(id) ?? 0) + 1));
-  t.same([...reads.values()], [3, 3, 3, 3, 3, 3], 'each once a second, by one entry host');
+  t.same(
+    [...reads.values()],
+    [3, 3, 3, 3, 3, 3],
+    'each is polled once a second, by one entry host',
+  );
 });
 
-t.test('DispatcherService.listGroupLoads() tells of the groups that it answers for', async (t) => {
-  const fleet = new DispatchFleet({ slots: 1 });
-  const [dispatcher, owner] = fleet.sortHosts();
-  await acquireMany(fleet, owner, 3);
-  const [load] = dispatcher.dispatcher.listGroupLoads();
-  t.match(load, { groupId: 'monsoon-llm/0', openTier: TIERS[2] });
-  t.ok(load?.waitMs.length === 3 && (load.waitMs[1] ?? 0) > 0);
-  t.same(owner.dispatcher.listGroupLoads(), []);
-  t.match(dispatcher.dispatcher.listQueues()[0], {
-    groupId: 'monsoon-llm/0',
-    strategy: 'dispatcher',
-    responsible: true,
-    queued: { urgent: 0, standard: 2, batch: 0 },
-    running: 1,
-    window: 1,
-    openTier: 'batch',
-    ejected: [],
-  });
-});
+t.test(
+  'DispatcherService.listGroupLoads() lists the groups that it is responsible for',
+  async (t) => {
+    const fleet = new DispatchFleet({ slots: 1 });
+    const [dispatcher, owner] = fleet.sortHosts();
+    await acquireMany(fleet, owner, 3);
+    const [load] = dispatcher.dispatcher.listGroupLoads();
+    t.match(load, { groupId: 'monsoon-llm/0', openTier: TIERS[2] });
+    t.ok(load?.waitMs.length === 3 && (load.waitMs[1] ?? 0) > 0);
+    t.same(owner.dispatcher.listGroupLoads(), []);
+    t.match(dispatcher.dispatcher.listQueues()[0], {
+      groupId: 'monsoon-llm/0',
+      strategy: 'dispatcher',
+      responsible: true,
+      queued: { urgent: 0, standard: 2, batch: 0 },
+      running: 1,
+      window: 1,
+      openTier: 'batch',
+      ejected: [],
+    });
+  },
+);
 
 type Step =
   | { readonly kind: 'ask'; readonly host: number; readonly tier: Tier }
@@ -139,14 +152,14 @@
   | { readonly kind: 'cut' | 'heal'; readonly a: number; readonly b: number }
   | { readonly kind: 'wait'; readonly ms: number };
 
-const HOST = fc.nat(3);
+const HOST_INDEX = fc.nat(3);
 
 const STEP: fc.Arbitrary<Step> = fc.oneof(
   {
     weight: 6,
     arbitrary: fc.record({
       kind: fc.constant('ask' as const),
-      host: HOST,
+      host: HOST_INDEX,
       tier: fc.constantFrom(...TIERS),
     }),
   },
@@ -163,8 +176,8 @@
     weight: 1,
     arbitrary: fc.record({
       kind: fc.constantFrom('cut' as const, 'heal' as const),
-      a: HOST,
-      b: HOST,
+      a: HOST_INDEX,
+      b: HOST_INDEX,
     }),
   },
   {
@@ -176,43 +189,49 @@
   },
 );
 
-t.test('SlotClient and DispatcherService lose no slot in any order of cuts', async (t) => {
-  // Symptom: windows shrink over the days. Sequence: grants, releases, cancels and
-  // refusals cross while links go and come back. Cause: a slot that neither the
-  // owner holds nor the dispatcher has free.
+t.test('SlotClient and DispatcherService leak no slot in any order of link failures', async (t) => {
+  // Guards against windows that shrink over days: grants, releases, cancellations and
+  // refusals cross while links fail and recover, and a slot remains that the owner
+  // doesn't hold and the dispatcher doesn't count as free.
   await fc.assert(
     fc.asyncProperty(fc.array(STEP, { maxLength: 40, size: 'max' }), async (steps) => {
       const fleet = new DispatchFleet({ hostIds: ['a', 'b', 'c', 'd'], service: buildService(2) });
-      const asked: { seen: { value?: Slot; error?: unknown }; caller: AbortController }[] = [];
+      const requests: { result: { value?: Slot; error?: unknown }; caller: AbortController }[] = [];
       const run = async (step: Step): Promise<void> => {
         const { hosts, hub } = fleet;
         if (step.kind === 'ask') {
           const caller = new AbortController();
-          const wish = fleet.buildWish({ tier: step.tier, signal: caller.signal });
+          const slotRequest = fleet.buildWish({ tier: step.tier, signal: caller.signal });
           const host = hosts[step.host] as FixtureHost;
-          asked.push({ seen: watch(host.slots.acquire(wish)), caller });
+          requests.push({ result: watch(host.slots.acquire(slotRequest)), caller });
         }
-        const slots = asked.flatMap(({ seen }) => seen.value ?? []);
+        const slots = requests.flatMap(({ result }) => result.value ?? []);
         if (step.kind === 'release')
-          slots[step.index % Math.max(1, slots.length)]?.release({ outcome: step.outcome, ...USE });
-        if (step.kind === 'abort') asked[step.index % Math.max(1, asked.length)]?.caller.abort();
+          slots[step.index % Math.max(1, slots.length)]?.release({
+            outcome: step.outcome,
+            ...SLOT_USE,
+          });
+        if (step.kind === 'abort')
+          requests[step.index % Math.max(1, requests.length)]?.caller.abort();
         if ((step.kind === 'cut' || step.kind === 'heal') && step.a !== step.b)
           hub[step.kind]('abcd'.charAt(step.a), 'abcd'.charAt(step.b));
         await (step.kind === 'wait' ? fleet.clock.advance(step.ms) : settle());
       };
       for (const step of steps) await run(step);
       fleet.hub.healAll();
-      asked.forEach(({ caller }) => caller.abort());
+      requests.forEach(({ caller }) => caller.abort());
       await settle();
-      asked.forEach(({ seen }) => seen.value?.release({ outcome: SlotOutcome.Answered, ...USE }));
+      requests.forEach(({ result }) =>
+        result.value?.release({ outcome: SlotOutcome.Answered, ...SLOT_USE }),
+      );
       await fleet.clock.advance(200);
       t.ok(
-        asked.every(({ seen }) => seen.value ?? seen.error),
-        'every wish has ended, once',
+        requests.every(({ result }) => result.value ?? result.error),
+        'every slot request has ended',
       );
-      const left = fleet.hosts.flatMap(({ dispatcher }) => dispatcher.listQueues());
+      const remainingQueues = fleet.hosts.flatMap(({ dispatcher }) => dispatcher.listQueues());
       t.same(
-        left
+        remainingQueues
           .map(({ running, queued }) => [running, queued.standard])
           .flat()
           .filter(Boolean),
@@ -223,7 +242,7 @@
   );
 });
 
-t.test('DispatcherService forgets a waiting owner whose link is gone', async (t) => {
+t.test('DispatcherService drops the queued requests of an owner whose link is down', async (t) => {
   const fleet = new DispatchFleet({ slots: 1 });
   const [dispatcher, owner] = fleet.sortHosts();
   await dispatcher.slots.acquire(fleet.buildWish());
--- a/src/application/dispatcher/mod.ts
+++ b/src/application/dispatcher/mod.ts
@@ -1,12 +1,13 @@
 /**
- * Dispatchers: one entry host for each dispatch group queues all requests for
- * its backend servers and grants their slots; owners ask it from anywhere.
+ * Dispatchers: for each dispatch group, one entry host queues all requests for the
+ * group's backend servers and grants their slots. Owners on any entry host request
+ * slots from it.
  *
  * ```ts
  * const dispatcher = new DispatcherService(options);
  * const slots = new SlotClient({ ...options, dispatcher });
  * dispatcher.start();
- * const slot = await slots.acquire(wish);
+ * const slot = await slots.acquire(slotRequest);
  * ```
  *
  * @module
--- a/src/application/dispatcher/queue_report.ts
+++ b/src/application/dispatcher/queue_report.ts
@@ -1,51 +1,56 @@
 /**
- * What operators see of a dispatch group.
+ * Reports of dispatch groups for operators.
  *
  * @module
  */
 import { TIER_NAMES, TIERS } from '../../domain/scheduling/mod.js';
 import type { SchedulingStrategy, StrategyName } from '../../domain/scheduling/mod.js';
-import type { HeldGroup } from './_held_group.js';
+import type { HostedGroup } from './_hosted_group.js';
 
 /** One backend server of a reported group. */
 export interface ServerReport {
   readonly id: string;
+  /** Slots that are granted and not yet released. */
   readonly running: number;
+  /** Current size of the concurrency window, in slots. */
   readonly window: number;
+  /** Whether it is draining. */
   readonly leaving: boolean;
-  /** Requests there by its own last report. */
+  /** Running and waiting requests by its own last load report. */
   readonly reportedLoad: number;
-  /** How much slower it is than its engine kind says. */
+  /** Factor by which it is slower than the nominal speed of its engine kind. */
   readonly slowdown: number;
 }
 
-/** One group that is dispatched from this entry host. */
+/** Report of a group that this entry host dispatches for. */
 export interface QueueReport {
   readonly groupId: string;
   readonly strategy: StrategyName;
-  /** Whether this entry host believes that it is responsible for the group. */
+  /** Whether this entry host is responsible for the group by its own membership view. */
   readonly responsible: boolean;
-  /** Waiting requests by tier name. */
+  /** Queued requests by tier name. */
   readonly queued: Readonly<Record<string, number>>;
+  /** Slots that are granted and not yet released, over all backend servers. */
   readonly running: number;
+  /** Sum of the concurrency windows, in slots. */
   readonly window: number;
   /** Name of the lowest open tier. */
   readonly openTier: string;
-  /** Backend servers that are ejected now. */
+  /** IDs of the backend servers that are currently ejected as outliers. */
   readonly ejected: readonly string[];
   readonly backendServers: readonly ServerReport[];
 }
 
 /**
- * Builds a group's report.
+ * Builds the report of a group.
  *
  * @param group - the group
- * @param strategy - how it is scheduled
+ * @param strategy - the scheduling strategy in use
  * @param nowMs - monotonic time in milliseconds
  * @returns the report, ready for JSON
  */
 export function buildQueueReport(
-  group: HeldGroup,
+  group: HostedGroup,
   strategy: SchedulingStrategy,
   nowMs: number,
 ): QueueReport {
--- a/src/application/dispatcher/slot_client.ts
+++ b/src/application/dispatcher/slot_client.ts
@@ -1,5 +1,5 @@
 /**
- * The owner's side: asks dispatchers for slots.
+ * Requests slots from dispatchers on behalf of request owners.
  *
  * @module
  */
@@ -18,41 +18,41 @@
 import type { Slot, SlotUse, SlotWish } from '../views/mod.js';
 import type { SlotClientOptions } from './dispatcher_options.js';
 import { acquireSlot } from './_acquire_slot.js';
-import { KnownLoads } from './_known_loads.js';
+import { GroupLoadCache } from './_group_load_cache.js';
 import { MessageOutbox } from './_message_outbox.js';
-import { PendingWait, WaitEventKind } from './_pending_wait.js';
-import type { WaitEvent } from './_pending_wait.js';
+import { PendingRequest, RequestEventKind } from './_pending_request.js';
+import type { RequestEvent } from './_pending_request.js';
 
-/** Ended waits that are remembered, so that a late grant can be given back. */
-const MAX_ENDED = 4096;
+/** Maximum ended requests that are remembered, so that a late grant can be released. */
+const MAX_ENDED_REQUESTS = 4096;
 
-const UNUSED: SlotUse = {
+const UNUSED_SLOT: SlotUse = {
   outcome: SlotOutcome.Unused,
   firstByteMs: 0,
   totalMs: 0,
   outputTokens: 0,
 };
 
-/** Gets slots for owned requests, wherever their dispatchers are. */
+/** Acquires slots for owned requests from dispatchers on any entry host. */
 export class SlotClient extends SlotSource {
   readonly options: SlotClientOptions;
 
-  /** What is known of groups that are dispatched elsewhere. */
-  readonly loads = new KnownLoads();
+  /** Loads of the dispatch groups, as their dispatchers last reported them. */
+  readonly groupLoads = new GroupLoadCache();
 
   readonly #outbox: MessageOutbox;
 
-  readonly #waits = new Map<number, PendingWait>();
+  readonly #pendingRequests = new Map<number, PendingRequest>();
 
-  /** Group of each wait that ended, oldest first. */
-  readonly #ended = new Map<number, string>();
+  /** Group ID of each ended request by ticket, oldest first. */
+  readonly #endedRequestGroups = new Map<number, string>();
 
-  /** Tickets whose slots are held. */
-  readonly #held = new Set<number>();
+  /** Tickets of the requests whose slots are held. */
+  readonly #heldTickets = new Set<number>();
 
   #lastTicket = 0;
 
-  /** @param options - what it is built from */
+  /** @param options - options of the client */
   constructor(options: SlotClientOptions) {
     super();
     this.options = options;
@@ -64,17 +64,17 @@
     peers.handle(PeerMessageType.SlotRefusal, ({ incarnation }, message) =>
       this.#handleRefusal(incarnation, message),
     );
-    peers.onLink(({ peer, up }) => up || this.#noteLost(peer.incarnation));
+    peers.onLink(({ peer, up }) => up || this.#notifyDispatcherLost(peer.incarnation));
     membership.onChange(() => this.#handleMembershipChange());
   }
 
-  override async acquire(wish: SlotWish): Promise<Slot> {
+  override async acquire(request: SlotWish): Promise<Slot> {
     const { clock, metrics, tracer } = this.options;
-    const tier = TIER_NAMES[wish.tier];
+    const tier = TIER_NAMES[request.tier];
     const startedAtMs = clock.nowMs();
-    const span = tracer.startSpan(Hop.Dispatcher, wish.traceparent);
+    const span = tracer.startSpan(Hop.Dispatcher, request.traceparent);
     try {
-      const slot = await startProcess(() => acquireSlot(this, wish));
+      const slot = await startProcess(() => acquireSlot(this, request));
       metrics.record('slot_wait_ms', clock.nowMs() - startedAtMs, { tier });
       span.setAttributes({ backendServer: slot.backendServer.id, tier });
       span.end();
@@ -87,42 +87,42 @@
     }
   }
 
-  /** Ends every wait. */
+  /** Aborts all pending requests. */
   stop(): void {
-    this.#waits.forEach((wait) => wait.notify({ kind: WaitEventKind.Ended }));
+    this.#pendingRequests.forEach((pending) => pending.notify({ kind: RequestEventKind.Aborted }));
   }
 
   /**
-   * Takes in what a peer's heartbeat says of the groups that it dispatches.
+   * Handles the group loads of a peer's heartbeat.
    *
-   * @param incarnation - the peer
-   * @param groups - their loads
+   * @param incarnation - the peer's incarnation
+   * @param groups - loads of the groups that the peer dispatches
    */
   handleGroupLoads(incarnation: string, groups: readonly GroupLoad[]): void {
     if (incarnation === this.options.membership.self.incarnation) return;
     const nowMs = this.options.clock.nowMs();
-    this.loads.update(groups, nowMs);
-    this.options.dispatcher.noteGroupLoads(this.loads.list(nowMs));
+    this.groupLoads.update(groups, nowMs);
+    this.options.dispatcher.updateGroupLoads(this.groupLoads.list(nowMs));
   }
 
   /**
-   * Opens a wait; used by the process of one wish.
+   * Registers a pending request under a new ticket. Used by `acquireSlot`.
    *
    * @param groupId - the group
    * @param dispatcher - incarnation of the dispatcher
-   * @returns the wait
+   * @returns the pending request
    */
-  openWait(groupId: string, dispatcher: string): PendingWait {
+  openRequest(groupId: string, dispatcher: string): PendingRequest {
     this.#lastTicket += 1;
-    const wait = new PendingWait(this.#lastTicket, groupId, dispatcher);
-    this.#waits.set(wait.ticket, wait);
-    return wait;
+    const pending = new PendingRequest(this.#lastTicket, groupId, dispatcher);
+    this.#pendingRequests.set(pending.ticket, pending);
+    return pending;
   }
 
   /**
    * Sends a message to a dispatcher, which may be in this process.
    *
-   * @param incarnation - the dispatcher's
+   * @param incarnation - the dispatcher's incarnation
    * @param message - the message
    * @returns false when there is no link to it
    */
@@ -134,68 +134,74 @@
   }
 
   /**
-   * Ends a wait that brought nothing. The dispatcher is told even if it seems to
-   * be gone: it may hold a slot for this ticket.
+   * Ends a request that holds no slot. A cancellation is sent even to a dispatcher
+   * that seems unreachable, since it may have granted a slot for the ticket.
    *
-   * @param wait - the wait
-   * @param mustTell - whether the dispatcher may still believe in it
+   * @param pending - the request
+   * @param mustCancel - whether to send a cancellation, as the dispatcher may still have the
+   *   request queued or granted
    */
-  closeWait(wait: PendingWait, mustTell: boolean): void {
-    this.#waits.delete(wait.ticket);
-    this.#ended.set(wait.ticket, wait.groupId);
-    const [oldest] = this.#ended.keys();
-    if (this.#ended.size > MAX_ENDED && oldest !== undefined) this.#ended.delete(oldest);
-    if (!mustTell) return;
-    this.#sendSurely(wait.dispatcher, {
+  closeRequest(pending: PendingRequest, mustCancel: boolean): void {
+    this.#pendingRequests.delete(pending.ticket);
+    this.#endedRequestGroups.set(pending.ticket, pending.groupId);
+    const [oldest] = this.#endedRequestGroups.keys();
+    if (this.#endedRequestGroups.size > MAX_ENDED_REQUESTS && oldest !== undefined)
+      this.#endedRequestGroups.delete(oldest);
+    if (!mustCancel) return;
+    this.#sendReliably(pending.dispatcher, {
       type: PeerMessageType.SlotCancel,
-      ticket: wait.ticket,
+      ticket: pending.ticket,
     });
   }
 
   /**
-   * Turns a wait into a held slot.
+   * Turns a granted request into a held slot.
    *
-   * @param wait - the wait that was granted
-   * @param grantId - the grant
-   * @returns gives the slot back; a second call does nothing
+   * @param pending - the request that was granted
+   * @param grantId - the grant's ID
+   * @returns a function that releases the slot; a second call does nothing
    */
-  holdSlot(wait: PendingWait, grantId: number): (use: SlotUse) => void {
-    this.#waits.delete(wait.ticket);
-    this.#held.add(wait.ticket);
+  holdSlot(pending: PendingRequest, grantId: number): (use: SlotUse) => void {
+    this.#pendingRequests.delete(pending.ticket);
+    this.#heldTickets.add(pending.ticket);
     return (use) => {
-      if (!this.#held.delete(wait.ticket)) return;
-      this.closeWait(wait, false);
-      this.#release(wait.dispatcher, wait.groupId, grantId, use);
+      if (!this.#heldTickets.delete(pending.ticket)) return;
+      this.closeRequest(pending, false);
+      this.#sendRelease(pending.dispatcher, pending.groupId, grantId, use);
     };
   }
 
   #handleGrant(dispatcher: string, message: SlotGrantMessage): void {
     const { ticket, grantId, backendServerId, validMs } = message;
-    // A repeated answer to a repeated question: the slot is in use.
-    if (this.#held.has(ticket)) return;
-    const wait = this.#waits.get(ticket);
-    const kind = WaitEventKind.Granted as const;
-    if (wait?.dispatcher === dispatcher && wait.notify({ kind, grantId, backendServerId, validMs }))
+    // This is a duplicate reply to a request that was sent again; the slot is in use.
+    if (this.#heldTickets.has(ticket)) return;
+    const pending = this.#pendingRequests.get(ticket);
+    const kind = RequestEventKind.Granted as const;
+    if (
+      pending?.dispatcher === dispatcher &&
+      pending.notify({ kind, grantId, backendServerId, validMs })
+    )
       return;
-    // Nobody waits for it any more; the slot must not lie idle until it is reclaimed.
-    const groupId = wait?.groupId ?? this.#ended.get(ticket);
+    // The request has ended. The slot is released at once, as it would otherwise idle
+    // until the dispatcher reclaims it.
+    const groupId = pending?.groupId ?? this.#endedRequestGroups.get(ticket);
     if (groupId === undefined)
-      this.#sendSurely(dispatcher, { type: PeerMessageType.SlotCancel, ticket });
-    else this.#release(dispatcher, groupId, grantId, UNUSED);
+      this.#sendReliably(dispatcher, { type: PeerMessageType.SlotCancel, ticket });
+    else this.#sendRelease(dispatcher, groupId, grantId, UNUSED_SLOT);
   }
 
   #handleRefusal(dispatcher: string, message: SlotRefusalMessage): void {
-    const wait = this.#waits.get(message.ticket);
-    if (wait?.dispatcher !== dispatcher) return;
+    const pending = this.#pendingRequests.get(message.ticket);
+    if (pending?.dispatcher !== dispatcher) return;
     const { kind: reason, retryAfterMs } = message;
-    wait.notify({ kind: WaitEventKind.Refused, reason, retryAfterMs });
+    pending.notify({ kind: RequestEventKind.Refused, reason, retryAfterMs });
   }
 
-  #release(dispatcher: string, groupId: string, grantId: number, use: SlotUse): void {
-    this.#sendSurely(dispatcher, { type: PeerMessageType.SlotRelease, groupId, grantId, ...use });
+  #sendRelease(dispatcher: string, groupId: string, grantId: number, use: SlotUse): void {
+    this.#sendReliably(dispatcher, { type: PeerMessageType.SlotRelease, groupId, grantId, ...use });
   }
 
-  #sendSurely(dispatcher: string, message: PeerMessage): void {
+  #sendReliably(dispatcher: string, message: PeerMessage): void {
     if (dispatcher === this.options.membership.self.incarnation) this.#sendLocally(message);
     else this.#outbox.send(dispatcher, message);
   }
@@ -204,9 +210,9 @@
     const { dispatcher, membership } = this.options;
     const { incarnation } = membership.self;
     if (message.type === PeerMessageType.SlotRequest) {
-      const send = (answer: SlotGrantMessage | SlotRefusalMessage): boolean => {
-        if (answer.type === PeerMessageType.SlotGrant) this.#handleGrant(incarnation, answer);
-        else this.#handleRefusal(incarnation, answer);
+      const send = (reply: SlotGrantMessage | SlotRefusalMessage): boolean => {
+        if (reply.type === PeerMessageType.SlotGrant) this.#handleGrant(incarnation, reply);
+        else this.#handleRefusal(incarnation, reply);
         return true;
       };
       dispatcher.handleRequest({ incarnation, send }, message);
@@ -218,18 +224,22 @@
   }
 
   #handleMembershipChange(): void {
-    this.#outbox.prune();
+    this.#outbox.pruneUnknownPeers();
     const { membership } = this.options;
-    const dispatchers = new Set([...this.#waits.values()].map(({ dispatcher }) => dispatcher));
+    const dispatchers = new Set(
+      [...this.#pendingRequests.values()].map(({ dispatcher }) => dispatcher),
+    );
     dispatchers.delete(membership.self.incarnation);
     dispatchers.forEach((incarnation) => {
       const view = membership.findIncarnation(incarnation);
-      if (!view || view.state === PeerState.Suspected) this.#noteLost(incarnation);
+      if (!view || view.state === PeerState.Suspected) this.#notifyDispatcherLost(incarnation);
     });
   }
 
-  #noteLost(incarnation: string): void {
-    const event: WaitEvent = { kind: WaitEventKind.DispatcherLost };
-    this.#waits.forEach((wait) => wait.dispatcher === incarnation && wait.notify(event));
+  #notifyDispatcherLost(incarnation: string): void {
+    const event: RequestEvent = { kind: RequestEventKind.DispatcherLost };
+    this.#pendingRequests.forEach(
+      (pending) => pending.dispatcher === incarnation && pending.notify(event),
+    );
   }
 }
--- a/src/application/owner/_attempt.ts
+++ b/src/application/owner/_attempt.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt to dispatch an owned request with a granted slot.
+ * One attempt to run an owned request at a backend server with a granted slot.
  *
  * @module
  */
@@ -17,13 +17,14 @@
 import type { OwnedCall } from './owned_call.js';
 import type { OwnedRequest } from './owned_request.js';
 
+/** Time to wait for the 100 (Continue) before the connection is closed, in milliseconds. */
 const CONTINUE_TIMEOUT_MS = 1000;
-const MAX_RESUMES = 2;
-/** Engines give a stream's head at once; a plain service gives it when its work is done. */
+const MAX_RESUMPTIONS = 2;
+/** For engines, which send the head at once; plain services send it when their work is done. */
 const HEAD_TIMEOUT_MS = 5000;
 const STREAM_ID_HEADER = 'stream-id';
 
-/** What an attempt needs. */
+/** Dependencies of an attempt. */
 export interface AttemptContext {
   readonly clock: Clock;
   readonly tracer: Tracer;
@@ -35,15 +36,15 @@
 /** How an attempt ended. */
 export interface AttemptResult {
   readonly use: SlotUse;
-  /** Undefined when the answer is whole. */
+  /** Undefined when the answer is complete. */
   readonly error: SchedulerError | undefined;
-  /** Whether the request was run to a good end, as far as the answer proves that. */
+  /** Whether the answer proves success: a success status, and a body whose end is marked. */
   readonly hasSucceeded: boolean;
-  /** Whether the body never left, so that another attempt does no harm. */
+  /** Whether the body was never sent, so that another attempt can't run the request twice. */
   readonly mayRetry: boolean;
 }
 
-/** One attempt: hand-over, head, body, and the resumption of a broken stream. */
+/** One attempt: hand-over of the body, response head, response body, and stream resumption. */
 export class Attempt {
   readonly #context: AttemptContext;
 
@@ -64,10 +65,10 @@
   #meter = new OutputMeter(undefined);
 
   /**
-   * @param context - what it needs
+   * @param context - dependencies of the attempt
    * @param request - the request, in state Dispatching
-   * @param call - its call
-   * @param slot - the slot to use
+   * @param call - the request's call
+   * @param slot - the granted slot
    * @param deadlineAtMs - the request's deadline, monotonic, in milliseconds
    */
   constructor(
@@ -84,19 +85,19 @@
     this.#deadlineAtMs = deadlineAtMs;
   }
 
-  /** Runs it inside a process. @returns how it ended */
+  /** Runs the attempt as a step of the request's process. @returns how it ended */
   *run(): Step<AttemptResult> {
     const span = this.#context.tracer.startSpan(Hop.BackendServer, this.#call.traceparent);
     span.setAttributes({ backendServer: this.#slot.backendServer.id });
-    const result = yield* this.#runHop(span.traceparent);
+    const result = yield* this.#dispatchAndRead(span.traceparent);
     span.end(result.error?.kind);
     return result;
   }
 
-  *#runHop(traceparent: string): Step<AttemptResult> {
+  *#dispatchAndRead(traceparent: string): Step<AttemptResult> {
     const { answer } = this.#request;
     try {
-      const backendAnswer = yield* this.#dispatchOrFind(traceparent);
+      const backendAnswer = yield* this.#dispatchOrRecover(traceparent);
       this.#openAnswer(backendAnswer);
       yield* this.#readBody(backendAnswer);
       this.#request.record.advance(RequestState.Answered);
@@ -109,17 +110,17 @@
   }
 
   /**
-   * Dispatches. When the connection is lost between the hand-over and the head,
-   * an engine may have the stream all the same: it is looked for under the
-   * request's own ID, so that its caller gets the answer.
+   * Dispatches the call. If the connection is lost between the hand-over and the
+   * response head, an engine may still run the stream, which it also knows under the
+   * request's ID. The attempt then tries to resume it, so that the caller gets the answer.
    */
-  *#dispatchOrFind(traceparent: string): Step<BackendAnswer> {
+  *#dispatchOrRecover(traceparent: string): Step<BackendAnswer> {
     try {
       return yield* settle(this.#dispatch(traceparent));
     } catch (error) {
-      const isLost =
+      const mayHaveRun =
         error instanceof BackendCallError && error.stage === BackendCallStage.AfterHandOver;
-      if (!isLost || !this.#request.isWanted || !this.#hasStreams) throw error;
+      if (!mayHaveRun || !this.#request.isWanted || !this.#isModelCall) throw error;
       try {
         return yield* settle(this.#resume(this.#request.record.id.text));
       } catch {
@@ -128,7 +129,7 @@
     }
   }
 
-  get #hasStreams(): boolean {
+  get #isModelCall(): boolean {
     return this.#call.service.kind === ServiceKind.Model;
   }
 
@@ -156,17 +157,17 @@
       body: this.#call.body,
       honoursContinue: this.#call.service.honoursContinue,
       continueTimeoutMs: CONTINUE_TIMEOUT_MS,
-      headTimeoutMs: this.#hasStreams ? HEAD_TIMEOUT_MS : undefined,
+      headTimeoutMs: this.#isModelCall ? HEAD_TIMEOUT_MS : undefined,
       mayHandOver: () => this.#mayHandOver(),
-      onHandOver: () => this.#noteHandOver(),
+      onHandOver: () => this.#recordHandOver(),
       signal: this.#request.signal,
     });
   }
 
   /**
-   * The last check before the body leaves. Between the grant and this moment
-   * the process may have been frozen, the caller may have gone, the slot may
-   * have been given to somebody else.
+   * Checks, last before the body is sent, that the request may still run. Since the
+   * grant the process may have been paused, the caller may have disconnected, and
+   * the slot may have expired and been granted to another request.
    */
   #mayHandOver(): boolean {
     const { clock, membership, ledger } = this.#context;
@@ -180,7 +181,7 @@
     );
   }
 
-  #noteHandOver(): void {
+  #recordHandOver(): void {
     this.#handedOverAtMs = this.#context.clock.nowMs();
     this.#request.record.advance(RequestState.Dispatched);
     this.#request.backendServerId = this.#slot.backendServer.id;
@@ -201,16 +202,16 @@
     });
   }
 
-  /** Reads the body to its end; a stream that breaks off is resumed, never started again. */
+  /** Reads the response body to its end. A stream that breaks is resumed, never restarted. */
   *#readBody(first: BackendAnswer): Step<void> {
     let backendAnswer = first;
-    for (let resumes = 0; ; resumes += 1) {
+    for (let resumptions = 0; ; resumptions += 1) {
       try {
         yield* settle(this.#copyBody(backendAnswer));
         return;
       } catch (error) {
         const { streamId } = this.#request;
-        if (!(error instanceof BackendCallError) || !streamId || resumes >= MAX_RESUMES)
+        if (!(error instanceof BackendCallError) || !streamId || resumptions >= MAX_RESUMPTIONS)
           throw error;
         backendAnswer = yield* settle(this.#resume(streamId));
       }
@@ -220,14 +221,14 @@
   async #copyBody(backendAnswer: BackendAnswer): Promise<void> {
     const { answer } = this.#request;
     for await (const bytes of backendAnswer.body) {
-      if (this.#firstByteMs === 0) this.#firstByteMs = this.#measureSinceHandOver();
+      if (this.#firstByteMs === 0) this.#firstByteMs = this.#computeMsSinceHandOver();
       this.#meter.observe(bytes);
       answer.append(bytes);
-      await answer.waitForRoom();
+      await answer.waitForCapacity();
     }
   }
 
-  #measureSinceHandOver(): number {
+  #computeMsSinceHandOver(): number {
     return this.#handedOverAtMs === 0 ? 0 : this.#context.clock.nowMs() - this.#handedOverAtMs;
   }
 
@@ -238,7 +239,7 @@
       return this.#buildResult(
         SlotOutcome.Cancelled,
         new SchedulerError(
-          this.#isLate() ? ErrorKind.DeadlineExpired : ErrorKind.CancelledAfterDispatch,
+          this.#isPastDeadline() ? ErrorKind.DeadlineExpired : ErrorKind.CancelledAfterDispatch,
           {
             run: RunOutcome.MayHaveRun,
           },
@@ -256,10 +257,10 @@
   }
 
   #buildNotHandedOver(error: BackendCallError): AttemptResult {
-    // The slot or the process was too late: the backend server is not to blame.
-    const isOwnFault = !this.#mayHandOver();
+    // When the owner itself may no longer hand over, the backend server is not at fault.
+    const isOwnerFault = !this.#mayHandOver();
     return {
-      use: this.#buildUse(isOwnFault ? SlotOutcome.Unused : SlotOutcome.Refused),
+      use: this.#buildUse(isOwnerFault ? SlotOutcome.Unused : SlotOutcome.Refused),
       error: new SchedulerError(ErrorKind.BackendServerRefused, {
         message: `Cannot dispatch to ${this.#slot.backendServer.id}: ${error.message}`,
         cause: error,
@@ -269,13 +270,13 @@
     };
   }
 
-  #isLate(): boolean {
+  #isPastDeadline(): boolean {
     return this.#context.clock.nowMs() >= this.#deadlineAtMs;
   }
 
   #cancelStream(): void {
-    // Before the head came, the stream's name is not known; engines take the
-    // request's own ID for it as well.
+    // Before the response head arrives, the stream ID is unknown. Engines accept the
+    // request's ID in its place.
     const streamId = this.#request.streamId ?? this.#request.record.id.text;
     this.#context.backend.cancel(this.#slot.backendServer, streamId).catch(() => undefined);
   }
@@ -289,7 +290,7 @@
     return {
       outcome,
       firstByteMs: this.#firstByteMs,
-      totalMs: this.#measureSinceHandOver(),
+      totalMs: this.#computeMsSinceHandOver(),
       outputTokens: this.#meter.tokens,
     };
   }
--- a/src/application/owner/_prompt_facts.ts
+++ b/src/application/owner/_prompt_info.ts
@@ -1,5 +1,5 @@
 /**
- * What the scheduling of a call needs to know of its body.
+ * Extracts from a call's body what its scheduling needs.
  *
  * @module
  */
@@ -7,16 +7,17 @@
 import { hashBlocks, predictTokens } from '../../domain/scheduling/mod.js';
 import type { OwnedCall } from './owned_call.js';
 
-/** Facts of one call's body. */
-export interface PromptFacts {
+/** Scheduling inputs from a call's body. */
+export interface PromptInfo {
+  /** Estimated size of the prompt, in tokens. */
   readonly promptTokens: number;
-  /** Most output that the caller allows, in tokens; undefined where it sets no limit. */
+  /** Maximum output that the caller allows, in tokens; undefined if it sets no limit. */
   readonly maxOutputTokens: number | undefined;
-  /** Chained hashes of the prompt's blocks. */
+  /** Chained hashes of the prompt's blocks; empty for plain services and unreadable bodies. */
   readonly blockHashes: readonly string[];
 }
 
-/** The part of a chat completion's body that is looked at. */
+/** Fields of a chat completion request that are read. */
 interface ChatBody {
   readonly messages?: readonly { readonly content?: unknown }[];
   readonly max_tokens?: unknown;
@@ -24,15 +25,16 @@
 }
 
 /**
- * Reads the facts of a call's body. The callers' listener has checked a chat
- * completion's form already; whatever can't be read counts by its length.
+ * Reads the scheduling inputs of a call. The callers' listener has already validated
+ * chat completion requests; the prompt size of any other or unreadable body is
+ * estimated from the length of its text.
  *
  * @param call - the call
- * @returns its facts
+ * @returns its prompt info
  */
-export function readPromptFacts(call: OwnedCall): PromptFacts {
+export function readPromptInfo(call: OwnedCall): PromptInfo {
   const text = Buffer.from(call.body).toString('utf8');
-  const body = call.service.kind === ServiceKind.Model ? parseBody(text) : undefined;
+  const body = call.service.kind === ServiceKind.Model ? parseChatBody(text) : undefined;
   if (!body) {
     return { promptTokens: predictTokens(text), maxOutputTokens: undefined, blockHashes: [] };
   }
@@ -45,7 +47,7 @@
   };
 }
 
-function parseBody(text: string): ChatBody | undefined {
+function parseChatBody(text: string): ChatBody | undefined {
   try {
     const body = JSON.parse(text) as ChatBody | null;
     return body !== null && Array.isArray(body.messages ?? []) ? body : undefined;
--- a/src/application/owner/_record_end.ts
+++ b/src/application/owner/_record_request_end.ts
@@ -1,5 +1,5 @@
 /**
- * The log line and the measurements of a request's end.
+ * Writes the log event and the metrics of the end of a request.
  *
  * @module
  */
@@ -9,8 +9,8 @@
 import type { OwnedCall } from './owned_call.js';
 import type { OwnedRequest } from './owned_request.js';
 
-/** Where the end is recorded. */
-export interface EndPorts {
+/** Outputs to which the end of a request is recorded. */
+export interface RequestEndPorts {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
@@ -19,13 +19,13 @@
 /**
  * Records how a request ended.
  *
- * @param ports - where to
- * @param request - the request, final
- * @param call - its call
- * @param startedAtMs - when its owner took it in, monotonic
+ * @param ports - clock, log and metrics
+ * @param request - the request, in a final state
+ * @param call - the request's call
+ * @param startedAtMs - time at which the owner accepted it, monotonic, in milliseconds
  */
-export function recordEnd(
-  { clock, log, metrics }: EndPorts,
+export function recordRequestEnd(
+  { clock, log, metrics }: RequestEndPorts,
   request: OwnedRequest,
   call: OwnedCall,
   startedAtMs: number,
--- a/src/application/owner/_run_request.ts
+++ b/src/application/owner/_run_request.ts
@@ -1,5 +1,5 @@
 /**
- * The process that takes one owned request from admission to its end.
+ * Runs one owned request from admission to its end, including waits, attempts and retries.
  *
  * @module
  */
@@ -14,15 +14,16 @@
 import type { Admission, AllowanceSource, Slot, SlotSource, SlotWish } from '../views/mod.js';
 import { Attempt } from './_attempt.js';
 import type { AttemptContext, AttemptResult } from './_attempt.js';
-import { acquireSlot } from './_slot_wait.js';
-import { readPromptFacts } from './_prompt_facts.js';
-import type { PromptFacts } from './_prompt_facts.js';
+import { waitForSlot } from './_slot_wait.js';
+import { readPromptInfo } from './_prompt_info.js';
+import type { PromptInfo } from './_prompt_info.js';
 import type { OwnedCall } from './owned_call.js';
 import type { OwnedRequest } from './owned_request.js';
 
+/** Maximum attempts for one request, the first included. */
 const MAX_ATTEMPTS = 4;
 
-/** What the process needs. */
+/** Dependencies of running a request. */
 export interface RunContext extends AttemptContext {
   readonly allowances: AllowanceSource;
   readonly crashes: CrashKeeper;
@@ -31,39 +32,40 @@
   readonly retries: RetryBudget;
 }
 
-const UNUSED = { outcome: SlotOutcome.Unused, firstByteMs: 0, totalMs: 0, outputTokens: 0 };
+const UNUSED_SLOT = { outcome: SlotOutcome.Unused, firstByteMs: 0, totalMs: 0, outputTokens: 0 };
 
 /**
- * Runs a request to its end. Every way out ends the record and the answer.
+ * Runs a request to its end. However it ends, the record becomes final and the
+ * answer is closed.
  *
- * @param context - what it needs
+ * @param context - dependencies
  * @param request - the request, in state Accepted
- * @param call - its call
+ * @param call - the request's call
  */
 export function* runRequest(
   context: RunContext,
   request: OwnedRequest,
   call: OwnedCall,
 ): Step<void> {
-  const facts = readPromptFacts(call);
-  const outputTokens = predictOutput(context, call, facts);
+  const prompt = readPromptInfo(call);
+  const outputTokens = predictOutputTokens(context, call, prompt);
   let admission: Admission | undefined;
   let usedTokens = 0;
   try {
     const refusal = context.crashes.findRefusal(request.contentId);
     if (refusal) throw refusal;
-    admission = context.allowances.admit(call.account, facts.promptTokens + outputTokens);
+    admission = context.allowances.admit(call.account, prompt.promptTokens + outputTokens);
     request.record.advance(RequestState.Queued);
-    const result = yield* runAttempts(context, request, call, facts, outputTokens);
-    usedTokens = request.record.hasLeft ? facts.promptTokens + result.use.outputTokens : 0;
+    const result = yield* runAttempts(context, request, call, prompt, outputTokens);
+    usedTokens = request.record.hasLeft ? prompt.promptTokens + result.use.outputTokens : 0;
     if (result.error) request.fail(result.error);
-    else observeOutput(context, call, result.use.outputTokens);
+    else recordOutputTokens(context, call, result.use.outputTokens);
   } catch (error) {
     request.fail(
       error instanceof SchedulerError
         ? error
         : new SchedulerError(ErrorKind.Internal, {
-            message: 'Cannot go on: internal fault',
+            message: 'Cannot run the request: internal error',
             cause: error,
           }),
     );
@@ -76,23 +78,23 @@
   context: RunContext,
   request: OwnedRequest,
   call: OwnedCall,
-  facts: PromptFacts,
+  prompt: PromptInfo,
   outputTokens: number,
 ): Step<AttemptResult> {
   const deadlineAtMs = context.clock.nowMs() + call.deadlineMs;
   const excluded: string[] = [];
   context.retries.noteAttempt();
   for (let attempt = 1; ; attempt += 1) {
-    const { slot, pass } = yield* acquireTurn(context, request, {
+    const { slot, pass } = yield* acquirePermit(context, request, {
       requestId: request.record.id.text,
       serviceId: call.service.id,
       accountId: call.account.accountId,
       weight: call.account.weight,
       tier: call.work.tier,
       deadlineAtMs,
-      promptTokens: facts.promptTokens,
+      promptTokens: prompt.promptTokens,
       expectedOutputTokens: outputTokens,
-      blockHashes: facts.blockHashes,
+      blockHashes: prompt.blockHashes,
       excluded,
       traceparent: call.traceparent,
       signal: request.signal,
@@ -106,42 +108,49 @@
   }
 }
 
-/** A slot, and leave to send a request there. */
-interface Turn {
+/** A granted slot, together with the crash keeper's permission to send the request. */
+interface DispatchPermit {
   readonly slot: Slot;
   readonly pass: Pass;
 }
 
-/** Waits for a slot, and again while another request of the same content is tried. */
-function* acquireTurn(context: RunContext, request: OwnedRequest, wish: SlotWish): Step<Turn> {
+/**
+ * Waits for a slot and for the permission to use it. While another request with the same
+ * content is on trial, the slot is released, and a new one is requested afterwards.
+ */
+function* acquirePermit(
+  context: RunContext,
+  request: OwnedRequest,
+  slotRequest: SlotWish,
+): Step<DispatchPermit> {
   for (;;) {
-    const slot: Slot = yield* settle(acquireSlot(context, wish));
+    const slot: Slot = yield* settle(waitForSlot(context, slotRequest));
     const refusal = findRefusal(context, request);
     if (refusal) {
-      slot.release(UNUSED);
+      slot.release(UNUSED_SLOT);
       throw refusal;
     }
     const pass = context.crashes.takePass(request.contentId);
     if (pass.kind !== PassKind.Wait) return { slot, pass };
-    slot.release(UNUSED);
+    slot.release(UNUSED_SLOT);
     yield* settle(waitForPass(context, request));
   }
 }
 
-/** Why a request must not be sent: it has ended meanwhile, or servers have ended under its like. */
+/** Returns why a request must not be sent: it has ended, or its content crashes servers. */
 function findRefusal({ crashes }: RunContext, request: OwnedRequest): SchedulerError | undefined {
   const { record, contentId } = request;
   if (record.isFinal) return record.error ?? new SchedulerError(ErrorKind.Cancelled);
   return crashes.findRefusal(contentId);
 }
 
-/** Waits while another request of its content shows whether that ends servers. */
+/** Waits until another request with the same content has shown whether it crashes servers. */
 function waitForPass({ crashes }: RunContext, request: OwnedRequest): Promise<void> {
   const { signal, contentId } = request;
   return new Promise((resolve, reject) => {
-    const end = crashes.waitForPass(contentId, resolve);
+    const stopWaiting = crashes.waitForPass(contentId, resolve);
     const abort = (): void => {
-      end();
+      stopWaiting();
       reject(request.record.error ?? new SchedulerError(ErrorKind.Cancelled));
     };
     if (signal.aborted) abort();
@@ -161,15 +170,19 @@
   let result: AttemptResult | undefined;
   try {
     result = yield* new Attempt(context, request, call, slot, deadlineAtMs).run();
-    noteRun(context, request, { slot, result, startedAtMs });
+    reportRun(context, request, { slot, result, startedAtMs });
     return result;
   } finally {
-    slot.release(result?.use ?? { ...UNUSED, outcome: SlotOutcome.Failed });
+    slot.release(result?.use ?? { ...UNUSED_SLOT, outcome: SlotOutcome.Failed });
   }
 }
 
-/** Whether a server has ended, or only failed the request, shows when it is tried. */
-function noteRun(
+/**
+ * Reports to the crash keeper that the attempt was answered, or that the server was lost.
+ * The keeper probes a lost server to tell a crash from a failed request. Losses at a
+ * draining server are not reported, as it is expected to end.
+ */
+function reportRun(
   { crashes, membership, clock }: RunContext,
   { contentId, record }: OwnedRequest,
   run: { readonly slot: Slot; readonly result: AttemptResult; readonly startedAtMs: number },
@@ -178,13 +191,13 @@
   const { id: serverId, url } = slot.backendServer;
   const { hasSucceeded } = result;
   if (!result.error) crashes.noteAnswered({ contentId, serverId, startedAtMs, hasSucceeded });
-  const isLost = record.hasLeft && result.use.outcome === SlotOutcome.Failed;
-  if (!isLost || membership.isBackendServerLeaving(serverId)) return;
+  const wasLost = record.hasLeft && result.use.outcome === SlotOutcome.Failed;
+  if (!wasLost || membership.isBackendServerLeaving(serverId)) return;
   const address = formatAddress(url);
   crashes.noteLost({ contentId, serverId, address, startedAtMs, endedAtMs: clock.nowMs() });
 }
 
-/** Throws the reason why a call whose body never left is not tried again. */
+/** Throws if a request whose body was never sent must not be attempted again. */
 function checkMayRetry(
   context: RunContext,
   request: OwnedRequest,
@@ -203,13 +216,17 @@
   if (isLast && result.error) throw result.error;
 }
 
-function predictOutput(context: RunContext, call: OwnedCall, facts: PromptFacts): number {
+function predictOutputTokens(context: RunContext, call: OwnedCall, prompt: PromptInfo): number {
   const { work, account } = call;
-  const learnt = context.outputs.predict(account.accountId, work.kind, work.expectedOutputTokens);
-  return Math.ceil(Math.min(learnt, facts.maxOutputTokens ?? learnt));
+  const predicted = context.outputs.predict(
+    account.accountId,
+    work.kind,
+    work.expectedOutputTokens,
+  );
+  return Math.ceil(Math.min(predicted, prompt.maxOutputTokens ?? predicted));
 }
 
-function observeOutput(context: RunContext, call: OwnedCall, outputTokens: number): void {
+function recordOutputTokens(context: RunContext, call: OwnedCall, outputTokens: number): void {
   const { work, account } = call;
   context.outputs.observe(account.accountId, work.kind, outputTokens, work.expectedOutputTokens);
 }
--- a/src/application/owner/_slot_wait.ts
+++ b/src/application/owner/_slot_wait.ts
@@ -1,5 +1,5 @@
 /**
- * The owner's wait for a slot.
+ * Waits for a slot on behalf of an owner, and stops waiting when this process is isolated.
  *
  * @module
  */
@@ -7,11 +7,14 @@
 import type { Clock, Timer } from '../../ports/mod.js';
 import type { MembershipView, Slot, SlotSource, SlotWish } from '../views/mod.js';
 
-/** How long this process may be without a fresh view before its waiting requests are refused. */
-const CUT_OFF_PATIENCE_MS = 2000;
+/**
+ * Time without a fresh membership view after which waiting requests are refused, in
+ * milliseconds.
+ */
+const ISOLATION_TIMEOUT_MS = 2000;
 const CHECK_INTERVAL_MS = 250;
 
-/** What the wait needs. */
+/** Dependencies of the wait. */
 export interface SlotWaitContext {
   readonly clock: Clock;
   readonly membership: MembershipView;
@@ -19,39 +22,42 @@
 }
 
 /**
- * Waits for a slot, and gives up when this process has lost touch. After a
- * pause nothing may be dispatched until somebody was heard; a process that
- * nobody answers would hold its requests to their deadlines, and their callers
- * would wait for an answer that is known long before.
+ * Waits for a slot, and fails when this process is isolated. After a pause of the
+ * process nothing may be dispatched until a peer or the host list has responded.
+ * Without this check an isolated process would hold its requests until their
+ * deadlines, although the refusal is certain long before.
  *
- * @param context - what the wait needs
- * @param wish - what the slot is for
+ * @param context - dependencies of the wait
+ * @param slotRequest - what the slot is for
  * @returns the slot
- * @throws SchedulerError that says `not_run`
+ * @throws SchedulerError with run outcome `not_run`
  */
-export async function acquireSlot(context: SlotWaitContext, wish: SlotWish): Promise<Slot> {
-  const giveUp = new AbortController();
-  const watch = watchCutOff(context, giveUp);
-  const signal = AbortSignal.any([wish.signal, giveUp.signal]);
+export async function waitForSlot(context: SlotWaitContext, slotRequest: SlotWish): Promise<Slot> {
+  const isolation = new AbortController();
+  const freshnessCheck = startFreshnessCheck(context, isolation);
+  const signal = AbortSignal.any([slotRequest.signal, isolation.signal]);
   try {
-    return await context.slots.acquire({ ...wish, signal });
+    return await context.slots.acquire({ ...slotRequest, signal });
   } catch (error) {
-    if (!giveUp.signal.aborted) throw error;
+    if (!isolation.signal.aborted) throw error;
     throw new SchedulerError(ErrorKind.EntryHostCutOff, {
-      message: 'Cannot dispatch: this entry host hears neither its peers nor the host list',
+      message: 'Cannot dispatch: this entry host reaches neither its peers nor the host list',
       cause: error,
     });
   } finally {
-    watch.cancel();
+    freshnessCheck.cancel();
   }
 }
 
-function watchCutOff({ clock, membership }: SlotWaitContext, giveUp: AbortController): Timer {
-  let freshAtMs = clock.nowMs();
+function startFreshnessCheck(
+  { clock, membership }: SlotWaitContext,
+  isolation: AbortController,
+): Timer {
+  let lastFreshAtMs = clock.nowMs();
   let timer: Timer;
   const check = (): void => {
-    if (membership.isFresh()) freshAtMs = clock.nowMs();
-    if (clock.nowMs() - freshAtMs >= CUT_OFF_PATIENCE_MS) giveUp.abort();
+    if (membership.isFresh()) lastFreshAtMs = clock.nowMs();
+    if (clock.nowMs() - lastFreshAtMs >= ISOLATION_TIMEOUT_MS) isolation.abort();
     else timer = clock.setTimer(CHECK_INTERVAL_MS, check);
   };
   timer = clock.setTimer(CHECK_INTERVAL_MS, check);
--- a/src/application/owner/_slot_wait_test.ts
+++ b/src/application/owner/_slot_wait_test.ts
@@ -3,9 +3,9 @@
 import { Tier } from '../../domain/scheduling/mod.js';
 import { VirtualClock } from '../../../test/support/virtual_clock.js';
 import type { MembershipView, Slot, SlotWish } from '../views/mod.js';
-import { acquireSlot } from './_slot_wait.js';
+import { waitForSlot } from './_slot_wait.js';
 
-const WISH: SlotWish = {
+const SLOT_REQUEST: SlotWish = {
   requestId: 'request-1',
   serviceId: 'desk',
   accountId: 'franchise-a',
@@ -20,43 +20,43 @@
   signal: new AbortController().signal,
 };
 
-/** Never grants; ends when its wish's signal does. */
-function waitForEver({ signal }: SlotWish): Promise<Slot> {
+/** Never grants a slot, and rejects when the request's signal aborts. */
+function neverGrant({ signal }: SlotWish): Promise<Slot> {
   return new Promise((_, reject) => {
     signal.addEventListener('abort', () => reject(new SchedulerError(ErrorKind.Cancelled)));
   });
 }
 
-/** Starts a wait in a process that is fresh or not, as told, and keeps its error. */
+/** Starts a wait whose membership freshness is given by `isFresh`, and records its error. */
 function startWait(clock: VirtualClock, isFresh: () => boolean): { error: unknown } {
-  const told: { error: unknown } = { error: undefined };
+  const outcome: { error: unknown } = { error: undefined };
   const membership = { isFresh } as MembershipView;
-  const slots = { acquire: waitForEver };
-  acquireSlot({ clock, membership, slots }, WISH).catch((error: unknown) => {
-    told.error = error;
+  const slots = { acquire: neverGrant };
+  waitForSlot({ clock, membership, slots }, SLOT_REQUEST).catch((error: unknown) => {
+    outcome.error = error;
   });
-  return told;
+  return outcome;
 }
 
-t.test('acquireSlot() refuses soon in a process that has lost touch', async (t) => {
-  // Symptom: calls held for a minute, to their deadlines. Sequence: an entry host
-  // was frozen, woke, and could reach nobody; its calls waited for a slot. Cause:
-  // nothing is granted to a process without a fresh view, and nobody told it so.
+t.test('waitForSlot() refuses within seconds in an isolated process', async (t) => {
+  // Guards against calls that wait until their deadlines, here a minute, although no slot
+  // can be granted: after a pause an entry host that reaches nobody has no fresh view, and
+  // nothing is granted to it.
   const clock = new VirtualClock();
-  const told = startWait(clock, () => false);
+  const outcome = startWait(clock, () => false);
   await clock.advance(1000);
-  t.equal(told.error, undefined, 'a short while is an ordinary wake');
+  t.equal(outcome.error, undefined, 'a short time without a fresh view is normal after a pause');
   await clock.advance(1500);
-  t.match(told.error, { kind: ErrorKind.EntryHostCutOff, run: RunOutcome.NotRun });
+  t.match(outcome.error, { kind: ErrorKind.EntryHostCutOff, run: RunOutcome.NotRun });
 });
 
-t.test('acquireSlot() waits on while the view becomes fresh again and again', async (t) => {
+t.test('waitForSlot() keeps waiting while the view repeatedly becomes fresh', async (t) => {
   const clock = new VirtualClock();
   let checks = 0;
-  const told = startWait(clock, () => {
+  const outcome = startWait(clock, () => {
     checks += 1;
     return checks % 4 === 0;
   });
   await clock.advance(60_000);
-  t.equal(told.error, undefined);
+  t.equal(outcome.error, undefined);
 });
--- a/src/application/owner/kept_answer_test.ts
+++ b/src/application/owner/answer_buffer_test.ts
@@ -2,28 +2,28 @@
 import fc from 'fast-check';
 import { ErrorKind, SchedulerError } from '../../domain/errors/mod.js';
 import { settle as settleAll } from '../../../test/support/virtual_clock.js';
-import { KeptAnswer } from './mod.js';
+import { AnswerBuffer } from './mod.js';
 
-async function readAll(answer: KeptAnswer, offset: number): Promise<string> {
+async function readAll(answer: AnswerBuffer, offset: number): Promise<string> {
   const chunks: Uint8Array[] = [];
   for await (const bytes of answer.read(offset)) chunks.push(bytes);
   return Buffer.concat(chunks).toString('latin1');
 }
 
-/** Reads an answer that is expected to fail. */
-async function readError(answer: KeptAnswer, offset: number): Promise<unknown> {
+/** Reads an answer whose read is expected to fail, and returns the error. */
+async function readError(answer: AnswerBuffer, offset: number): Promise<unknown> {
   return readAll(answer, offset).catch((error: unknown) => error);
 }
 
-t.test('KeptAnswer.read() gives the rest from any offset, however the answer grows', async (t) => {
-  // Symptom: a caller that reconnected got an answer with a hole or a doubled
-  // part. Sequence: it read some bytes, lost its connection, came back at its
-  // offset while the answer still grew. Cause: an offset off by a chunk.
+t.test('AnswerBuffer.read() returns the rest from any offset while the answer grows', async (t) => {
+  // Guards against an answer with missing or repeated bytes for a caller that lost its
+  // connection and resumes at its offset while the answer still grows, when the offset
+  // is mapped to the wrong chunk.
   const parts = fc.array(fc.string({ minLength: 1, maxLength: 9 }), { maxLength: 12 });
   await fc.assert(
     fc.asyncProperty(parts, fc.nat(100), async (texts, percent) => {
       const whole = Buffer.from(texts.join(''));
-      const answer = new KeptAnswer(1_000_000);
+      const answer = new AnswerBuffer(1_000_000);
       const reads: Promise<string>[] = [];
       const offsets: number[] = [];
       for (const text of texts) {
@@ -43,27 +43,27 @@
   );
 });
 
-t.test('KeptAnswer.read() refuses an offset that is no longer kept', async (t) => {
-  const answer = new KeptAnswer(10);
+t.test('AnswerBuffer.read() refuses an offset that is no longer buffered', async (t) => {
+  const answer = new AnswerBuffer(10);
   answer.append(Buffer.from('0123456789'));
   answer.close();
-  answer.drop();
+  answer.discard();
   t.match(await readError(answer, 3), { kind: ErrorKind.AnswerNoLongerKept, run: 'ran' });
 });
 
-t.test('KeptAnswer holds back a fast engine for a slow reader and loses nothing', async (t) => {
-  const answer = new KeptAnswer(4);
+t.test('AnswerBuffer applies backpressure for a slow reader and loses no bytes', async (t) => {
+  const answer = new AnswerBuffer(4);
   const reader = answer.read(0);
   const first = reader.next();
   answer.append(Buffer.from('abcd'));
   await first;
   answer.append(Buffer.from('efgh'));
   let hasRoom = false;
-  const waiting = answer.waitForRoom().then(() => {
+  const waiting = answer.waitForCapacity().then(() => {
     hasRoom = true;
   });
   await settleAll();
-  t.notOk(hasRoom, 'the reader lacks more than is kept');
+  t.notOk(hasRoom, 'the reader has not read the excess bytes');
   t.equal(Buffer.from((await reader.next()).value as Uint8Array).toString(), 'efgh');
   const end = reader.next();
   await waiting;
@@ -71,8 +71,8 @@
   t.ok((await end).done);
 });
 
-t.test('KeptAnswer.read() fails where the answer broke off', async (t) => {
-  const answer = new KeptAnswer(100);
+t.test('AnswerBuffer.read() fails where the answer breaks off', async (t) => {
+  const answer = new AnswerBuffer(100);
   answer.append(Buffer.from('half'));
   answer.close(new SchedulerError(ErrorKind.AnswerCut));
   t.match(await readError(answer, 0), { kind: ErrorKind.AnswerCut });
--- a/src/application/owner/answer_store.ts
+++ b/src/application/owner/answer_store.ts
@@ -1,67 +1,67 @@
 /**
- * Bounds what kept answers take.
+ * Retains finished answers within limits of memory and time.
  *
  * @module
  */
 import type { Clock } from '../../ports/mod.js';
-import type { KeptAnswer } from './kept_answer.js';
+import type { AnswerBuffer } from './answer_buffer.js';
 
-/** Options of the store. */
+/** Options of an answer store. */
 export interface AnswerStoreOptions {
   readonly clock: Clock;
-  /** Bytes that finished answers may take together. */
+  /** Maximum total size of the finished answers, in bytes. */
   readonly maxBytes: number;
-  /** How long a finished answer is kept, in milliseconds. */
+  /** Time for which a finished answer is retained, in milliseconds. */
   readonly keepMs: number;
 }
 
-interface Finished {
-  readonly answer: KeptAnswer;
-  readonly untilMs: number;
-  /** Bytes that it took when it was put in. */
+interface StoredAnswer {
+  readonly answer: AnswerBuffer;
+  readonly expiresAtMs: number;
+  /** Buffered size when it was added, in bytes. */
   readonly bytes: number;
 }
 
-/** Finished answers, oldest first; gives up the oldest when room or time is over. */
+/** Stores finished answers, oldest first, and evicts the oldest when a limit is exceeded. */
 export class AnswerStore {
   readonly #options: AnswerStoreOptions;
 
-  readonly #finished: Finished[] = [];
+  readonly #answers: StoredAnswer[] = [];
 
   #bytes = 0;
 
-  /** @param options - clock and bounds */
+  /** @param options - clock and limits */
   constructor(options: AnswerStoreOptions) {
     this.#options = options;
   }
 
-  /** Bytes that finished answers take now. */
+  /** Total size of the stored answers, in bytes. */
   get bytes(): number {
     return this.#bytes;
   }
 
-  /** Finished answers that are kept now. */
+  /** Number of stored answers. */
   get size(): number {
-    return this.#finished.length;
+    return this.#answers.length;
   }
 
-  /** @param answer - an answer that has just been closed */
-  put(answer: KeptAnswer): void {
-    const untilMs = this.#options.clock.nowMs() + this.#options.keepMs;
-    this.#finished.push({ answer, untilMs, bytes: answer.keptBytes });
-    this.#bytes += answer.keptBytes;
+  /** @param answer - an answer that has just been closed; its retention time starts now */
+  add(answer: AnswerBuffer): void {
+    const expiresAtMs = this.#options.clock.nowMs() + this.#options.keepMs;
+    this.#answers.push({ answer, expiresAtMs, bytes: answer.bufferedBytes });
+    this.#bytes += answer.bufferedBytes;
     this.prune();
   }
 
-  /** Gives up answers beyond the bounds. */
+  /** Discards the answers that exceed the limits. */
   prune(): void {
     const nowMs = this.#options.clock.nowMs();
-    let oldest = this.#finished[0];
-    while (oldest && (oldest.untilMs <= nowMs || this.#bytes > this.#options.maxBytes)) {
-      this.#finished.shift();
+    let oldest = this.#answers[0];
+    while (oldest && (oldest.expiresAtMs <= nowMs || this.#bytes > this.#options.maxBytes)) {
+      this.#answers.shift();
       this.#bytes -= oldest.bytes;
-      oldest.answer.drop();
-      [oldest] = this.#finished;
+      oldest.answer.discard();
+      [oldest] = this.#answers;
     }
   }
 }
--- a/src/application/owner/server_ending_requests_test.ts
+++ b/src/application/owner/crashing_requests_test.ts
@@ -9,13 +9,13 @@
 import { ErrorKind, RunOutcome, SchedulerError } from '../../domain/errors/mod.js';
 import { Reachability } from '../../ports/mod.js';
 
-/** Longer than a call takes, and than ends that count as one. */
+/** Longer than a call takes, and than the interval within which crashes count as one. */
 const STEP_MS = 1_500;
 
-/** Time that a call runs. */
+/** Time that a call runs at the backend server. */
 const ANSWER_MS = 100;
 
-class Fleet {
+class OwnerFleet {
   readonly clock = new VirtualClock();
 
   readonly probe = new FakeProbe();
@@ -34,7 +34,7 @@
     });
   }
 
-  /** Sends a call under an ID of its own. @returns its failure, if it fails */
+  /** Sends a call under a new request ID. @returns its error; undefined if it succeeds */
   async call(index: number, body: string, workKind: string, deadlineMs = 1_000): Promise<unknown> {
     const { gateway } = this.world.hosts[index] as OwnerHost;
     const { id } = await gateway.assign(ACCOUNT, undefined);
@@ -52,14 +52,14 @@
         traceparent: undefined,
         callerGone: new AbortController().signal,
       })
-      .then(readWhole)
+      .then(drainBody)
       .catch((error: unknown) => error);
     await this.clock.advance(STEP_MS);
     return outcome;
   }
 
-  /** The next call ends the server, which is back before the one after it. */
-  async callEnding(index: number, fate: CallFate, workKind: string): Promise<unknown> {
+  /** Sends a call that crashes the server; the server is back before the next call. */
+  async callCrashing(index: number, fate: CallFate, workKind: string): Promise<unknown> {
     this.world.backend.fates.push(fate);
     this.probe.ended.set(SERVER_ADDRESS, Reachability.Refused);
     const outcome = await this.call(index, 'ends', workKind);
@@ -68,19 +68,19 @@
   }
 }
 
-async function readWhole({ body }: { body: AsyncIterable<Uint8Array> }): Promise<undefined> {
+async function drainBody({ body }: { body: AsyncIterable<Uint8Array> }): Promise<undefined> {
   for await (const bytes of body) if (bytes.length === 0) break;
   return undefined;
 }
 
-t.test('what has ended its servers three times is run by no owner any more', async (t) => {
-  // Symptom: one request ends every backend server, however many owners refuse to repeat it.
-  // Sequence: its caller sends it again, under a new ID and to another owner each time.
-  // Cause: owners remember IDs, so that each repeat was a request of its own.
+t.test('a request that crashed its servers three times is run by no owner again', async (t) => {
+  // Guards against one request that crashes every backend server: its caller sends it again
+  // under a new ID and to another owner each time. Owners that remember only IDs would treat
+  // each repeat as a new request.
   for (const workKind of ['notice', 'lookup']) {
     for (const fate of [CallFate.LostAfter, CallFate.DiesMidway]) {
-      const fleet = new Fleet(t);
-      for (const index of [0, 1, 2]) await fleet.callEnding(index, fate, workKind);
+      const fleet = new OwnerFleet(t);
+      for (const index of [0, 1, 2]) await fleet.callCrashing(index, fate, workKind);
       t.equal(fleet.world.backend.runs.length, 3);
       for (const index of [0, 1, 2]) {
         const error = await fleet.call(index, 'ends', workKind);
@@ -92,14 +92,15 @@
   }
 });
 
-t.test('at an owner, errors and answers whose end is not marked clear nothing', async (t) => {
-  // Guards against a request that goes on ending servers since some answer it all the same.
+t.test('errors and answers without a marked end do not clear a crashing request', async (t) => {
+  // Guards against a request that keeps crashing servers because an error answer, or an
+  // answer whose end is not marked, counts as proof that the request is harmless.
   for (const fate of [CallFate.Erred, CallFate.Unframed]) {
-    const fleet = new Fleet(t);
+    const fleet = new OwnerFleet(t);
     for (const index of [0, 1, 2]) {
       fleet.world.backend.fates.push(fate);
       await fleet.call(index, 'ends', 'lookup');
-      await fleet.callEnding(index, CallFate.LostAfter, 'lookup');
+      await fleet.callCrashing(index, CallFate.LostAfter, 'lookup');
     }
     const runs = fleet.world.backend.runs.length;
     t.match(await fleet.call(0, 'ends', 'lookup'), { kind: ErrorKind.RequestHeld }, fate);
@@ -107,9 +108,9 @@
   }
 });
 
-t.test('owners try what is in doubt one at a time, and answer those that waited', async (t) => {
-  // Guards against an outage of whoever asked for what ran beside such a request each time.
-  const fleet = new Fleet(t);
+t.test('owners run requests on probation one at a time and answer those that waited', async (t) => {
+  // Guards against refusing a harmless request because it ran beside a crashing one each time.
+  const fleet = new OwnerFleet(t);
   for (const index of [0, 1, 2]) {
     fleet.probe.ended.set(SERVER_ADDRESS, Reachability.Refused);
     fleet.world.backend.fates.push(CallFate.LostAfter, CallFate.LostAfter);
@@ -125,8 +126,8 @@
   t.ok(others.every((startedAtMs) => startedAtMs >= (first as number) + ANSWER_MS));
 });
 
-t.test('what fails at a server that lives on is run again for each caller', async (t) => {
-  const fleet = new Fleet(t);
+t.test('a request that fails without a server crash is run again for each caller', async (t) => {
+  const fleet = new OwnerFleet(t);
   for (const index of [0, 1, 2, 0]) {
     fleet.world.backend.fates.push(CallFate.LostAfter);
     await fleet.call(index, 'fails', 'lookup');
--- a/src/application/owner/mod.ts
+++ b/src/application/owner/mod.ts
@@ -1,12 +1,12 @@
 /**
- * The owner's side of a request: takes a call in at most once, gets it a slot,
- * dispatches it, and keeps its answer for whoever asks again.
- * `new OwnerService(options).submit(id, call, callerGone)` gives the answer.
+ * Request ownership: accepts a call at most once, acquires a slot for it, dispatches
+ * it, and retains its answer for repeated reads.
+ * `new OwnerService(options).submit(id, call, disconnectSignal)` returns the answer.
  *
  * @module
  */
-export { KeptAnswer } from './kept_answer.js';
-export type { AnswerHead } from './kept_answer.js';
+export { AnswerBuffer } from './answer_buffer.js';
+export type { AnswerHead } from './answer_buffer.js';
 export { AnswerStore } from './answer_store.js';
 export type { AnswerStoreOptions } from './answer_store.js';
 export { OwnedRequest } from './owned_request.js';
--- a/src/application/owner/owned_call.ts
+++ b/src/application/owner/owned_call.ts
@@ -1,33 +1,34 @@
 /**
- * A call as its owner runs it.
+ * The fully resolved call that an owner runs.
  *
  * @module
  */
 import { hashContent } from '../../domain/requests/mod.js';
 import type { AccountContract, Service, WorkKind } from '../../domain/contracts/types.js';
 
-/** A call with everything that was resolved for it. */
+/** A call with its resolved account, service and work kind. */
 export interface OwnedCall {
   readonly account: AccountContract;
   readonly service: Service;
   readonly work: WorkKind;
   readonly method: string;
-  /** Path and query for the backend server. */
+  /** Path and query to send to the backend server. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** Time that the caller gives it, in milliseconds. */
+  /** Time within which the caller expects the answer, in milliseconds. */
   readonly deadlineMs: number;
-  /** Whether the caller got the ID beforehand, and so can come back for the answer. */
+  /** Whether the caller has known the request ID from the start, and so can reconnect. */
   readonly canComeBack: boolean;
   readonly traceparent: string | undefined;
 }
 
 /**
- * Hashes what makes two calls the same.
+ * Hashes the fields that identify a call's content: account, service, work kind,
+ * method, path and body.
  *
  * @param call - the call
- * @returns a hash in lower-case hex
+ * @returns the hash in lower-case hex
  */
 export function hashCall(call: OwnedCall): string {
   const { account, service, work, method, path, body } = call;
--- a/src/application/owner/owned_request.ts
+++ b/src/application/owner/owned_request.ts
@@ -1,5 +1,5 @@
 /**
- * One request while its owner works on it, and as long as it is remembered.
+ * A request at its owner, from its acceptance until its record expires.
  *
  * @module
  */
@@ -8,88 +8,88 @@
 import type { RequestRecord } from '../../domain/requests/mod.js';
 import type { Clock, Timer } from '../../ports/mod.js';
 import type { RequestReport } from '../views/mod.js';
-import type { KeptAnswer } from './kept_answer.js';
+import type { AnswerBuffer } from './answer_buffer.js';
 
 /** Options of an owned request. */
 export interface OwnedRequestOptions {
   readonly record: RequestRecord;
-  readonly answer: KeptAnswer;
-  /** Names what it asks; all repeats have the same. Empty for an ID that was used up without a call. */
+  readonly answer: AnswerBuffer;
+  /** Hash-based ID of the content, equal for all repeats. Empty if the ID was cancelled unused. */
   readonly contentId: string;
   readonly clock: Clock;
-  /** How long it goes on while no caller is there, in milliseconds. */
-  readonly comeBackMs: number;
-  /** Whether it goes on without any caller once its body has left. */
-  readonly runsToItsEnd: boolean;
+  /** Time for which it keeps running after its last caller disconnects, in milliseconds. */
+  readonly reconnectGraceMs: number;
+  /** Whether it keeps running without any caller once its body has been sent. */
+  readonly mustRunToCompletion: boolean;
 }
 
-/** The record, the answer, and the callers that wait for it. */
+/** A request's record, its answer, and the callers that wait for it. */
 export class OwnedRequest {
   readonly record: RequestRecord;
 
-  readonly answer: KeptAnswer;
+  readonly answer: AnswerBuffer;
 
   readonly #options: OwnedRequestOptions;
 
   readonly #controller = new AbortController();
 
-  #callers = 0;
+  #callerCount = 0;
 
-  #goneTimer: Timer | undefined;
+  #reconnectTimer: Timer | undefined;
 
-  /** Where it was dispatched, once it was. */
+  /** ID of the backend server to which it was dispatched, once it was. */
   backendServerId: string | undefined;
 
-  /** Its stream there, once that is known. */
+  /** ID of its stream at that backend server, once known. */
   streamId: string | undefined;
 
-  /** @param options - what it is made of */
+  /** @param options - options of the request */
   constructor(options: OwnedRequestOptions) {
     this.#options = options;
     this.record = options.record;
     this.answer = options.answer;
   }
 
-  /** Names what it asks. */
+  /** Hash-based ID of the content, equal for all repeats; empty without a call. */
   get contentId(): string {
     return this.#options.contentId;
   }
 
-  /** Aborted when nobody wants the request any more. */
+  /** Aborted when the request is cancelled or stopped. */
   get signal(): AbortSignal {
     return this.#controller.signal;
   }
 
-  /** Whether a caller waits, or may still come back. */
+  /** Whether the request has not been cancelled or stopped. */
   get isWanted(): boolean {
     return !this.#controller.signal.aborted;
   }
 
   /**
-   * Adds a caller. When the last caller has been gone for the come-back time,
-   * the request is cancelled: nobody would get its answer.
+   * Adds a caller. When the last caller has been disconnected for the reconnect grace
+   * period, the request is cancelled, since nobody would receive its answer.
    *
-   * @param callerGone - aborted when the caller's connection is gone
+   * @param disconnectSignal - aborted when the caller disconnects
    */
-  addCaller(callerGone: AbortSignal): void {
-    this.#callers += 1;
-    this.#goneTimer?.cancel();
-    this.#goneTimer = undefined;
-    if (callerGone.aborted) this.#removeCaller();
-    else callerGone.addEventListener('abort', () => this.#removeCaller(), { once: true });
+  addCaller(disconnectSignal: AbortSignal): void {
+    this.#callerCount += 1;
+    this.#reconnectTimer?.cancel();
+    this.#reconnectTimer = undefined;
+    if (disconnectSignal.aborted) this.#removeCaller();
+    else disconnectSignal.addEventListener('abort', () => this.#removeCaller(), { once: true });
   }
 
-  /** Cancels it on a caller's word. */
+  /** Cancels the request; one whose body has been sent ends when its attempt ends. */
   cancel(): void {
     this.#controller.abort();
     if (!this.record.hasLeft) this.fail(new SchedulerError(ErrorKind.Cancelled));
   }
 
   /**
-   * Ends it because it was given up on. What runs at a backend server is
-   * cancelled there by the process that reads it.
+   * Fails the request and aborts its signal. If it is running at a backend server, the
+   * attempt that reads its answer cancels it there.
    *
-   * @param error - why
+   * @param error - the reason
    */
   stop(error: SchedulerError): void {
     this.fail(error);
@@ -97,16 +97,16 @@
   }
 
   /**
-   * Ends it without an answer, for its record and every reader alike.
+   * Ends the request without a complete answer, in its record and for all readers.
    *
-   * @param error - why
+   * @param error - the reason
    */
   fail(error: SchedulerError): void {
-    const told = this.record.refuse(error);
-    this.answer.close(told);
+    const recordedError = this.record.refuse(error);
+    this.answer.close(recordedError);
   }
 
-  /** @returns its state as callers are told it */
+  /** @returns the state as it is reported to callers */
   buildReport(): RequestReport {
     const { record } = this;
     return {
@@ -121,29 +121,31 @@
   }
 
   #removeCaller(): void {
-    this.#callers -= 1;
-    if (this.#callers > 0 || this.record.isFinal) return;
-    if (this.#options.comeBackMs === 0) {
-      this.#giveUp();
+    this.#callerCount -= 1;
+    if (this.#callerCount > 0 || this.record.isFinal) return;
+    if (this.#options.reconnectGraceMs === 0) {
+      this.#cancelIfUnwanted();
       return;
     }
-    this.#goneTimer = this.#options.clock.setTimer(this.#options.comeBackMs, () => this.#giveUp());
+    this.#reconnectTimer = this.#options.clock.setTimer(this.#options.reconnectGraceMs, () =>
+      this.#cancelIfUnwanted(),
+    );
   }
 
-  #giveUp(): void {
-    if (this.record.isFinal || this.#callers > 0) return;
-    if (this.record.hasLeft && this.#options.runsToItsEnd) return;
+  #cancelIfUnwanted(): void {
+    if (this.record.isFinal || this.#callerCount > 0) return;
+    if (this.record.hasLeft && this.#options.mustRunToCompletion) return;
     this.cancel();
   }
 }
 
 /**
- * Builds the report of an ID that was given out and not used so far. A copy of
- * its call may still be on its way, so the report never says `not_run`; a
- * caller that must be sure cancels the ID, which uses it up.
+ * Builds the report of an ID that was assigned and has not been used. A copy of its
+ * call may still be in transit, so the report never says `not_run`. A caller that
+ * needs certainty cancels the ID, after which no call can use it.
  *
  * @param id - the ID
- * @returns its report
+ * @returns the report
  */
 export function buildUnusedReport(id: string): RequestReport {
   return {
--- a/src/application/owner/owner_service.ts
+++ b/src/application/owner/owner_service.ts
@@ -1,5 +1,5 @@
 /**
- * All requests that this entry host owns.
+ * Accepts, runs and tracks the requests that this entry host owns.
  *
  * @module
  */
@@ -19,21 +19,23 @@
 import { Signal, startProcess } from '../channels/mod.js';
 import type { CrashKeeper } from '../crashes/mod.js';
 import type { AllowanceSource, MembershipView, RequestReport, SlotSource } from '../views/mod.js';
-import { recordEnd } from './_record_end.js';
+import { recordRequestEnd } from './_record_request_end.js';
 import { runRequest } from './_run_request.js';
 import type { RunContext } from './_run_request.js';
 import { AnswerStore } from './answer_store.js';
-import type { AnswerHead } from './kept_answer.js';
-import { KeptAnswer } from './kept_answer.js';
+import type { AnswerHead } from './answer_buffer.js';
+import { AnswerBuffer } from './answer_buffer.js';
 import { hashCall } from './owned_call.js';
 import type { OwnedCall } from './owned_call.js';
 import { buildUnusedReport, OwnedRequest } from './owned_request.js';
 
 const PRUNE_INTERVAL_MS = 1000;
-const MAX_ANSWER_BYTES = 4_194_304;
-const COME_BACK_MS = 10_000;
+/** Buffered size of an answer above which chunks that all readers have are discarded. */
+const MAX_BUFFERED_BYTES = 4_194_304;
+/** Time within which a disconnected caller may reconnect before its request is cancelled. */
+const RECONNECT_GRACE_MS = 10_000;
 
-/** Options of the service. */
+/** Options of an owner service. */
 export interface OwnerServiceOptions {
   readonly clock: Clock;
   readonly log: EventLog;
@@ -44,21 +46,21 @@
   readonly crashes: CrashKeeper;
   readonly slots: SlotSource;
   readonly backend: BackendServerClient;
-  /** Bytes that finished answers may take together. */
+  /** Maximum total size of the finished answers that are retained, in bytes. */
   readonly answerBytes: number;
-  /** How long a finished answer is kept, in milliseconds. */
+  /** Time for which a finished answer is retained, in milliseconds. */
   readonly answerKeepMs: number;
-  /** Most requests that are remembered at once. */
+  /** Maximum requests, running and finished, that are recorded at once. */
   readonly maxRecords: number;
 }
 
-/** An answer and the request that it is for. */
+/** A request and the head of its answer. */
 export interface OwnedAnswer {
   readonly head: AnswerHead;
   readonly request: OwnedRequest;
 }
 
-/** Takes in calls at most once each, and tells what became of them. */
+/** Runs each call at most once, and reports its state and answer. */
 export class OwnerService {
   readonly #options: OwnerServiceOptions;
 
@@ -72,11 +74,11 @@
 
   readonly #idle = new Signal();
 
-  #running = 0;
+  #runningCount = 0;
 
   #isStopped = false;
 
-  /** @param options - what it needs */
+  /** @param options - options of the service */
   constructor(options: OwnerServiceOptions) {
     this.#options = options;
     this.#ledger = new RequestLedger(options.membership.self.incarnation);
@@ -91,20 +93,20 @@
       outputs: new OutputPredictor(),
       retries: new RetryBudget(options.clock.nowMs()),
     };
-    options.crashes.onHeld((contentId) => this.#refuseHeld(contentId));
+    options.crashes.onHeld((contentId) => this.#refuseQuarantined(contentId));
   }
 
-  /** Requests that are being worked on now. */
+  /** Number of running requests. */
   get runningCount(): number {
-    return this.#running;
+    return this.#runningCount;
   }
 
-  /** Bytes that finished answers take now. */
+  /** Total size of the retained finished answers, in bytes. */
   get keptAnswerBytes(): number {
     return this.#store.bytes;
   }
 
-  /** Starts forgetting what is over. */
+  /** Starts the periodic removal of expired records and answers. */
   start(): void {
     this.#options.clock.setTimer(PRUNE_INTERVAL_MS, () => {
       if (this.#isStopped) return;
@@ -113,41 +115,44 @@
     });
   }
 
-  /** Stops forgetting. Running requests go on. */
+  /** Stops the periodic removal. Running requests continue. */
   stop(): void {
     this.#isStopped = true;
   }
 
-  /** @returns when no request is being worked on */
+  /** @returns a promise that resolves when no request is running */
   async waitUntilIdle(): Promise<void> {
-    while (this.#running > 0) await this.#idle.wait();
+    while (this.#runningCount > 0) await this.#idle.wait();
   }
 
   /**
-   * Takes in a call. The first call with an ID runs; a copy of it gets the same
-   * answer.
+   * Accepts a call. The first call with an ID runs; copies of it get the same answer.
    *
-   * @param id - the call's ID, its MAC checked
+   * @param id - the call's ID, whose MAC has been verified
    * @param call - the call
-   * @param callerGone - aborted when the caller's connection is gone
-   * @returns the answer, head first
-   * @throws SchedulerError when it is refused or fails
+   * @param disconnectSignal - aborted when the caller disconnects
+   * @returns the request and the head of its answer
+   * @throws SchedulerError when the call is refused or fails
    */
-  async submit(id: RequestId, call: OwnedCall, callerGone: AbortSignal): Promise<OwnedAnswer> {
+  async submit(
+    id: RequestId,
+    call: OwnedCall,
+    disconnectSignal: AbortSignal,
+  ): Promise<OwnedAnswer> {
     const { clock } = this.#options;
-    // A copy takes no room, and a refusal of it for want of room would say that
-    // a request which may be running has not run.
-    if (!this.#requests.has(id.nonce)) this.#checkRoom();
+    // A copy adds no record. To refuse it for lack of capacity would report a request
+    // that may be running as not run.
+    if (!this.#requests.has(id.nonce)) this.#checkCapacity();
     const { record, isFirst } = this.#ledger.accept(id, hashCall(call), clock.wallMs());
     const request = this.#requests.get(id.nonce) ?? this.#addRequest(record, call);
-    request.addCaller(callerGone);
+    request.addCaller(disconnectSignal);
     if (isFirst) this.#startRequest(request, call);
     return { head: await this.#waitForHead(request, call), request };
   }
 
   /**
-   * @param id - a request's ID, its MAC checked
-   * @returns the request; undefined when the ID was not used so far
+   * @param id - a request's ID, whose MAC has been verified
+   * @returns the request; undefined if the ID has not been used
    * @throws SchedulerError of kind OwnerGone or RequestIdExpired
    */
   find(id: RequestId): OwnedRequest | undefined {
@@ -155,16 +160,16 @@
     return record ? this.#requests.get(id.nonce) : undefined;
   }
 
-  /** @param id - a request's ID, its MAC checked. @returns its state */
+  /** @param id - a request's ID, whose MAC has been verified. @returns the request's state */
   readState(id: RequestId): RequestReport {
     return this.find(id)?.buildReport() ?? buildUnusedReport(id.text);
   }
 
   /**
-   * Cancels a request; an ID that was not used is used up.
+   * Cancels a request. An ID that has not been used becomes unusable.
    *
-   * @param id - its ID, the MAC checked
-   * @returns its state after
+   * @param id - the request's ID, whose MAC has been verified
+   * @returns the state after the cancellation
    */
   cancel(id: RequestId): RequestReport {
     const known = this.find(id);
@@ -179,13 +184,13 @@
     return request.buildReport();
   }
 
-  /** Ends everything that still runs, with honest answers. @param error - why */
+  /** Fails all unfinished requests with their true run outcome. @param error - the reason */
   refuseAll(error: SchedulerError): void {
     this.#ledger.listOpen().forEach((record) => this.#requests.get(record.id.nonce)?.fail(error));
   }
 
-  /** What waits for a slot hears at once; what runs may still be answered. */
-  #refuseHeld(contentId: string): void {
+  /** Refuses the queued requests of a quarantined content; running ones may still be answered. */
+  #refuseQuarantined(contentId: string): void {
     const waiting = this.#ledger
       .listOpen()
       .filter(({ hasLeft }) => !hasLeft)
@@ -195,33 +200,33 @@
     if (refusal) waiting.forEach((request) => request.stop(refusal));
   }
 
-  /** Adds what is kept of a request; one without a call was voided, and is final. */
+  /** Registers a request. Without a call, its ID was cancelled unused and its record is final. */
   #addRequest(record: RequestRecord, call?: OwnedCall): OwnedRequest {
     const request = new OwnedRequest({
       record,
-      answer: new KeptAnswer(MAX_ANSWER_BYTES),
+      answer: new AnswerBuffer(MAX_BUFFERED_BYTES),
       contentId: call ? formatContentId(hashCall(call)) : '',
       clock: this.#options.clock,
-      comeBackMs: call?.canComeBack ? COME_BACK_MS : 0,
-      runsToItsEnd: call !== undefined && !call.work.repeatable,
+      reconnectGraceMs: call?.canComeBack ? RECONNECT_GRACE_MS : 0,
+      mustRunToCompletion: call !== undefined && !call.work.repeatable,
     });
     if (record.error) request.answer.close(record.error);
     this.#requests.set(record.id.nonce, request);
     return request;
   }
 
-  #checkRoom(): void {
+  #checkCapacity(): void {
     if (this.#ledger.size < this.#options.maxRecords) return;
     throw new SchedulerError(ErrorKind.TooManyConnections, {
-      message: `Cannot take the call: ${this.#options.maxRecords} requests are remembered already`,
+      message: `Cannot accept the call: ${this.#options.maxRecords} requests are already recorded`,
     });
   }
 
   #startRequest(request: OwnedRequest, call: OwnedCall): void {
     const span = this.#options.tracer.startSpan(Hop.Owner, call.traceparent);
     const startedAtMs = this.#options.clock.nowMs();
-    this.#running += 1;
-    const patience = this.#startPatience(request, call);
+    this.#runningCount += 1;
+    const headTimeout = this.#startHeadTimeout(request, call);
     startProcess(() =>
       runRequest(this.#context, request, { ...call, traceparent: span.traceparent }),
     )
@@ -229,21 +234,21 @@
         request.fail(new SchedulerError(ErrorKind.Internal, { cause: error }));
       })
       .finally(() => {
-        patience.cancel();
-        this.#running -= 1;
+        headTimeout.cancel();
+        this.#runningCount -= 1;
         this.#idle.notify();
-        this.#store.put(request.answer);
+        this.#store.add(request.answer);
         span.end(request.record.error?.kind);
-        recordEnd(this.#options, request, call, startedAtMs);
+        recordRequestEnd(this.#options, request, call, startedAtMs);
       });
   }
 
   /**
-   * Gives up on a head that has not come within the contract's longest deadline.
-   * A backend server that took the body and fell silent would otherwise hold
-   * its slot for ever, and no planned stop would end.
+   * Stops a request whose answer head has not arrived within the account's longest
+   * deadline. A backend server that accepted the body and then stalled would otherwise
+   * hold its slot forever and block every planned stop.
    */
-  #startPatience(request: OwnedRequest, call: OwnedCall): Timer {
+  #startHeadTimeout(request: OwnedRequest, call: OwnedCall): Timer {
     return this.#options.clock.setTimer(call.account.longestDeadlineMs, () => {
       if (request.answer.head) return;
       request.stop(
@@ -255,17 +260,17 @@
   }
 
   /**
-   * Waits for the answer's head, to the deadline and no longer: a caller whose
-   * request was given up on is told at once. A request that may not be repeated
-   * goes on, and its answer can be read later.
+   * Waits for the head of the answer, at most until the deadline. A request that may be
+   * repeated, or whose body has not been sent, is then stopped. Any other request
+   * continues, and its answer can be read later.
    */
   async #waitForHead(request: OwnedRequest, call: OwnedCall): Promise<AnswerHead> {
     let timer: Timer | undefined;
-    const late = new Promise<undefined>((resolve) => {
+    const deadline = new Promise<undefined>((resolve) => {
       timer = this.#options.clock.setTimer(call.deadlineMs, () => resolve(undefined));
     });
-    const waiting = request.answer.waitForHead().finally(() => timer?.cancel());
-    const head = await Promise.race([waiting, late]);
+    const arrival = request.answer.waitForHead().finally(() => timer?.cancel());
+    const head = await Promise.race([arrival, deadline]);
     if (head) return head;
     const error = new SchedulerError(ErrorKind.DeadlineExpired, {
       message: `Cannot answer within ${call.deadlineMs} ms`,
@@ -276,7 +281,7 @@
       throw request.record.error ?? error;
     }
     throw new SchedulerError(ErrorKind.DeadlineExpired, {
-      message: `${error.message}; it goes on, and its answer can be read later`,
+      message: `${error.message}; the request continues, and its answer can be read later`,
       run: request.record.run,
       requestId: request.record.id.text,
     });
--- a/src/application/owner/owner_service_test.ts
+++ b/src/application/owner/owner_service_test.ts
@@ -1,6 +1,6 @@
 /**
- * What an owner does with one request, by the fate of its last hop, its
- * deadline and its callers.
+ * Tests the outcome of one request at its owner for each fate of the backend call, and
+ * for deadlines, disconnects, copies and cancellations.
  *
  * @module
  */
@@ -17,10 +17,10 @@
 import { VirtualClock } from '../../../test/support/virtual_clock.js';
 
 const DEADLINE_MS = 3000;
-const COME_BACK_MS = 10_000;
+const RECONNECT_GRACE_MS = 10_000;
 
-/** One owner, and the calls of one test. */
-class Scene {
+/** One owner with a fake backend, and the calls of one test. */
+class OwnerFixture {
   readonly clock = new VirtualClock();
 
   readonly backend = new FakeBackend(this.clock);
@@ -41,16 +41,16 @@
     return (await this.host.gateway.assign(ACCOUNT, undefined)).id;
   }
 
-  /** Sends a call and tells, once it is settled, the text or the error. */
+  /** Sends a call. The result holds the text or the error and the time, once settled. */
   send(
     requestId: string | undefined,
     workKind = 'notice',
     callerGone = new AbortController().signal,
   ): { settled: string | SchedulerError | undefined; atMs: number } {
-    const told: ReturnType<Scene['send']> = { settled: undefined, atMs: 0 };
+    const outcome: ReturnType<OwnerFixture['send']> = { settled: undefined, atMs: 0 };
     const settle = (value: string | SchedulerError): void => {
-      told.settled = value;
-      told.atMs = this.clock.nowMs();
+      outcome.settled = value;
+      outcome.atMs = this.clock.nowMs();
     };
     const read = async (): Promise<string> => {
       const answer = await this.host.gateway.submit({
@@ -71,16 +71,17 @@
       return Buffer.concat(chunks).toString();
     };
     read().then(settle, (error: unknown) => settle(error as SchedulerError));
-    return told;
+    return outcome;
   }
 }
 
 interface FateCase {
   readonly name: string;
   readonly fates: readonly CallFate[];
-  /** Undefined: the whole answer comes. */
+  /** Expected error kind; undefined if the complete answer is expected. */
   readonly kind?: ErrorKind;
   readonly run?: RunOutcome;
+  /** Expected number of runs at the backend server. */
   readonly runs: number;
 }
 
@@ -113,133 +114,154 @@
 ];
 
 FATE_CASES.forEach(({ name, fates, kind, run, runs }) => {
-  t.test(`a last hop that is ${name} ends truly and runs ${runs} times`, async (t) => {
-    const scene = new Scene(fates);
-    const told = scene.send(await scene.assign());
-    await scene.clock.advance(DEADLINE_MS);
-    if (kind === undefined) t.equal(told.settled, buildExpectedAnswer('body'));
-    else t.match(told.settled, { kind, run });
-    t.equal(scene.backend.runs.length, runs);
-  });
+  t.test(
+    `a backend call that is ${name} reports its true outcome and runs ${runs} times`,
+    async (t) => {
+      const fixture = new OwnerFixture(fates);
+      const outcome = fixture.send(await fixture.assign());
+      await fixture.clock.advance(DEADLINE_MS);
+      if (kind === undefined) t.equal(outcome.settled, buildExpectedAnswer('body'));
+      else t.match(outcome.settled, { kind, run });
+      t.equal(fixture.backend.runs.length, runs);
+    },
+  );
 });
 
-t.test('a refusal before the body tells when to come back, and comes at once', async (t) => {
-  const scene = new Scene(Array.from({ length: 9 }, () => CallFate.Refused));
-  const startedAtMs = scene.clock.nowMs();
-  const told = scene.send(await scene.assign());
-  await scene.clock.advance(DEADLINE_MS);
-  t.ok(told.settled instanceof SchedulerError && told.settled.retryAfterMs > 0);
-  t.ok(told.atMs - startedAtMs < DEADLINE_MS / 2, 'it is not held back until the deadline');
+t.test('a refusal before the body was sent is immediate and has a retry-after time', async (t) => {
+  const fixture = new OwnerFixture(Array.from({ length: 9 }, () => CallFate.Refused));
+  const startedAtMs = fixture.clock.nowMs();
+  const outcome = fixture.send(await fixture.assign());
+  await fixture.clock.advance(DEADLINE_MS);
+  t.ok(outcome.settled instanceof SchedulerError && outcome.settled.retryAfterMs > 0);
+  t.ok(outcome.atMs - startedAtMs < DEADLINE_MS / 2, 'the refusal does not wait for the deadline');
 });
 
 t.test(
-  'a silent backend server after the body: told at the deadline, never as not run',
+  'a backend server that stalls after the body is reported at the deadline, never as not run',
   async (t) => {
-    const scene = new Scene([CallFate.SilentAfter, CallFate.SilentAfter]);
-    const notice = scene.send(await scene.assign(), 'notice');
-    const lookup = scene.send(undefined, 'lookup');
-    await scene.clock.advance(DEADLINE_MS + 1);
+    const fixture = new OwnerFixture([CallFate.SilentAfter, CallFate.SilentAfter]);
+    const notice = fixture.send(await fixture.assign(), 'notice');
+    const lookup = fixture.send(undefined, 'lookup');
+    await fixture.clock.advance(DEADLINE_MS + 1);
     const expected = { kind: ErrorKind.DeadlineExpired, run: RunOutcome.MayHaveRun };
     t.match(notice.settled, expected);
     t.match(lookup.settled, expected);
-    t.equal(scene.host.owner.runningCount, 1, 'the notice goes on, the lookup was given up');
-    // Symptom: a slot that never came free, a planned stop that never ended.
-    // Sequence: a backend server took a notice and fell silent. Cause: nothing
-    // bounded the wait for a head of work that must not be repeated.
-    await scene.clock.advance(ACCOUNT.longestDeadlineMs);
-    t.equal(scene.host.owner.runningCount, 0, 'in the end it is given up too');
+    t.equal(fixture.host.owner.runningCount, 1, 'the notice continues, the lookup was stopped');
+    // Guards against a slot that is never released and a planned stop that never ends:
+    // a backend server accepts non-repeatable work and stalls, and nothing limits the
+    // wait for its response head.
+    await fixture.clock.advance(ACCOUNT.longestDeadlineMs);
+    t.equal(fixture.host.owner.runningCount, 0, 'the notice is stopped at the longest deadline');
   },
 );
 
-t.test('a body that has not left by the deadline never leaves, also for a late copy', async (t) => {
-  const scene = new Scene([CallFate.SilentBefore, CallFate.SilentBefore, CallFate.SilentBefore]);
-  const id = await scene.assign();
-  const told = scene.send(id);
-  await scene.clock.advance(DEADLINE_MS + 1);
-  t.match(told.settled, { kind: ErrorKind.DeadlineExpired, run: RunOutcome.NotRun });
-  t.equal(scene.backend.runs.length, 0, 'not handed over yet: refused, and never runs');
-  const copy = scene.send(id);
-  await scene.clock.advance(DEADLINE_MS);
-  t.match(copy.settled, { kind: ErrorKind.DeadlineExpired, run: RunOutcome.NotRun });
-  t.equal(scene.backend.runs.length, 0);
-});
+t.test(
+  'a body that was not sent by the deadline is never sent, not even for a late copy',
+  async (t) => {
+    const fixture = new OwnerFixture([
+      CallFate.SilentBefore,
+      CallFate.SilentBefore,
+      CallFate.SilentBefore,
+    ]);
+    const id = await fixture.assign();
+    const outcome = fixture.send(id);
+    await fixture.clock.advance(DEADLINE_MS + 1);
+    t.match(outcome.settled, { kind: ErrorKind.DeadlineExpired, run: RunOutcome.NotRun });
+    t.equal(fixture.backend.runs.length, 0, 'not handed over: refused, and never runs');
+    const copy = fixture.send(id);
+    await fixture.clock.advance(DEADLINE_MS);
+    t.match(copy.settled, { kind: ErrorKind.DeadlineExpired, run: RunOutcome.NotRun });
+    t.equal(fixture.backend.runs.length, 0);
+  },
+);
 
-t.test('a caller that goes for good before the body left stops its request', async (t) => {
-  const scene = new Scene([CallFate.SilentBefore]);
-  const gone = new AbortController();
-  const told = scene.send(undefined, 'lookup', gone.signal);
-  await scene.clock.advance(10);
-  gone.abort();
-  await scene.clock.advance(DEADLINE_MS);
-  t.match(told.settled, { kind: ErrorKind.Cancelled, run: RunOutcome.NotRun });
-  t.equal(scene.backend.runs.length, 0);
-});
+t.test(
+  'a caller without an ID that disconnects before the body was sent cancels its request',
+  async (t) => {
+    const fixture = new OwnerFixture([CallFate.SilentBefore]);
+    const disconnect = new AbortController();
+    const outcome = fixture.send(undefined, 'lookup', disconnect.signal);
+    await fixture.clock.advance(10);
+    disconnect.abort();
+    await fixture.clock.advance(DEADLINE_MS);
+    t.match(outcome.settled, { kind: ErrorKind.Cancelled, run: RunOutcome.NotRun });
+    t.equal(fixture.backend.runs.length, 0);
+  },
+);
 
-t.test('a caller with an ID may come back; without one coming the request stops', async (t) => {
-  const scene = new Scene([CallFate.SilentAfter]);
-  const gone = new AbortController();
-  scene.send(await scene.assign(), 'lookup', gone.signal);
-  await scene.clock.advance(100);
-  gone.abort();
-  t.equal(scene.host.owner.runningCount, 1);
-  await scene.clock.advance(COME_BACK_MS);
-  t.equal(scene.host.owner.runningCount, 0);
-});
+t.test(
+  'a request with an ID stops when no caller reconnects within the grace period',
+  async (t) => {
+    const fixture = new OwnerFixture([CallFate.SilentAfter]);
+    const disconnect = new AbortController();
+    fixture.send(await fixture.assign(), 'lookup', disconnect.signal);
+    await fixture.clock.advance(100);
+    disconnect.abort();
+    t.equal(fixture.host.owner.runningCount, 1);
+    await fixture.clock.advance(RECONNECT_GRACE_MS);
+    t.equal(fixture.host.owner.runningCount, 0);
+  },
+);
 
-t.test('a call with a used ID and another body is refused, and does not say not run', async (t) => {
-  const scene = new Scene();
-  const id = await scene.assign();
-  const first = scene.send(id, 'notice');
-  const other = scene.send(id, 'lookup');
-  await scene.clock.advance(DEADLINE_MS);
-  t.equal(first.settled, buildExpectedAnswer('body'));
-  t.match(other.settled, { kind: ErrorKind.RequestIdMismatch, run: RunOutcome.MayHaveRun });
-});
+t.test(
+  'a call with a used ID and another content is refused, and not reported as not run',
+  async (t) => {
+    const fixture = new OwnerFixture();
+    const id = await fixture.assign();
+    const first = fixture.send(id, 'notice');
+    const other = fixture.send(id, 'lookup');
+    await fixture.clock.advance(DEADLINE_MS);
+    t.equal(first.settled, buildExpectedAnswer('body'));
+    t.match(other.settled, { kind: ErrorKind.RequestIdMismatch, run: RunOutcome.MayHaveRun });
+  },
+);
 
-t.test('a cancelled ID that was not used never runs', async (t) => {
-  const scene = new Scene();
-  const id = await scene.assign();
-  const report = await scene.host.gateway.cancel(ACCOUNT, id);
+t.test('a call whose ID was cancelled unused never runs', async (t) => {
+  const fixture = new OwnerFixture();
+  const id = await fixture.assign();
+  const report = await fixture.host.gateway.cancel(ACCOUNT, id);
   t.equal(report.run, RunOutcome.NotRun);
-  const told = scene.send(id);
-  await scene.clock.advance(DEADLINE_MS);
-  t.match(told.settled, { kind: ErrorKind.Cancelled, run: RunOutcome.NotRun });
-  t.equal(scene.backend.runs.length, 0);
+  const outcome = fixture.send(id);
+  await fixture.clock.advance(DEADLINE_MS);
+  t.match(outcome.settled, { kind: ErrorKind.Cancelled, run: RunOutcome.NotRun });
+  t.equal(fixture.backend.runs.length, 0);
 });
 
-t.test('an ID that has expired unused is refused', async (t) => {
-  const scene = new Scene();
-  const id = await scene.assign();
-  await scene.clock.advance(REQUEST_ID_LIFETIME_MS);
-  const told = scene.send(id);
-  await scene.clock.advance(DEADLINE_MS);
-  t.match(told.settled, { kind: ErrorKind.RequestIdExpired, run: RunOutcome.MayHaveRun });
-  t.equal(scene.backend.runs.length, 0);
+t.test('a call whose ID has expired unused is refused', async (t) => {
+  const fixture = new OwnerFixture();
+  const id = await fixture.assign();
+  await fixture.clock.advance(REQUEST_ID_LIFETIME_MS);
+  const outcome = fixture.send(id);
+  await fixture.clock.advance(DEADLINE_MS);
+  t.match(outcome.settled, { kind: ErrorKind.RequestIdExpired, run: RunOutcome.MayHaveRun });
+  t.equal(fixture.backend.runs.length, 0);
 });
 
-t.test('work that must not be repeated needs an ID, and gets a fresh one', async (t) => {
-  const scene = new Scene();
-  const told = scene.send(undefined, 'notice');
-  await scene.clock.advance(1);
-  t.match(told.settled, { kind: ErrorKind.RequestIdRequired, run: RunOutcome.NotRun });
-  const id = told.settled instanceof SchedulerError ? told.settled.requestId : undefined;
-  const again = scene.send(id, 'notice');
-  await scene.clock.advance(DEADLINE_MS);
+t.test('a non-repeatable call without an ID is refused and gets a new ID', async (t) => {
+  const fixture = new OwnerFixture();
+  const outcome = fixture.send(undefined, 'notice');
+  await fixture.clock.advance(1);
+  t.match(outcome.settled, { kind: ErrorKind.RequestIdRequired, run: RunOutcome.NotRun });
+  const id = outcome.settled instanceof SchedulerError ? outcome.settled.requestId : undefined;
+  const again = fixture.send(id, 'notice');
+  await fixture.clock.advance(DEADLINE_MS);
   t.equal(again.settled, buildExpectedAnswer('body'));
 });
 
-t.test('an owner that is full refuses new calls, and answers copies of old ones', async (t) => {
-  // Symptom: `not_run` for a notice that had run. Sequence: the owner remembered
-  // as many requests as it may; a copy of one of them came. Cause: the room was
-  // checked before the copy was recognised.
-  const scene = new Scene();
-  const id = await scene.assign();
-  const first = scene.send(id);
-  for (let at = 1; at < MAX_RECORDS; at += 1) scene.send(undefined, 'lookup');
-  const copy = scene.send(id);
-  const other = scene.send(undefined, 'lookup');
-  await scene.clock.advance(DEADLINE_MS);
-  t.equal(first.settled, buildExpectedAnswer('body'));
-  t.equal(copy.settled, buildExpectedAnswer('body'));
-  t.match(other.settled, { kind: ErrorKind.TooManyConnections, run: RunOutcome.NotRun });
-});
+t.test(
+  'an owner at its record limit refuses new calls and answers copies of known ones',
+  async (t) => {
+    // Guards against reporting `not_run` for a notice that ran: a copy of it arrives while the
+    // owner is at its record limit, and the limit is checked before the copy is recognised.
+    const fixture = new OwnerFixture();
+    const id = await fixture.assign();
+    const first = fixture.send(id);
+    for (let at = 1; at < MAX_RECORDS; at += 1) fixture.send(undefined, 'lookup');
+    const copy = fixture.send(id);
+    const other = fixture.send(undefined, 'lookup');
+    await fixture.clock.advance(DEADLINE_MS);
+    t.equal(first.settled, buildExpectedAnswer('body'));
+    t.equal(copy.settled, buildExpectedAnswer('body'));
+    t.match(other.settled, { kind: ErrorKind.TooManyConnections, run: RunOutcome.NotRun });
+  },
+);
--- a/src/application/views/membership_view.ts
+++ b/src/application/views/membership_view.ts
@@ -1,45 +1,54 @@
 /**
- * Who is there.
+ * Read access to the membership of entry hosts and to the state of this one.
  *
  * @module
  */
 import type { EntryHostIdentity, EntryHostView } from '../../domain/membership/types.js';
 
-/** Reads what this entry host believes of the others and of itself. */
+/** Reads the view that this entry host has of all entry hosts, itself included. */
 export abstract class MembershipView {
   /** This entry host. */
   abstract readonly self: EntryHostIdentity;
 
-  /** @returns every known entry host, itself included */
+  /** @returns all known entry hosts, this one included */
   abstract listEntryHosts(): readonly EntryHostView[];
 
-  /** @returns IDs that the host list has or that were heard of, reachable or not, its own included */
+  /**
+   * @returns IDs of the entry hosts that are in the host list or known from peers, whether
+   *   reachable or not, the own ID included
+   */
   abstract listListedIds(): readonly string[];
 
-  /** @param incarnation - whose view. @returns it, unless that incarnation is gone or unknown */
+  /** @param incarnation - an incarnation. @returns its view; undefined if unknown or replaced */
   abstract findIncarnation(incarnation: string): EntryHostView | undefined;
 
-  /** @param id - an entry host's name. @returns its newest known incarnation */
+  /** @param id - an entry host's ID. @returns the view of its newest known incarnation */
   abstract findEntryHost(id: string): EntryHostView | undefined;
 
   /**
-   * Picks the entry host responsible for a key, by rendezvous hashing over the
-   * live ones that do not leave.
+   * Picks the entry host responsible for a key by rendezvous hashing over the live
+   * entry hosts that aren't draining.
    *
-   * @param key - such as a dispatch group's ID
-   * @returns the responsible one; itself when nobody else is live
+   * @param key - the key, such as a dispatch group's ID
+   * @returns the responsible entry host; this one if no other is live
    */
   abstract pickResponsible(key: string): EntryHostIdentity;
 
-  /** @param backendServerId - which one. @returns whether anybody within reach says that it leaves */
+  /**
+   * @param backendServerId - a backend server's ID
+   * @returns whether any reachable entry host reports the backend server as draining
+   */
   abstract isBackendServerLeaving(backendServerId: string): boolean;
 
-  /** @returns whether this process may act on what it knows: false after a pause, until it was refreshed */
+  /**
+   * @returns whether this process may act on its view; false after a pause of the process,
+   *   until the view has been refreshed
+   */
   abstract isFresh(): boolean;
 
-  /** @returns whether this process was told to stop */
+  /** @returns whether this process has been asked to stop */
   abstract isStopping(): boolean;
 
-  /** @param handler - called when the set of live entry hosts or of leaving backend servers changed */
+  /** @param handler - called when the live entry hosts or the draining backend servers change */
   abstract onChange(handler: () => void): void;
 }
--- a/src/application/views/mod.ts
+++ b/src/application/views/mod.ts
@@ -1,6 +1,6 @@
 /**
- * What the parts of the application tell each other, as abstract classes, so
- * that each part can be tested with small fakes of the others.
+ * Interfaces between the modules of the application, as abstract classes, so that each
+ * module can be tested with small fakes of the others.
  *
  * @module
  */
--- a/src/application/views/request_gateway.ts
+++ b/src/application/views/request_gateway.ts
@@ -1,5 +1,5 @@
 /**
- * What the callers' listener asks of the application.
+ * The application's interface to the callers' listener.
  *
  * @module
  */
@@ -7,54 +7,55 @@
 import type { RequestState } from '../../domain/requests/request_state.js';
 import type { RunOutcome } from '../../domain/errors/mod.js';
 
-/** One address that a caller may use. */
+/** ID and URL of an entry host that a caller may use. */
 export interface CallerAddress {
   readonly id: string;
   readonly url: string;
 }
 
-/** Answer to "which entry host, which ID". */
+/** A new request ID, and the entry hosts that accept it. */
 export interface Assignment {
   readonly id: string;
+  /** The entry host that owns the ID. */
   readonly entryHost: CallerAddress;
-  /** Other entry hosts that take the same ID, nearest first. */
+  /** Other entry hosts that accept the same ID, nearest first. */
   readonly entryHosts: readonly CallerAddress[];
-  /** How long the caller may keep the addresses, in milliseconds. */
+  /** Time for which the caller may cache the addresses, in milliseconds. */
   readonly keepMs: number;
 }
 
-/** A caller's call, after the listener has read and authenticated it. */
+/** A call that the listener has read and authenticated. */
 export interface CallerCall {
   readonly account: AccountContract;
-  /** Undefined when the call came without an ID. */
+  /** Undefined if the caller sent no request ID. */
   readonly requestId: string | undefined;
   readonly serviceId: string;
   /** The work kind that the caller named in `Work-Kind`, if any. */
   readonly workKind: string | undefined;
   readonly method: string;
-  /** Path and query for the backend server. */
+  /** Path and query to send to the backend server. */
   readonly path: string;
-  /** Headers for the backend server, lower-case, without hop-by-hop ones and credentials. */
+  /** Lower-case headers for the backend server, without hop-by-hop headers and credentials. */
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** Deadline that the caller asked for, in milliseconds; undefined for the contract's. */
+  /** Deadline that the caller set, in milliseconds; undefined for the default of the contract. */
   readonly deadlineMs: number | undefined;
   readonly traceparent: string | undefined;
-  /** Aborted when the caller's connection is gone. */
+  /** Aborted when the caller disconnects. */
   readonly callerGone: AbortSignal;
 }
 
-/** An answer on its way to the caller. */
+/** An answer that is streamed to the caller. */
 export interface CallerAnswer {
   readonly requestId: string;
   readonly status: number;
-  /** Headers of the backend server, with `request-id`, `backend-server` and `stream-id`. */
+  /** Headers of the backend server, plus `request-id`, `backend-server` and `stream-id`. */
   readonly headers: Readonly<Record<string, string>>;
-  /** Fails with SchedulerError when it breaks off. */
+  /** Throws a SchedulerError if the answer breaks off. */
   readonly body: AsyncIterable<Uint8Array>;
 }
 
-/** State of one request, as `GET /v1/requests/{id}` tells it. */
+/** State of one request, as returned by `GET /v1/requests/{id}`. */
 export interface RequestReport {
   readonly id: string;
   readonly state: RequestState;
@@ -67,41 +68,43 @@
   readonly streamId: string | undefined;
 }
 
-/** Where a read goes on, and the hints that let another entry host resume a stream. */
+/** Where a read resumes, and the hints with which another entry host can resume a stream. */
 export interface ReadOptions {
-  /** Bytes of the answer that the caller has. */
+  /** Number of bytes of the answer that the caller already has. */
   readonly offset: number;
-  /** As the answer's headers named them, if the caller kept them. */
+  /** The answer's `backend-server` header, if the caller kept it. */
   readonly backendServer: string | undefined;
+  /** The answer's `stream-id` header, if the caller kept it. */
   readonly streamId: string | undefined;
+  /** Aborted when the caller disconnects. */
   readonly callerGone: AbortSignal;
 }
 
-/** Takes in what callers ask. Every method may throw SchedulerError. */
+/** Handles the requests of callers. Every method may throw a SchedulerError. */
 export abstract class RequestGateway {
   /**
-   * @param apiKey - the key as the caller sent it; undefined when it sent none
+   * @param apiKey - the key that the caller sent; undefined if it sent none
    * @returns the account's contract
    */
   abstract authenticate(apiKey: string | undefined): AccountContract;
 
   /**
    * @param account - the caller's account
-   * @param idempotencyKey - the caller's key, if it sent one
-   * @returns an ID and the addresses
+   * @param idempotencyKey - the caller's idempotency key, if it sent one
+   * @returns a request ID and the addresses of entry hosts
    */
   abstract assign(
     account: AccountContract,
     idempotencyKey: string | undefined,
   ): Promise<Assignment>;
 
-  /** @param call - the call. @returns its answer, head first */
+  /** @param call - the call. @returns the answer, once its head has arrived */
   abstract submit(call: CallerCall): Promise<CallerAnswer>;
 
   /**
    * @param account - the caller's account
-   * @param requestId - which request
-   * @param options - where to go on
+   * @param requestId - the request
+   * @param options - where the read resumes
    * @returns the rest of the answer
    */
   abstract read(
@@ -110,13 +113,17 @@
     options: ReadOptions,
   ): Promise<CallerAnswer>;
 
-  /** @param account - the caller's account. @param requestId - which. @returns its state */
+  /** @param account - the caller's account. @param requestId - the request. @returns its state */
   abstract readState(account: AccountContract, requestId: string): Promise<RequestReport>;
 
-  /** @param account - the caller's account. @param requestId - which. @returns its state after */
+  /**
+   * @param account - the caller's account
+   * @param requestId - the request to cancel
+   * @returns the state after the cancellation
+   */
   abstract cancel(account: AccountContract, requestId: string): Promise<RequestReport>;
 
-  /** @param account - the caller's account. @returns names of models that it may use */
+  /** @param account - the caller's account. @returns names of the models that it may use */
   abstract listModels(account: AccountContract): readonly string[];
 
   /** @param model - a model's name. @returns the service that serves it, if any */
--- a/src/application/views/slot_source.ts
+++ b/src/application/views/slot_source.ts
@@ -1,5 +1,5 @@
 /**
- * Slots on backend servers, as the owner of a request gets them.
+ * Acquisition of slots on backend servers by the owners of requests.
  *
  * @module
  */
@@ -7,11 +7,12 @@
 import type { Tier } from '../../domain/scheduling/tier.js';
 import type { SlotOutcome } from '../../ports/mod.js';
 
-/** What an owner asks a slot for. */
+/** The request for which an owner needs a slot. */
 export interface SlotWish {
   readonly requestId: string;
   readonly serviceId: string;
   readonly accountId: string;
+  /** Weight of the account in fair queueing. */
   readonly weight: number;
   readonly tier: Tier;
   /** Deadline on the local monotonic clock, in milliseconds. */
@@ -20,10 +21,10 @@
   readonly expectedOutputTokens: number;
   /** Chained block hashes of the prompt; empty for plain services. */
   readonly blockHashes: readonly string[];
-  /** Backend servers that refused this request already. */
+  /** IDs of the backend servers that have already refused this request. */
   readonly excluded: readonly string[];
   readonly traceparent: string | undefined;
-  /** Ends the wait. */
+  /** Aborts the wait. */
   readonly signal: AbortSignal;
 }
 
@@ -38,9 +39,9 @@
 /** A granted slot. */
 export interface Slot {
   readonly backendServer: BackendServer;
-  /** Until when the body may be handed over, on the local monotonic clock. */
+  /** Time until which the body may be handed over, on the local monotonic clock. */
   readonly validUntilMs: number;
-  /** Gives the slot back; a second call does nothing. @param use - how it was used */
+  /** Releases the slot; a second call does nothing. @param use - how it was used */
   release(use: SlotUse): void;
 }
 
@@ -49,9 +50,9 @@
   /**
    * Waits for a slot.
    *
-   * @param wish - what the slot is for
+   * @param request - what the slot is for
    * @returns the slot; it must be released
-   * @throws SchedulerError that says `not_run`, at once when there will be no slot in time
+   * @throws SchedulerError with run outcome `not_run`; at once if no slot is expected in time
    */
-  abstract acquire(wish: SlotWish): Promise<Slot>;
+  abstract acquire(request: SlotWish): Promise<Slot>;
 }
