--- a/src/domain/configuration/configuration_index.ts
+++ b/src/domain/configuration/configuration_index.ts
@@ -1,5 +1,5 @@
 /**
- * What is in force, arranged for quick finding.
+ * Look-up maps over the configuration that is in effect.
  *
  * @module
  */
@@ -13,24 +13,26 @@
 import type { ConfigurationState } from './configuration_state.js';
 import { FLEET_KEY } from './document_key.js';
 
-/** Everything in force, by the names under which it is looked for. */
+/** The configuration that is in effect, indexed by the keys of its look-ups. */
 export interface ConfigurationIndex {
+  /** Contracts by account ID. */
   readonly accounts: ReadonlyMap<string, AccountContract>;
+  /** Contracts by the SHA-256 of each of the account's API keys. */
   readonly accountsByKeyHash: ReadonlyMap<string, AccountContract>;
   readonly services: ReadonlyMap<string, Service>;
   readonly servicesByModel: ReadonlyMap<string, Service>;
   readonly backendServers: ReadonlyMap<string, BackendServer>;
   readonly engineKinds: ReadonlyMap<string, EngineKind>;
-  /** Accounts one of whose API keys is claimed by another account, which has it. */
+  /** IDs of accounts that list an API key which belongs to another account; one per such key. */
   readonly keyClashes: readonly string[];
 }
 
 const EMPTY_FLEET: Fleet = { services: [], engineKinds: [] };
 
 /**
- * Builds the index of what is in force. It depends on the accepted entries
- * alone, so entry hosts with the same entries answer alike. An API key that two
- * accounts claim belongs to the one whose ID sorts first.
+ * Builds the index from the accepted entries alone, so that entry hosts with the
+ * same entries make the same decisions. An API key that two accounts list
+ * belongs to the account whose ID sorts first.
  *
  * @param state - the accepted entries
  * @returns the index
@@ -57,12 +59,12 @@
   contracts: readonly AccountContract[],
 ): Pick<ConfigurationIndex, 'accountsByKeyHash' | 'keyClashes'> {
   const accountsByKeyHash = new Map<string, AccountContract>();
-  const keyClashes: string[] = [];
+  const conflictingAccountIds: string[] = [];
   contracts.forEach((contract) => {
     contract.keyHashes.forEach((keyHash) => {
-      if (accountsByKeyHash.has(keyHash)) keyClashes.push(contract.accountId);
+      if (accountsByKeyHash.has(keyHash)) conflictingAccountIds.push(contract.accountId);
       else accountsByKeyHash.set(keyHash, contract);
     });
   });
-  return { accountsByKeyHash, keyClashes };
+  return { accountsByKeyHash, keyClashes: conflictingAccountIds };
 }
--- a/src/domain/configuration/configuration_state.ts
+++ b/src/domain/configuration/configuration_state.ts
@@ -1,41 +1,43 @@
 /**
- * The accepted entries of one entry host, and the merge of what it hears.
+ * The configuration entries that one entry host has accepted, and their merge
+ * with snapshots of the platform and entries of peers.
  *
  * @module
  */
 import { FLEET_KEY } from './document_key.js';
-import { hashValue, isSoundEntry, validateEntry } from './entry.js';
+import { hashValue, isWellFormedEntry, validateEntry } from './entry.js';
 import type { AcceptedEntry, RawEntry, RejectedEntry } from './entry.js';
 import { compareEntries } from './precedence.js';
 
-/** Everything that one entry host has accepted or refused. */
+/** All configuration entries that one entry host has accepted or rejected. */
 export interface ConfigurationState {
-  /** The highest accepted entry of each key, deletions included. */
+  /** The accepted entry of highest precedence for each key, deletions included. */
   readonly entries: ReadonlyMap<string, AcceptedEntry>;
-  /** The highest refused entry of each key, where it is above the accepted one. */
+  /** The rejected entry of highest precedence for each key, if it ranks above the accepted one. */
   readonly rejected: ReadonlyMap<string, RejectedEntry>;
-  /** Highest index of the platform's snapshots merged so far; 0 before the first. */
+  /** Highest index of the platform snapshots merged so far; 0 before the first one. */
   readonly snapshotIndex: number;
-  /** Keys that were there at {@link ConfigurationState.snapshotIndex}. */
+  /** Keys that existed at {@link ConfigurationState.snapshotIndex}. */
   readonly snapshotKeys: ReadonlySet<string>;
 }
 
-/** The whole prefix, as one read of the platform's service gave it. */
+/** All entries under the configuration prefix, from one read of the platform's service. */
 export interface ConfigurationSnapshot {
+  /** Index of the configuration service's newest write at the time of the read. */
   readonly index: number;
   readonly entries: readonly RawEntry[];
 }
 
-/** A merge's result. */
+/** The result of a merge. */
 export interface MergeResult {
   readonly state: ConfigurationState;
-  /** Entries that came into force by this merge. */
+  /** Entries that this merge put into effect. */
   readonly changed: readonly AcceptedEntry[];
-  /** Entries that were refused by this merge, for the first time. */
+  /** Entries that this merge rejected and that had not been rejected before. */
   readonly refused: readonly RejectedEntry[];
 }
 
-/** The state of an entry host that has heard nothing. */
+/** The state of an entry host that has received no configuration yet. */
 export const EMPTY_STATE: ConfigurationState = {
   entries: new Map(),
   rejected: new Map(),
@@ -43,7 +45,7 @@
   snapshotKeys: new Set(),
 };
 
-/** Copies of a state's maps, for the time of one merge. */
+/** Mutable copies of a state's maps during one merge. */
 class MergeDraft {
   readonly entries: Map<string, AcceptedEntry>;
 
@@ -58,30 +60,32 @@
     this.rejected = new Map(state.rejected);
   }
 
-  take(entry: RawEntry): void {
-    if (!isSoundEntry(entry) || isFleetDeletion(entry)) return;
-    const ranked = { revision: entry.revision, valueHash: hashValue(entry.value) };
-    const known = this.entries.get(entry.key);
-    if (known && compareEntries(ranked, known) <= 0) return;
+  /** Validates an entry and adds it, unless it is superseded or was rejected before. */
+  mergeEntry(entry: RawEntry): void {
+    if (!isWellFormedEntry(entry) || isFleetDeletion(entry)) return;
+    const candidate = { revision: entry.revision, valueHash: hashValue(entry.value) };
+    const accepted = this.entries.get(entry.key);
+    if (accepted && compareEntries(candidate, accepted) <= 0) return;
     const rejected = this.rejected.get(entry.key);
-    if (rejected && compareEntries(ranked, rejected) === 0) return;
-    const verdict = validateEntry(entry);
-    if ('accepted' in verdict) this.#accept(verdict.accepted);
-    else this.#refuse(verdict.rejected);
+    if (rejected && compareEntries(candidate, rejected) === 0) return;
+    const result = validateEntry(entry);
+    if ('accepted' in result) this.#accept(result.accepted);
+    else this.#reject(result.rejected);
   }
 
   /**
-   * Without this step a document that was deleted could come back: an entry
-   * host that never saw it holds no entry for it, and a peer that was cut off
-   * since before the deletion would offer it as news. One would see a client
-   * account work again whose contract was withdrawn. Whatever is older than the
-   * newest snapshot and not in it is therefore deleted, in whichever order the
-   * two were heard. What is newer than the snapshot stays, by its revision.
+   * Deletes every entry that is older than the newest snapshot and missing from
+   * it, whichever of the two arrived first. Entries newer than the snapshot stay.
+   *
+   * Without this step a deleted document could reappear: an entry host that never
+   * received the document holds no deletion for it, and would accept it from a
+   * peer that was partitioned since before the deletion. A client account with a
+   * withdrawn contract would then be served again.
    */
-  expireDeleted(index: number, keys: ReadonlySet<string>): void {
+  deleteMissing(index: number, keys: ReadonlySet<string>): void {
     this.entries.forEach(({ key, value }) => {
       if (value === undefined || keys.has(key)) return;
-      this.take({ key, revision: index, value: undefined });
+      this.mergeEntry({ key, revision: index, value: undefined });
     });
     this.rejected.forEach(({ key, revision }) => {
       if (!keys.has(key) && revision < index) this.rejected.delete(key);
@@ -95,32 +99,32 @@
     if (rejected && compareEntries(rejected, entry) <= 0) this.rejected.delete(entry.key);
   }
 
-  #refuse(entry: RejectedEntry): void {
-    const known = this.rejected.get(entry.key);
-    if (known && compareEntries(entry, known) <= 0) return;
+  #reject(entry: RejectedEntry): void {
+    const rejected = this.rejected.get(entry.key);
+    if (rejected && compareEntries(entry, rejected) <= 0) return;
     this.rejected.set(entry.key, entry);
     this.refused.push(entry);
   }
 }
 
 /**
- * The deletion of the fleet document is never accepted. Without a fleet no
- * request could be dispatched, so a service that was emptied, or a slip at a
- * keyboard, would stop every account at once; whoever wants an empty fleet
- * publishes one that says so.
+ * Checks whether an entry deletes the fleet document. Such a deletion is never
+ * accepted: without a fleet no request can be dispatched, so an emptied
+ * configuration service or an operator's mistake would stop every account at
+ * once. To empty the fleet, an operator publishes a fleet document without services.
  */
 function isFleetDeletion(entry: RawEntry): boolean {
   return entry.value === undefined && entry.key === FLEET_KEY;
 }
 
 /**
- * Merges one snapshot of the platform's service. A snapshot that is older than
- * an entry never changes it; a document that it lacks is deleted only where the
- * snapshot is newer than the document.
+ * Merges one snapshot of the platform's configuration service. A snapshot never
+ * changes an entry that is newer than it; a document that is missing from the
+ * snapshot is deleted only if the snapshot is newer than the document.
  *
- * @param state - what is accepted so far
- * @param snapshot - what the service answered
- * @returns the new state and what changed
+ * @param state - the state before the merge
+ * @param snapshot - the snapshot that the configuration service returned
+ * @returns the new state, with the changed and the newly rejected entries
  */
 export function mergeSnapshot(
   state: ConfigurationState,
@@ -132,23 +136,23 @@
   const snapshotKeys = isNewest
     ? new Set(snapshot.entries.map(({ key }) => key))
     : state.snapshotKeys;
-  snapshot.entries.forEach((entry) => draft.take(entry));
-  draft.expireDeleted(snapshotIndex, snapshotKeys);
+  snapshot.entries.forEach((entry) => draft.mergeEntry(entry));
+  draft.deleteMissing(snapshotIndex, snapshotKeys);
   return buildResult(draft, snapshotIndex, snapshotKeys);
 }
 
 /**
- * Merges entries that a peer has accepted. They are validated here again: a
- * peer's word does not make a document good.
+ * Merges entries that a peer has accepted. Each entry is validated again, since
+ * a peer may be faulty or run another version.
  *
- * @param state - what is accepted so far
+ * @param state - the state before the merge
  * @param entries - the peer's entries
- * @returns the new state and what changed
+ * @returns the new state, with the changed and the newly rejected entries
  */
 export function mergeEntries(state: ConfigurationState, entries: readonly RawEntry[]): MergeResult {
   const draft = new MergeDraft(state);
-  entries.forEach((entry) => draft.take(entry));
-  draft.expireDeleted(state.snapshotIndex, state.snapshotKeys);
+  entries.forEach((entry) => draft.mergeEntry(entry));
+  draft.deleteMissing(state.snapshotIndex, state.snapshotKeys);
   return buildResult(draft, state.snapshotIndex, state.snapshotKeys);
 }
 
--- a/src/domain/configuration/configuration_state_test.ts
+++ b/src/domain/configuration/configuration_state_test.ts
@@ -6,12 +6,12 @@
 import { CONTRACT_KEY_PREFIX, FLEET_KEY } from './document_key.js';
 import type { RawEntry } from './entry.js';
 
-const FIRM_A = `${CONTRACT_KEY_PREFIX}firm-a`;
-const FIRM_B = `${CONTRACT_KEY_PREFIX}firm-b`;
-const KEYS = [FIRM_A, FIRM_B, FLEET_KEY];
-const INVALID = 'no document';
+const ACCOUNT_A_KEY = `${CONTRACT_KEY_PREFIX}firm-a`;
+const ACCOUNT_B_KEY = `${CONTRACT_KEY_PREFIX}firm-b`;
+const KEYS = [ACCOUNT_A_KEY, ACCOUNT_B_KEY, FLEET_KEY];
+const INVALID_DOCUMENT = 'no document';
 
-/** A valid document for a key; each weight gives another one. */
+/** Builds a valid document for a key; documents of different weights differ. */
 function buildDocument(key: string, weight: number): string {
   if (key === FLEET_KEY) {
     const kind = { id: 'k', prefillTokensPerSecond: weight, decodeTokensPerSecond: 1, slots: 1 };
@@ -34,12 +34,12 @@
   return [...state.entries.values()];
 }
 
-/** What is in force and what is refused, without the order in which it was heard. */
+/** Formats the accepted and rejected entries regardless of the order in which they arrived. */
 function formatState({ entries, rejected }: ConfigurationState): string {
   return JSON.stringify([[...entries].sort(), [...rejected].sort()]);
 }
 
-const rawEntries = fc.array(
+const rawEntriesArbitrary = fc.array(
   fc
     .record({
       key: fc.constantFrom(...KEYS, 'monsoonhall/other'),
@@ -47,8 +47,12 @@
       weight: fc.integer({ min: 0, max: 4 }),
     })
     .map(({ key, revision, weight }) =>
-      // 0 deletes, 1 is invalid, two valid values more clash at one revision.
-      buildEntry(key, revision, [undefined, INVALID][weight] ?? buildDocument(key, weight)),
+      // Weight 0 is a deletion, 1 is invalid; the other weights conflict at one revision.
+      buildEntry(
+        key,
+        revision,
+        [undefined, INVALID_DOCUMENT][weight] ?? buildDocument(key, weight),
+      ),
     ),
   { maxLength: 8 },
 );
@@ -59,7 +63,7 @@
 
 t.test('mergeEntries() is commutative, associative and idempotent', async (t) => {
   fc.assert(
-    fc.property(rawEntries, rawEntries, rawEntries, (a, b, c) => {
+    fc.property(rawEntriesArbitrary, rawEntriesArbitrary, rawEntriesArbitrary, (a, b, c) => {
       const expected = formatState(mergeAll([...a, ...b, ...c]));
       return [
         mergeAll(a, b, c),
@@ -73,7 +77,7 @@
   t.pass();
 });
 
-/** The service's state after each of some writes; index 1 is empty. */
+/** Lists the snapshots of the configuration service after each write; that of index 1 is empty. */
 function buildHistory(
   writes: readonly { readonly key: string; readonly weight: number }[],
 ): readonly ConfigurationSnapshot[] {
@@ -81,7 +85,7 @@
     (history, { key, weight }) => {
       const index = history.length + 1;
       const others = (history.at(-1)?.entries ?? []).filter((entry) => entry.key !== key);
-      const text = weight === 1 ? INVALID : buildDocument(key, weight);
+      const text = weight === 1 ? INVALID_DOCUMENT : buildDocument(key, weight);
       const written = weight === 0 ? [] : [buildEntry(key, index, text)];
       return [...history, { index, entries: [...others, ...written] }];
     },
@@ -89,8 +93,8 @@
   );
 }
 
-/** Whether nothing in force is older than the newest snapshot that was merged allows. */
-function hasNothingSuperseded(
+/** Checks that no entry in effect is superseded by the newest snapshot that was merged. */
+function reflectsSnapshot(
   state: ConfigurationState,
   newest: ConfigurationSnapshot | undefined,
 ): boolean {
@@ -101,15 +105,15 @@
     if (!published) {
       return key === FLEET_KEY || !inForce?.value || inForce.revision >= newest.index;
     }
-    const isValid = Buffer.from(published.value ?? []).toString() !== INVALID;
+    const isValid = Buffer.from(published.value ?? []).toString() !== INVALID_DOCUMENT;
     return !isValid || (inForce?.revision ?? 0) >= published.revision;
   });
 }
 
-const steps = fc.array(
+const stepsArbitrary = fc.array(
   fc.record({
     host: fc.nat(3),
-    // A host reads any state of the service, or hears a part of what a peer has.
+    // Null: the host reads a snapshot of any age; otherwise the peer that sends some entries.
     from: fc.option(fc.nat(3), { freq: 2 }),
     at: fc.nat(40),
     parts: fc.array(fc.nat(2), { maxLength: 3 }),
@@ -117,21 +121,21 @@
   { maxLength: 40 },
 );
 
-const writes = fc.array(
+const writesArbitrary = fc.array(
   fc.record({ key: fc.constantFrom(...KEYS), weight: fc.integer({ min: 0, max: 3 }) }),
   { minLength: 1, maxLength: 12 },
 );
 
-t.test('merges never go back, and converge', async (t) => {
-  // Symptom: an entry host works by a contract that was replaced or withdrawn.
-  // Sequence: stale, restored and lost reads and peers' entries, in any order.
-  // Cause: something other than the revision decided what is in force.
+t.test('merges never revert an entry, and converge', async (t) => {
+  // Guards against an entry host that applies a replaced or withdrawn contract. This happens
+  // if anything but the revision decides what is in effect when stale or restored snapshots
+  // and peers' entries arrive in any order, or are lost.
   fc.assert(
-    fc.property(writes, steps, (written, taken) => {
-      const history = buildHistory(written);
+    fc.property(writesArbitrary, stepsArbitrary, (writes, steps) => {
+      const history = buildHistory(writes);
       const hosts = [EMPTY_STATE, EMPTY_STATE, EMPTY_STATE, EMPTY_STATE];
       const newest: (ConfigurationSnapshot | undefined)[] = [];
-      taken.forEach(({ host, from, at, parts }) => {
+      steps.forEach(({ host, from, at, parts }) => {
         const before = hosts[host] ?? EMPTY_STATE;
         const snapshot = history[at % history.length];
         const heard = listEntries(hosts[from ?? host] ?? EMPTY_STATE).filter(({ key }) =>
@@ -143,9 +147,11 @@
         if (isRead && snapshot.index > (newest[host]?.index ?? 0)) newest[host] = snapshot;
         KEYS.forEach((key) => {
           const revision = before.entries.get(key)?.revision ?? 0;
-          if ((state.entries.get(key)?.revision ?? 0) < revision) throw new Error(`back: ${key}`);
+          if ((state.entries.get(key)?.revision ?? 0) < revision)
+            throw new Error(`reverted: ${key}`);
         });
-        if (!hasNothingSuperseded(state, newest[host])) throw new Error('superseded in force');
+        if (!reflectsSnapshot(state, newest[host]))
+          throw new Error('a superseded entry is in effect');
       });
       const rounds = [...hosts, ...hosts].map((_, at) => at);
       rounds.forEach((at) => {
@@ -162,78 +168,80 @@
   t.pass();
 });
 
-t.test('mergeSnapshot() keeps the last good document and tells why', async (t) => {
-  // Symptom: one mistyped contract stops a client account, or stays in the way
-  // of its own correction. Cause: the invalid revision counted as accepted.
-  const good = buildEntry(FIRM_A, 4, buildDocument(FIRM_A, 2));
-  const bad = buildEntry(FIRM_A, 5, INVALID);
-  const better = buildEntry(FIRM_A, 6, buildDocument(FIRM_A, 3));
+t.test('mergeSnapshot() keeps the last valid document and reports the faults', async (t) => {
+  // Guards against a mistyped contract that stops a client account or blocks its own
+  // correction, because the invalid revision counts as accepted.
+  const good = buildEntry(ACCOUNT_A_KEY, 4, buildDocument(ACCOUNT_A_KEY, 2));
+  const bad = buildEntry(ACCOUNT_A_KEY, 5, INVALID_DOCUMENT);
+  const better = buildEntry(ACCOUNT_A_KEY, 6, buildDocument(ACCOUNT_A_KEY, 3));
   const first = mergeSnapshot(EMPTY_STATE, { index: 4, entries: [good] });
   const second = mergeSnapshot(first.state, { index: 5, entries: [bad] });
-  t.equal(second.state.entries.get(FIRM_A)?.revision, 4);
-  t.match(second.refused, [{ key: FIRM_A, revision: 5, reasons: [/line 1/] }]);
+  t.equal(second.state.entries.get(ACCOUNT_A_KEY)?.revision, 4);
+  t.match(second.refused, [{ key: ACCOUNT_A_KEY, revision: 5, reasons: [/line 1/] }]);
   t.same(mergeSnapshot(second.state, { index: 5, entries: [bad] }).refused, []);
   const third = mergeSnapshot(second.state, { index: 6, entries: [better] });
-  t.equal(third.state.entries.get(FIRM_A)?.contract?.weight, 3);
+  t.equal(third.state.entries.get(ACCOUNT_A_KEY)?.contract?.weight, 3);
   t.equal(third.state.rejected.size, 0);
 });
 
-t.test('mergeEntries() gives a restarted host what only peers saw valid', async (t) => {
-  const bad = { index: 5, entries: [buildEntry(FIRM_A, 5, INVALID)] };
+t.test('mergeEntries() restores the last valid document of peers after a restart', async (t) => {
+  const bad = { index: 5, entries: [buildEntry(ACCOUNT_A_KEY, 5, INVALID_DOCUMENT)] };
   const restarted = mergeSnapshot(EMPTY_STATE, bad).state;
-  const { state } = mergeEntries(restarted, [buildEntry(FIRM_A, 4, buildDocument(FIRM_A, 2))]);
-  t.equal(state.entries.get(FIRM_A)?.revision, 4);
-  t.equal(state.rejected.get(FIRM_A)?.revision, 5);
+  const { state } = mergeEntries(restarted, [
+    buildEntry(ACCOUNT_A_KEY, 4, buildDocument(ACCOUNT_A_KEY, 2)),
+  ]);
+  t.equal(state.entries.get(ACCOUNT_A_KEY)?.revision, 4);
+  t.equal(state.rejected.get(ACCOUNT_A_KEY)?.revision, 5);
 });
 
-t.test('mergeEntries() does not bring back what a newer snapshot lacked', async (t) => {
-  // Symptom: the keys of a withdrawn client account work again on one host.
-  // Sequence: the host starts after the deletion and never sees the contract;
-  // a peer that was cut off since before the deletion is linked again and
-  // offers it. Cause: a missing entry, unlike a deletion, has no revision.
+t.test('mergeEntries() keeps an entry deleted that a newer snapshot is missing', async (t) => {
+  // Guards against API keys of a withdrawn client account that one host accepts again. The
+  // host starts after the deletion and never receives the contract; then a peer that was
+  // partitioned since before the deletion reconnects and sends it. A missing entry, unlike
+  // a deletion, has no revision that could win.
   const { state } = mergeSnapshot(EMPTY_STATE, { index: 9, entries: [] });
-  const old = buildEntry(FIRM_A, 4, buildDocument(FIRM_A, 2));
-  const merged = mergeEntries(state, [old]).state.entries.get(FIRM_A);
+  const old = buildEntry(ACCOUNT_A_KEY, 4, buildDocument(ACCOUNT_A_KEY, 2));
+  const merged = mergeEntries(state, [old]).state.entries.get(ACCOUNT_A_KEY);
   t.match(merged, { revision: 9, value: undefined });
-  t.match(mergeEntries(EMPTY_STATE, [old]).state.entries.get(FIRM_A), { revision: 4 });
+  t.match(mergeEntries(EMPTY_STATE, [old]).state.entries.get(ACCOUNT_A_KEY), { revision: 4 });
 });
 
-t.test('mergeSnapshot() never deletes the fleet, nor what is newer', async (t) => {
+t.test('mergeSnapshot() deletes neither the fleet nor a newer entry', async (t) => {
   const entries = KEYS.map((key) => buildEntry(key, 7, buildDocument(key, 2)));
   const { state } = mergeSnapshot(EMPTY_STATE, { index: 7, entries });
   t.equal(mergeSnapshot(state, { index: 6, entries: [] }).changed.length, 0);
   const emptied = mergeSnapshot(state, { index: 8, entries: [] });
   t.same(
     emptied.changed.map(({ key }) => key),
-    [FIRM_A, FIRM_B],
+    [ACCOUNT_A_KEY, ACCOUNT_B_KEY],
   );
   t.ok(emptied.state.entries.get(FLEET_KEY)?.fleet);
 });
 
-t.test('mergeEntries() takes no unsound entry from a peer', async (t) => {
-  const document = buildDocument(FIRM_A, 2);
+t.test('mergeEntries() ignores malformed and invalid entries of a peer', async (t) => {
+  const document = buildDocument(ACCOUNT_A_KEY, 2);
   const unsound = [
-    buildEntry(FIRM_A, 0, document),
-    buildEntry(FIRM_A, 1.5, document),
-    buildEntry(FIRM_A, Infinity, document),
-    buildEntry(FIRM_A, 3, INVALID),
-    buildEntry(FIRM_B, 3, document),
+    buildEntry(ACCOUNT_A_KEY, 0, document),
+    buildEntry(ACCOUNT_A_KEY, 1.5, document),
+    buildEntry(ACCOUNT_A_KEY, Infinity, document),
+    buildEntry(ACCOUNT_A_KEY, 3, INVALID_DOCUMENT),
+    buildEntry(ACCOUNT_B_KEY, 3, document),
     buildEntry('x'.repeat(10_000), 3, document),
     buildEntry('monsoonhall/other', 3, undefined),
-    { key: FIRM_A, revision: 3, value: document } as unknown as RawEntry,
+    { key: ACCOUNT_A_KEY, revision: 3, value: document } as unknown as RawEntry,
   ];
   t.equal(mergeEntries(EMPTY_STATE, unsound).changed.length, 0);
 });
 
-t.test('compareDigest() tells what either side lacks', async (t) => {
+t.test('compareDigest() finds the entries that either side is missing', async (t) => {
   const state = mergeAll([
-    buildEntry(FIRM_A, 4, buildDocument(FIRM_A, 2)),
-    buildEntry(FIRM_B, 5, undefined),
+    buildEntry(ACCOUNT_A_KEY, 4, buildDocument(ACCOUNT_A_KEY, 2)),
+    buildEntry(ACCOUNT_B_KEY, 5, undefined),
   ]);
   t.same(compareDigest(state, buildDigest(state)), { ahead: [], isBehind: false });
-  t.match(compareDigest(state, {}), { ahead: [{ key: FIRM_A }, { key: FIRM_B }] });
-  t.match(compareDigest(state, { [FIRM_A]: 6, [FIRM_B]: 4 }), {
-    ahead: [{ key: FIRM_B }],
+  t.match(compareDigest(state, {}), { ahead: [{ key: ACCOUNT_A_KEY }, { key: ACCOUNT_B_KEY }] });
+  t.match(compareDigest(state, { [ACCOUNT_A_KEY]: 6, [ACCOUNT_B_KEY]: 4 }), {
+    ahead: [{ key: ACCOUNT_B_KEY }],
     isBehind: true,
   });
 });
--- a/src/domain/configuration/digest.ts
+++ b/src/domain/configuration/digest.ts
@@ -1,5 +1,5 @@
 /**
- * How entry hosts find out what the other one lacks.
+ * Digests by which two entry hosts find the entries that either of them is missing.
  *
  * @module
  */
@@ -10,11 +10,11 @@
 /** Revision of each accepted entry, by key. */
 export type Digest = Readonly<Record<string, number>>;
 
-/** What two entry hosts lack of each other. */
+/** The difference between this entry host's accepted entries and a peer's digest. */
 export interface DigestDifference {
-  /** Entries that the other one lacks or has at a lower revision. */
+  /** Accepted entries that the peer is missing or has at a lower revision. */
   readonly ahead: readonly AcceptedEntry[];
-  /** Whether the other one has something beyond this one. */
+  /** Whether the peer has an entry that is missing here or is here at a lower revision. */
   readonly isBehind: boolean;
 }
 
@@ -22,7 +22,7 @@
  * Hashes the accepted entries, deletions included.
  *
  * @param state - the accepted entries
- * @returns SHA-256 in lower-case hex; equal exactly where the entries are
+ * @returns SHA-256 in lower-case hex; equal for equal entries, and different otherwise
  */
 export function hashState(state: ConfigurationState): string {
   const lines = [...state.entries.values()].map(
@@ -35,10 +35,13 @@
  * Finds the highest accepted revision.
  *
  * @param state - the accepted entries
- * @returns the revision; 0 where nothing is accepted
+ * @returns the revision; 0 if no entry is accepted
  */
 export function findRevision(state: ConfigurationState): number {
-  return [...state.entries.values()].reduce((most, { revision }) => Math.max(most, revision), 0);
+  return [...state.entries.values()].reduce(
+    (highest, { revision }) => Math.max(highest, revision),
+    0,
+  );
 }
 
 /**
@@ -52,19 +55,19 @@
 }
 
 /**
- * Compares what is accepted here with a peer's digest.
+ * Compares the accepted entries with a peer's digest.
  *
  * @param state - the accepted entries
- * @param digest - the peer's
- * @returns what either side lacks
+ * @param digest - the peer's digest
+ * @returns the entries that the peer is missing, and whether any is missing here
  */
 export function compareDigest(state: ConfigurationState, digest: Digest): DigestDifference {
-  const theirs = new Map(Object.entries(digest));
-  const ahead = [...state.entries.values()].filter(
-    ({ key, revision }) => revision > (theirs.get(key) ?? 0),
+  const peerRevisions = new Map(Object.entries(digest));
+  const missingEntries = [...state.entries.values()].filter(
+    ({ key, revision }) => revision > (peerRevisions.get(key) ?? 0),
   );
-  const isBehind = [...theirs].some(
+  const isBehind = [...peerRevisions].some(
     ([key, revision]) => revision > (state.entries.get(key)?.revision ?? 0),
   );
-  return { ahead, isBehind };
+  return { ahead: missingEntries, isBehind };
 }
--- a/src/domain/configuration/document_key.ts
+++ b/src/domain/configuration/document_key.ts
@@ -1,23 +1,23 @@
 /**
- * Keys of the documents that operators publish.
+ * Keys under which operators publish configuration documents.
  *
  * @module
  */
 
-/** Common start of all keys of the configuration. */
+/** Common prefix of all configuration keys. */
 export const CONFIGURATION_PREFIX = 'monsoonhall/';
 
 /** Key of the fleet document. */
 export const FLEET_KEY = `${CONFIGURATION_PREFIX}fleet`;
 
-/** Start of a contract's key; the account's ID follows. */
+/** Prefix of contract keys; the account ID follows. */
 export const CONTRACT_KEY_PREFIX = `${CONFIGURATION_PREFIX}contracts/`;
 
 /**
- * Finds the account whose contract stands under a key.
+ * Extracts the account ID from the key of a contract document.
  *
- * @param key - the key
- * @returns the account's ID; undefined where the key is none of a contract
+ * @param key - the document's key
+ * @returns the account ID; undefined if the key is not a contract key
  */
 export function findAccountOfKey(key: string): string | undefined {
   if (!key.startsWith(CONTRACT_KEY_PREFIX)) return undefined;
--- a/src/domain/configuration/entry.ts
+++ b/src/domain/configuration/entry.ts
@@ -1,5 +1,6 @@
 /**
- * Entries of the configuration: one document, or its deletion, at one revision.
+ * Configuration entries and their validation. An entry is one document, or its
+ * deletion, at one revision.
  *
  * @module
  */
@@ -8,12 +9,13 @@
 import type { AccountContract, DocumentResult, Fleet } from '../contracts/mod.js';
 import { CONTRACT_KEY_PREFIX, findAccountOfKey, FLEET_KEY } from './document_key.js';
 
+/** Maximum length of an entry's key, in UTF-16 code units. */
 const MAX_KEY_LENGTH = 512;
 
-/** An entry as it came from the platform's service or from a peer. */
+/** An entry as received from the platform's configuration service or from a peer. */
 export interface RawEntry {
   readonly key: string;
-  /** Index of the write that set it, or of the snapshot that lacked it. */
+  /** Index of the write that set the value, or of the snapshot from which the key was missing. */
   readonly revision: number;
   /** The published bytes; undefined after a deletion. */
   readonly value: Uint8Array | undefined;
@@ -23,55 +25,57 @@
 export interface AcceptedEntry extends RawEntry {
   /** SHA-256 of the value in lower-case hex; empty after a deletion. */
   readonly valueHash: string;
-  /** What follows from a fleet document. */
+  /** The parsed document, if the entry holds a fleet document. */
   readonly fleet?: Fleet;
-  /** What follows from a contract document. */
+  /** The parsed document, if the entry holds a contract. */
   readonly contract?: AccountContract;
 }
 
-/** An entry that was refused whole. */
+/** An entry that failed validation. No part of its document is used. */
 export interface RejectedEntry {
   readonly key: string;
   readonly revision: number;
+  /** SHA-256 of the value in lower-case hex; empty for a deletion. */
   readonly valueHash: string;
-  /** One line for each fault. */
+  /** One line of text for each fault. */
   readonly reasons: readonly string[];
 }
 
-/** Either what was accepted, or why nothing was. */
-export type EntryVerdict =
+/** The outcome of a validation: the accepted entry, or the rejected one with its faults. */
+export type ValidationResult =
   { readonly accepted: AcceptedEntry } | { readonly rejected: RejectedEntry };
 
 /**
- * Hashes a published value.
+ * Hashes the value of an entry.
  *
- * @param value - the bytes; undefined after a deletion
- * @returns SHA-256 in lower-case hex; empty after a deletion
+ * @param value - the published bytes; undefined for a deletion
+ * @returns SHA-256 in lower-case hex; empty for a deletion
  */
 export function hashValue(value: Uint8Array | undefined): string {
   return value === undefined ? '' : createHash('sha256').update(value).digest('hex');
 }
 
 /**
- * Checks whether an entry is one that may be stored at all, whatever its document
- * says: a peer of another version could send anything.
+ * Checks the types and bounds of an entry's key, value and revision, without
+ * reading the document. A peer that runs another version could send anything.
  *
  * @param entry - the entry
- * @returns whether key and revision are sound
+ * @returns whether the entry may be stored
  */
-export function isSoundEntry(entry: RawEntry): boolean {
+export function isWellFormedEntry(entry: RawEntry): boolean {
   const hasKey = typeof entry.key === 'string' && entry.key.length <= MAX_KEY_LENGTH;
   const hasValue = entry.value === undefined || entry.value instanceof Uint8Array;
   return hasKey && hasValue && Number.isSafeInteger(entry.revision) && entry.revision > 0;
 }
 
 /**
- * Validates one entry, alone: nobody's document depends on another's.
+ * Validates one entry independently of all others, so that no document can make
+ * another one invalid.
  *
  * @param entry - the entry
- * @returns the accepted entry, or why it was refused
+ * @returns the accepted entry, or the rejected one with the reasons
  */
-export function validateEntry(entry: RawEntry): EntryVerdict {
+export function validateEntry(entry: RawEntry): ValidationResult {
   const valueHash = hashValue(entry.value);
   const { key, revision, value } = entry;
   const accountId = findAccountOfKey(key);
@@ -81,18 +85,18 @@
   }
   if (value === undefined) return { accepted: { key, revision, value, valueHash } };
   if (accountId === undefined) {
-    return buildVerdict(entry, valueHash, parseFleet(value), (fleet) => ({ fleet }));
+    return buildValidationResult(entry, valueHash, parseFleet(value), (fleet) => ({ fleet }));
   }
   const result = parseContract(value, { accountId });
-  return buildVerdict(entry, valueHash, result, (contract) => ({ contract }));
+  return buildValidationResult(entry, valueHash, result, (contract) => ({ contract }));
 }
 
-function buildVerdict<T>(
+function buildValidationResult<T>(
   { key, revision, value }: RawEntry,
   valueHash: string,
   result: DocumentResult<T>,
   derive: (value: T) => Pick<AcceptedEntry, 'fleet' | 'contract'>,
-): EntryVerdict {
+): ValidationResult {
   if (result.valid) {
     return { accepted: { key, revision, value, valueHash, ...derive(result.value) } };
   }
--- a/src/domain/configuration/mod.ts
+++ b/src/domain/configuration/mod.ts
@@ -1,7 +1,7 @@
 /**
- * The accepted configuration of an entry host: a merge in which the highest
- * revision of each key holds, so that nothing ever goes back, whatever a stale
- * service or a peer says: `const { state, changed } = mergeSnapshot(before, snapshot)`.
+ * The accepted configuration of an entry host. Merges keep the highest revision of
+ * each key, so that no stale snapshot or peer can revert an entry:
+ * `const { state, changed } = mergeSnapshot(before, snapshot)`.
  *
  * @module
  */
--- a/src/domain/configuration/precedence.ts
+++ b/src/domain/configuration/precedence.ts
@@ -1,26 +1,26 @@
 /**
- * Which of two entries of one key holds.
+ * The order of precedence between entries of the same key.
  *
  * @module
  */
 import type { RawEntry } from './entry.js';
 
-/** What precedence depends on. */
+/** The properties of an entry that decide its precedence. */
 export type RankedEntry = Pick<RawEntry, 'revision'> & { readonly valueHash: string };
 
 /**
- * Compares two entries of one key. This is a total order, so that taking the
- * higher one is commutative, associative and idempotent: entry hosts that have
- * seen the same entries, in any order and any number of times, agree.
+ * Compares two entries of the same key. The order is total, so a merge that keeps
+ * the higher entry is commutative, associative and idempotent: entry hosts that
+ * received the same entries, in any order and any number of times, converge.
  *
- * Two different values at one revision exist only where the platform's service
- * was put back to an older state and counted the same indices again. The hash
- * then decides, since any rule does as long as it is the same everywhere. A
- * deletion, whose hash is empty, gives way to a value of the same revision.
+ * Two different values with the same revision exist only if the platform's
+ * configuration service was restored from a backup and assigned the same indices
+ * again. The greater hash then wins; any rule would do, as long as all hosts use
+ * the same one. A deletion has an empty hash and loses to a value of its revision.
  *
- * @param a - one entry
- * @param b - the other
- * @returns positive when `a` holds, negative when `b` does, 0 when they are the same
+ * @param a - the first entry
+ * @param b - the second entry
+ * @returns positive if `a` has precedence, negative if `b` has, 0 if they are equal
  */
 export function compareEntries(a: RankedEntry, b: RankedEntry): number {
   if (a.revision !== b.revision) return a.revision - b.revision;
