--- a/src/domain/contracts/_document.ts
+++ b/src/domain/contracts/_document.ts
@@ -1,84 +1,95 @@
 /**
- * Reads one published document against its schema, giving all faults at once.
+ * Validates one published document and reports all of its faults together.
  *
  * @module
  */
 import type { z } from 'zod';
 import { MAX_DOCUMENT_BYTES, MAX_FAULTS } from './document_bounds.js';
 import type { DocumentFault, DocumentResult } from './document_fault.js';
-import { readJsonLines } from './_json_lines.js';
-import type { FieldPath, JsonLines } from './_json_lines.js';
+import { locateFields } from './_json_lines.js';
+import type { FieldPath, FieldLocations } from './_json_lines.js';
 
-/** A fault that concerns several fields of one document. */
-export interface RuleFault {
+/** A fault of one field, before its line in the text is known. */
+export interface FieldFault {
   readonly path: FieldPath;
   readonly message: string;
 }
 
-/** How one type of document is checked. */
+/** How one type of document is validated. */
 export interface DocumentRules<T> {
   readonly schema: z.ZodType<T>;
-  /** Checks between fields; takes the raw document, which may be faulty in any way. */
-  readonly checkRules: (raw: unknown) => readonly RuleFault[];
+  /** Checks relations between fields; the raw document may be malformed in any way. */
+  readonly checkFieldRelations: (raw: unknown) => readonly FieldFault[];
 }
 
 /**
- * Checks a document.
+ * Parses and validates a document.
  *
- * @param published - the text, or its bytes as they were published
- * @param rules - schema and checks between fields
- * @returns the typed document, or its faults in the order of their lines
+ * @param document - the published text, or its UTF-8 bytes
+ * @param rules - the schema and the checks between fields
+ * @returns the typed document, or its faults ordered by line
  */
 export function parseDocument<T>(
-  published: Uint8Array | string,
+  document: Uint8Array | string,
   rules: DocumentRules<T>,
 ): DocumentResult<T> {
-  const text = decodeText(published);
-  if (text === undefined) return refuse([buildWholeFault('is not UTF-8 text')]);
-  if (text.length > MAX_DOCUMENT_BYTES || published.length > MAX_DOCUMENT_BYTES) {
-    return refuse([buildWholeFault(`is longer than ${MAX_DOCUMENT_BYTES} bytes`)]);
+  const text = decodeText(document);
+  if (text === undefined) return buildInvalidResult([buildDocumentFault('is not UTF-8 text')]);
+  if (text.length > MAX_DOCUMENT_BYTES || document.length > MAX_DOCUMENT_BYTES) {
+    return buildInvalidResult([buildDocumentFault(`is longer than ${MAX_DOCUMENT_BYTES} bytes`)]);
   }
-  const lines = readJsonLines(text);
-  if (lines.faults.some((fault) => fault.path.length === 0)) {
-    return refuse(lines.faults.map((fault) => toFault(lines, fault, fault.line)));
+  const locations = locateFields(text);
+  if (locations.faults.some((fault) => fault.path.length === 0)) {
+    return buildInvalidResult(
+      locations.faults.map((fault) => locateFault(locations, fault, fault.line)),
+    );
   }
   const raw = parseJson(text);
-  if (raw === undefined) return refuse([buildWholeFault('is no JSON')]);
-  return checkRaw(raw, lines, rules);
+  if (raw === undefined) return buildInvalidResult([buildDocumentFault('is not valid JSON')]);
+  return validateRaw(raw, locations, rules);
 }
 
-function checkRaw<T>(raw: unknown, lines: JsonLines, rules: DocumentRules<T>): DocumentResult<T> {
+function validateRaw<T>(
+  raw: unknown,
+  locations: FieldLocations,
+  rules: DocumentRules<T>,
+): DocumentResult<T> {
   const parsed = rules.schema.safeParse(raw);
   const faults = [
-    ...lines.faults.map((fault) => toFault(lines, fault, fault.line)),
-    ...(parsed.error?.issues ?? []).flatMap(listIssueFaults).map((fault) => toFault(lines, fault)),
-    ...rules.checkRules(raw).map((fault) => toFault(lines, fault)),
+    ...locations.faults.map((fault) => locateFault(locations, fault, fault.line)),
+    ...(parsed.error?.issues ?? [])
+      .flatMap(convertIssue)
+      .map((fault) => locateFault(locations, fault)),
+    ...rules.checkFieldRelations(raw).map((fault) => locateFault(locations, fault)),
   ];
-  if (faults.length > 0 || !parsed.success) return refuse(faults);
+  if (faults.length > 0 || !parsed.success) return buildInvalidResult(faults);
   return { valid: true, value: parsed.data };
 }
 
-function refuse<T>(faults: readonly DocumentFault[]): DocumentResult<T> {
+function buildInvalidResult<T>(faults: readonly DocumentFault[]): DocumentResult<T> {
   const sorted = [...faults].sort((a, b) => a.line - b.line).slice(0, MAX_FAULTS);
   return { valid: false, faults: sorted };
 }
 
-function buildWholeFault(message: string): DocumentFault {
+function buildDocumentFault(message: string): DocumentFault {
   return { line: 1, field: '', message };
 }
 
-function toFault(lines: JsonLines, fault: RuleFault, line?: number): DocumentFault {
+function locateFault(locations: FieldLocations, fault: FieldFault, line?: number): DocumentFault {
   return {
-    line: line ?? lines.findLine(fault.path),
+    line: line ?? locations.findLine(fault.path),
     field: formatPath(fault.path),
     message: fault.message,
   };
 }
 
-/** An unknown field is told where it stands, not where the object around it begins. */
-function listIssueFaults(issue: z.core.$ZodIssue): readonly RuleFault[] {
+/** Converts a schema issue; an unknown field is located at itself, not at its parent object. */
+function convertIssue(issue: z.core.$ZodIssue): readonly FieldFault[] {
   if (issue.code === 'unrecognized_keys') {
-    return issue.keys.map((key) => ({ path: [...issue.path, key], message: 'is not known' }));
+    return issue.keys.map((key) => ({
+      path: [...issue.path, key],
+      message: 'is an unknown field',
+    }));
   }
   const isMissing = issue.code === 'invalid_type' && issue.message.endsWith('received undefined');
   return [{ path: issue.path, message: isMissing ? 'is required' : issue.message }];
@@ -91,10 +102,10 @@
   }, '');
 }
 
-function decodeText(published: Uint8Array | string): string | undefined {
-  if (typeof published === 'string') return published;
+function decodeText(document: Uint8Array | string): string | undefined {
+  if (typeof document === 'string') return document;
   try {
-    return new TextDecoder('utf-8', { fatal: true }).decode(published);
+    return new TextDecoder('utf-8', { fatal: true }).decode(document);
   } catch {
     return undefined;
   }
--- a/src/domain/contracts/_fields.ts
+++ b/src/domain/contracts/_fields.ts
@@ -1,53 +1,59 @@
 /**
- * Fields that documents have in common.
+ * Schemas and checks that several documents share.
  *
  * @module
  */
 import * as z from 'zod';
 import { MAX_ID_LENGTH } from './document_bounds.js';
 import type { FieldPath } from './_json_lines.js';
-import type { RuleFault } from './_document.js';
+import type { FieldFault } from './_document.js';
 
-/** An ID as operators write it. */
+/** An ID that an operator chooses. */
 export const idField = z
   .string()
   .max(MAX_ID_LENGTH)
-  .regex(/^[A-Za-z0-9][A-Za-z0-9._-]*$/, 'must be letters, digits, ".", "_" and "-"');
+  .regex(
+    /^[A-Za-z0-9][A-Za-z0-9._-]*$/,
+    'must begin with a letter or digit and hold only letters, digits, ".", "_" and "-"',
+  );
 
-/** A whole number from 1 to `most`. */
-export function buildCountField(most: number): z.ZodNumber {
-  return z.number().int().min(1).max(most);
+/** Builds the schema of an integer from 1 to `max`. */
+export function buildCountField(max: number): z.ZodNumber {
+  return z.number().int().min(1).max(max);
 }
 
-/** A positive number, fractions included, up to `most`. */
-export function buildRateField(most: number): z.ZodNumber {
-  return z.number().positive().max(most);
+/** Builds the schema of a positive number, with or without a fraction, up to `max`. */
+export function buildRateField(max: number): z.ZodNumber {
+  return z.number().positive().max(max);
 }
 
-/** A text field that is read leniently: whatever is no text is no match for any rule. */
-export const lenientText = z.string().optional().catch(undefined);
+/** A text field of a possibly malformed document; any value but text is read as undefined. */
+export const lenientTextField = z.string().optional().catch(undefined);
 
-/** A list that is read leniently, for checks between fields of a faulty document. */
-export function buildLenientList<T extends z.ZodType>(
+/** Builds the schema of a list in a malformed document; invalid items are read as undefined. */
+export function buildLenientListField<T extends z.ZodType>(
   item: T,
 ): z.ZodCatch<z.ZodArray<z.ZodCatch<z.ZodOptional<T>>>> {
   return z.array(item.optional().catch(undefined)).catch([]);
 }
 
-/** One name, and where it stands. */
+/** A name and the path of the field that holds it. */
 export interface NamedPath {
   readonly name: string | undefined;
   readonly path: FieldPath;
 }
 
 /**
- * Finds names that stand more than once.
+ * Finds names that occur more than once.
  *
- * @param names - the names, with their places
- * @param message - what to say of each repetition
- * @returns a fault for each but the first
+ * @param names - the names and their paths
+ * @param message - the message for each duplicate
+ * @returns a fault for each occurrence of a name after its first
  */
-export function findRepeated(names: readonly NamedPath[], message: string): readonly RuleFault[] {
+export function findDuplicates(
+  names: readonly NamedPath[],
+  message: string,
+): readonly FieldFault[] {
   const seen = new Set<string>();
   return names.flatMap(({ name, path }) => {
     if (name === undefined) return [];
--- a/src/domain/contracts/_fleet_rules.ts
+++ b/src/domain/contracts/_fleet_rules.ts
@@ -1,81 +1,88 @@
 /**
- * Checks between the fields of a fleet document.
+ * Checks of relations between the fields of a fleet document.
  *
  * @module
  */
 import * as z from 'zod';
 import { ServiceKind } from './types.js';
-import { buildLenientList, findRepeated, lenientText } from './_fields.js';
+import { buildLenientListField, findDuplicates, lenientTextField } from './_fields.js';
 import type { NamedPath } from './_fields.js';
-import type { RuleFault } from './_document.js';
+import type { FieldFault } from './_document.js';
 
 const lenientSchema = z
   .looseObject({
-    services: buildLenientList(
+    services: buildLenientListField(
       z.looseObject({
-        id: lenientText,
-        kind: lenientText,
-        models: buildLenientList(z.string()),
-        backendServers: buildLenientList(
-          z.looseObject({ id: lenientText, url: lenientText, engineKind: lenientText }),
+        id: lenientTextField,
+        kind: lenientTextField,
+        models: buildLenientListField(z.string()),
+        backendServers: buildLenientListField(
+          z.looseObject({
+            id: lenientTextField,
+            url: lenientTextField,
+            engineKind: lenientTextField,
+          }),
         ),
       }),
     ),
-    engineKinds: buildLenientList(z.looseObject({ id: lenientText })),
+    engineKinds: buildLenientListField(z.looseObject({ id: lenientTextField })),
   })
   .catch({ services: [], engineKinds: [] });
 
 type LenientFleet = z.infer<typeof lenientSchema>;
 
 /**
- * Checks what a schema of single fields can't: names that stand twice, engine
- * kinds that nobody declares, models of plain services.
+ * Checks what the schema of single fields can't express: duplicate names,
+ * undeclared engine kinds, and models of plain services.
  *
- * @param raw - the document, which may be faulty in any way
+ * @param raw - the parsed JSON, which may be malformed in any way
  * @returns the faults
  */
-export function checkFleetRules(raw: unknown): readonly RuleFault[] {
+export function checkFleetRelations(raw: unknown): readonly FieldFault[] {
   const fleet = lenientSchema.parse(raw);
-  return [...checkNames(fleet), ...checkModels(fleet), ...checkEngineKinds(fleet)];
+  return [...checkUniqueNames(fleet), ...checkModels(fleet), ...checkEngineKinds(fleet)];
 }
 
-function checkNames(fleet: LenientFleet): readonly RuleFault[] {
-  const services = fleet.services.map((service, at): NamedPath => ({
+function checkUniqueNames(fleet: LenientFleet): readonly FieldFault[] {
+  const services = fleet.services.map((service, index): NamedPath => ({
     name: service?.id,
-    path: ['services', at, 'id'],
+    path: ['services', index, 'id'],
   }));
-  const kinds = fleet.engineKinds.map((kind, at): NamedPath => ({
+  const kinds = fleet.engineKinds.map((kind, index): NamedPath => ({
     name: kind?.id,
-    path: ['engineKinds', at, 'id'],
+    path: ['engineKinds', index, 'id'],
   }));
-  const models = fleet.services.flatMap((service, at) =>
+  const models = fleet.services.flatMap((service, index) =>
     (service?.models ?? []).map((name, position): NamedPath => ({
       name,
-      path: ['services', at, 'models', position],
+      path: ['services', index, 'models', position],
     })),
   );
   return [
-    ...findRepeated(services, 'names a service that is there already'),
-    ...findRepeated(kinds, 'names an engine kind that is there already'),
-    ...findRepeated(models, 'names a model that is served already'),
-    ...findRepeated(listBackendFields(fleet, 'id'), 'names a backend server that is there already'),
-    // Two entries for one backend server would give it two queues and twice its slots.
-    ...findRepeated(listBackendFields(fleet, 'url'), 'is the URL of another backend server'),
+    ...findDuplicates(services, 'is the ID of another service'),
+    ...findDuplicates(kinds, 'is the ID of another engine kind'),
+    ...findDuplicates(models, 'names a model that is already served'),
+    ...findDuplicates(listBackendServerFields(fleet, 'id'), 'is the ID of another backend server'),
+    // Two entries for the same backend server would give it two queues and twice its slots.
+    ...findDuplicates(
+      listBackendServerFields(fleet, 'url'),
+      'is the URL of another backend server',
+    ),
   ];
 }
 
-function listBackendFields(fleet: LenientFleet, field: 'id' | 'url'): readonly NamedPath[] {
-  return fleet.services.flatMap((service, at) =>
+function listBackendServerFields(fleet: LenientFleet, field: 'id' | 'url'): readonly NamedPath[] {
+  return fleet.services.flatMap((service, index) =>
     (service?.backendServers ?? []).map((server, position) => ({
       name: server?.[field]?.toLowerCase().replace(/\/$/, ''),
-      path: ['services', at, 'backendServers', position, field],
+      path: ['services', index, 'backendServers', position, field],
     })),
   );
 }
 
-function checkModels(fleet: LenientFleet): readonly RuleFault[] {
-  return fleet.services.flatMap((service, at) => {
-    const path = ['services', at, 'models'];
+function checkModels(fleet: LenientFleet): readonly FieldFault[] {
+  return fleet.services.flatMap((service, index) => {
+    const path = ['services', index, 'models'];
     const count = service?.models.length ?? 0;
     if (service?.kind === ServiceKind.Model && count === 0) {
       return [{ path, message: 'must name at least one model' }];
@@ -87,17 +94,21 @@
   });
 }
 
-function checkEngineKinds(fleet: LenientFleet): readonly RuleFault[] {
-  const declared = new Set(fleet.engineKinds.map((kind) => kind?.id));
-  return fleet.services.flatMap((service, at) =>
+function checkEngineKinds(fleet: LenientFleet): readonly FieldFault[] {
+  const declaredKinds = new Set(fleet.engineKinds.map((kind) => kind?.id));
+  return fleet.services.flatMap((service, index) =>
     (service?.backendServers ?? []).flatMap((server, position) => {
-      const path = ['services', at, 'backendServers', position, 'engineKind'];
+      const path = ['services', index, 'backendServers', position, 'engineKind'];
       if (server?.engineKind === undefined) {
         if (server === undefined || service?.kind !== ServiceKind.Model) return [];
-        return [{ path, message: 'is required: the backend server of a model has an engine kind' }];
+        return [
+          { path, message: 'is required: a backend server of a model service has an engine kind' },
+        ];
       }
-      if (declared.has(server.engineKind)) return [];
-      return [{ path, message: `names "${server.engineKind}", which engineKinds lacks` }];
+      if (declaredKinds.has(server.engineKind)) return [];
+      return [
+        { path, message: `names "${server.engineKind}", which engineKinds does not declare` },
+      ];
     }),
   );
 }
--- a/src/domain/contracts/_json_lines.ts
+++ b/src/domain/contracts/_json_lines.ts
@@ -1,47 +1,49 @@
 /**
- * Finds the lines of a JSON text on which fields stand. The values themselves
- * come from `JSON.parse`, which doesn't tell where they stood.
+ * Finds the line number of each field in a JSON text. `JSON.parse` provides the
+ * values, but not their positions.
  *
  * @module
  */
 import { MAX_DOCUMENT_DEPTH } from './document_bounds.js';
 
-/** Path of a field: property names and list positions. */
+/** Path of a field: property names and list indices. */
 export type FieldPath = readonly PropertyKey[];
 
-/** The text is no JSON, is nested too deeply or names a property twice. */
+/** A fault of the text itself: invalid JSON, excessive nesting or a duplicate property. */
 export interface TextFault {
+  /** Line number, from 1. */
   readonly line: number;
+  /** Path of the duplicate property; empty if the text can't be read to its end. */
   readonly path: FieldPath;
   readonly message: string;
 }
 
-/** Lines of a text's fields. */
-export interface JsonLines {
+/** Line numbers of the fields of a JSON text, and the faults of the text itself. */
+export interface FieldLocations {
   readonly faults: readonly TextFault[];
-  /** Finds a field's line; for a field that is missing, that of the nearest one around it. */
+  /** Finds the line of a field; for a missing field, that of its nearest enclosing field. */
   readonly findLine: (path: FieldPath) => number;
 }
 
-const SPACE = /[ \t\r\n]*/y;
+const WHITESPACE = /[ \t\r\n]*/y;
 
-const TOKENS = [
+const TOKEN_PATTERNS = [
   /[{}[\],:]/y,
   /"(?:[^"\\\p{Cc}]|[\u007f-\u009f]|\\(?:["\\/bfnrt]|u[0-9a-fA-F]{4}))*"/uy,
   /-?(?:0|[1-9]\d*)(?:\.\d+)?(?:[eE][+-]?\d+)?/y,
   /true|false|null/y,
 ];
 
-function findAt(pattern: RegExp, text: string, offset: number): string | undefined {
+function matchAt(pattern: RegExp, text: string, offset: number): string | undefined {
   const sticky = pattern;
   sticky.lastIndex = offset;
   return sticky.exec(text)?.[0];
 }
 
-/** Ends a walk at the first fault that leaves no way to go on. */
-class WalkStopped extends Error {}
+/** Thrown to abort the scan at a fault after which the text can't be read further. */
+class ScanAborted extends Error {}
 
-class JsonWalker {
+class JsonScanner {
   readonly faults: TextFault[] = [];
 
   readonly offsets = new Map<string, number>();
@@ -55,78 +57,82 @@
 
   read(): void {
     try {
-      this.#readValue([], this.#takeToken());
-      if (this.text.slice(this.#offset).trim() !== '') this.#stop('has text after its end');
+      this.#scanValue([], this.#readToken());
+      if (this.text.slice(this.#offset).trim() !== '')
+        this.#abort('has text after the end of the document');
     } catch (error) {
-      if (!(error instanceof WalkStopped)) throw error;
+      if (!(error instanceof ScanAborted)) throw error;
     }
   }
 
-  #readValue(path: FieldPath, token: string): void {
+  #scanValue(path: FieldPath, token: string): void {
     if (!this.offsets.has(buildPathKey(path))) {
       this.offsets.set(buildPathKey(path), this.#offset - token.length);
     }
-    if (path.length > MAX_DOCUMENT_DEPTH) this.#stop('is nested too deeply');
-    if (token === '{') this.#readObject(path);
-    else if (token === '[') this.#readList(path);
-    else if (/^[}\],:]$/.test(token)) this.#stop(`is no JSON: "${token}" where a value should be`);
+    if (path.length > MAX_DOCUMENT_DEPTH) this.#abort('is nested too deeply');
+    if (token === '{') this.#scanObject(path);
+    else if (token === '[') this.#scanList(path);
+    else if (/^[}\],:]$/.test(token))
+      this.#abort(`is not valid JSON: expected a value, found "${token}"`);
   }
 
-  #readObject(path: FieldPath): void {
-    const names = new Set<string>();
-    let token = this.#takeToken();
+  #scanObject(path: FieldPath): void {
+    const seenNames = new Set<string>();
+    let token = this.#readToken();
     while (token !== '}') {
-      if (!token.startsWith('"')) this.#stop('is no JSON: a property name should be here');
+      if (!token.startsWith('"')) this.#abort('is not valid JSON: expected a property name');
       const name = JSON.parse(token) as string;
-      const child = [...path, name];
-      if (names.has(name)) this.#note(child, 'is there twice');
-      names.add(name);
-      this.offsets.set(buildPathKey(child), this.#offset - token.length);
-      if (this.#takeToken() !== ':') this.#stop('is no JSON: ":" should be here');
-      this.#readValue(child, this.#takeToken());
-      token = this.#takeSeparator('}');
+      const childPath = [...path, name];
+      if (seenNames.has(name)) this.#addFault(childPath, 'is a duplicate');
+      seenNames.add(name);
+      this.offsets.set(buildPathKey(childPath), this.#offset - token.length);
+      if (this.#readToken() !== ':') this.#abort('is not valid JSON: expected ":"');
+      this.#scanValue(childPath, this.#readToken());
+      token = this.#readSeparator('}');
     }
   }
 
-  #readList(path: FieldPath): void {
-    let token = this.#takeToken();
-    for (let position = 0; token !== ']'; position += 1) {
-      this.#readValue([...path, position], token);
-      token = this.#takeSeparator(']');
+  #scanList(path: FieldPath): void {
+    let token = this.#readToken();
+    for (let index = 0; token !== ']'; index += 1) {
+      this.#scanValue([...path, index], token);
+      token = this.#readSeparator(']');
     }
   }
 
-  /** Takes `,` and the token after it, or the closing bracket. */
-  #takeSeparator(close: string): string {
-    const token = this.#takeToken();
+  /** Reads `,` and returns the token after it, or returns the closing bracket. */
+  #readSeparator(close: string): string {
+    const token = this.#readToken();
     if (token === close) return token;
-    if (token !== ',') this.#stop(`is no JSON: "," or "${close}" should be here`);
-    const next = this.#takeToken();
-    if (next === close) this.#stop(`is no JSON: "," right before "${close}"`);
+    if (token !== ',') this.#abort(`is not valid JSON: expected "," or "${close}"`);
+    const next = this.#readToken();
+    if (next === close) this.#abort(`is not valid JSON: unexpected "," before "${close}"`);
     return next;
   }
 
-  #takeToken(): string {
-    this.#offset += findAt(SPACE, this.text, this.#offset)?.length ?? 0;
-    const pattern = TOKENS.find((one) => findAt(one, this.text, this.#offset) !== undefined);
-    const token = pattern && findAt(pattern, this.text, this.#offset);
-    if (token === undefined) return this.#stop(this.#formatRest());
+  #readToken(): string {
+    this.#offset += matchAt(WHITESPACE, this.text, this.#offset)?.length ?? 0;
+    const pattern = TOKEN_PATTERNS.find(
+      (candidate) => matchAt(candidate, this.text, this.#offset) !== undefined,
+    );
+    const token = pattern && matchAt(pattern, this.text, this.#offset);
+    if (token === undefined) return this.#abort(this.#describeUnexpectedText());
     this.#offset += token.length;
     return token;
   }
 
-  #formatRest(): string {
-    const isOver = this.#offset >= this.text.length;
-    return isOver ? 'is no JSON: it ends too early' : 'is no JSON: unexpected text';
+  #describeUnexpectedText(): string {
+    const isAtEnd = this.#offset >= this.text.length;
+    return isAtEnd ? 'is not valid JSON: unexpected end' : 'is not valid JSON: unexpected text';
   }
 
-  #note(path: FieldPath, message: string): void {
+  #addFault(path: FieldPath, message: string): void {
     this.faults.push({ line: this.getLine(this.#offset), path, message });
   }
 
-  #stop(message: string): never {
-    this.#note([], message);
-    throw new WalkStopped(message);
+  #abort(message: string): never {
+    this.#addFault([], message);
+    throw new ScanAborted(message);
   }
 }
 
@@ -135,14 +141,15 @@
 }
 
 function buildLineFinder(text: string): (offset: number) => number {
-  const starts = [0];
-  for (let at = text.indexOf('\n'); at >= 0; at = text.indexOf('\n', at + 1)) starts.push(at + 1);
+  const lineStarts = [0];
+  for (let newline = text.indexOf('\n'); newline >= 0; newline = text.indexOf('\n', newline + 1))
+    lineStarts.push(newline + 1);
   return (offset) => {
     let low = 0;
-    let high = starts.length;
+    let high = lineStarts.length;
     while (high - low > 1) {
       const middle = Math.floor((low + high) / 2);
-      if ((starts[middle] ?? 0) <= offset) low = middle;
+      if ((lineStarts[middle] ?? 0) <= offset) low = middle;
       else high = middle;
     }
     return low + 1;
@@ -150,22 +157,24 @@
 }
 
 /**
- * Reads where the fields of a JSON text stand.
+ * Scans a JSON text for the line numbers of its fields.
  *
  * @param text - the published text
- * @returns the lines, and the faults of the text itself
+ * @returns the line numbers, and the faults of the text itself
  */
-export function readJsonLines(text: string): JsonLines {
+export function locateFields(text: string): FieldLocations {
   const getLine = buildLineFinder(text);
-  const walker = new JsonWalker(text, getLine);
-  walker.read();
+  const scanner = new JsonScanner(text, getLine);
+  scanner.read();
   return {
-    faults: walker.faults,
+    faults: scanner.faults,
     findLine: (path) => {
-      const nearest = path
-        .map((_, at) => walker.offsets.get(buildPathKey(path.slice(0, path.length - at))))
+      const nearestOffset = path
+        .map((_, droppedCount) =>
+          scanner.offsets.get(buildPathKey(path.slice(0, path.length - droppedCount))),
+        )
         .find((offset) => offset !== undefined);
-      return getLine(nearest ?? walker.offsets.get(buildPathKey([])) ?? 0);
+      return getLine(nearestOffset ?? scanner.offsets.get(buildPathKey([])) ?? 0);
     },
   };
 }
--- a/src/domain/contracts/_json_lines_test.ts
+++ b/src/domain/contracts/_json_lines_test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import t from 'tap';
-import { readJsonLines } from './_json_lines.js';
+import { locateFields } from './_json_lines.js';
 
 function isJson(text: string): boolean {
   try {
@@ -11,7 +11,7 @@
   }
 }
 
-t.test('readJsonLines() accepts just what JSON.parse does', async (t) => {
+t.test('locateFields() accepts exactly the texts that JSON.parse accepts', async (t) => {
   const shallow = { maxDepth: 4 };
   const mutilated = fc
     .tuple(fc.json(shallow), fc.nat(), fc.constantFrom('', ',', '"', '}', '0', '\\', '\n', '-'))
@@ -21,7 +21,7 @@
     });
   fc.assert(
     fc.property(fc.oneof(fc.json(shallow), mutilated), (text) => {
-      const faults = readJsonLines(text).faults.filter(({ path }) => path.length === 0);
+      const faults = locateFields(text).faults.filter(({ path }) => path.length === 0);
       return (faults.length === 0) === isJson(text);
     }),
     { seed: 42, numRuns: 2000 },
@@ -29,8 +29,8 @@
   t.pass();
 });
 
-t.test('readJsonLines() finds the line of each field, or of the nearest around it', async (t) => {
-  const { findLine } = readJsonLines('{\n "a": [\n  1,\n  {"b":\n 2}],\n "c": {}\n}');
+t.test('locateFields() finds the line of a field or of its nearest enclosing field', async (t) => {
+  const { findLine } = locateFields('{\n "a": [\n  1,\n  {"b":\n 2}],\n "c": {}\n}');
   const cases: readonly (readonly [readonly (string | number)[], number])[] = [
     [[], 1],
     [['a'], 2],
@@ -43,7 +43,7 @@
   cases.forEach(([path, line]) => t.equal(findLine(path), line, path.join('.')));
 });
 
-t.test('readJsonLines() bounds depth and tells properties that stand twice', async (t) => {
-  t.match(readJsonLines('['.repeat(200_000)).faults, [{ message: /deeply/ }]);
-  t.match(readJsonLines('{\n"a":1,\n"a":2}').faults, [{ line: 3, path: ['a'] }]);
+t.test('locateFields() limits the nesting depth and reports duplicate properties', async (t) => {
+  t.match(locateFields('['.repeat(200_000)).faults, [{ message: /deeply/ }]);
+  t.match(locateFields('{\n"a":1,\n"a":2}').faults, [{ line: 3, path: ['a'] }]);
 });
--- a/src/domain/contracts/contract.ts
+++ b/src/domain/contracts/contract.ts
@@ -1,5 +1,5 @@
 /**
- * The contract document of one client account.
+ * Schema and validation of the contract document of one client account.
  *
  * @module
  */
@@ -13,7 +13,7 @@
   MAX_DEADLINE_MS,
   MAX_EXPECTED_OUTPUT_TOKENS,
   MAX_IN_FLIGHT,
-  MAX_KEYS,
+  MAX_API_KEYS,
   MAX_PATH_PREFIX_LENGTH,
   MAX_REQUESTS_PER_SECOND,
   MAX_TOKENS_PER_SECOND,
@@ -23,17 +23,20 @@
 import type { DocumentResult } from './document_fault.js';
 import type { AccountContract, WorkKind } from './types.js';
 import { parseDocument } from './_document.js';
-import type { RuleFault } from './_document.js';
+import type { FieldFault } from './_document.js';
 import {
   buildCountField,
-  buildLenientList,
+  buildLenientListField,
   buildRateField,
-  findRepeated,
+  findDuplicates,
   idField,
-  lenientText,
+  lenientTextField,
 } from './_fields.js';
 
-/** Deadline of a work entry that names none, in milliseconds; never beyond the longest. */
+/**
+ * Default deadline of a work entry by tier, in milliseconds. A contract's
+ * `longestDeadlineMs` caps it.
+ */
 export const DEFAULT_DEADLINE_MS: Readonly<Record<Tier, number>> = {
   [Tier.Urgent]: 10_000,
   [Tier.Standard]: 120_000,
@@ -66,7 +69,7 @@
       z
         .string()
         .max(MAX_PATH_PREFIX_LENGTH)
-        .regex(/^\/[!-~]*$/, 'must begin with "/" and hold printable ASCII signs only'),
+        .regex(/^\/[!-~]*$/, 'must begin with "/" and hold only printable ASCII characters'),
     )
     .max(MAX_CALL_PATTERNS)
     .default([]),
@@ -74,7 +77,7 @@
 
 const contractSchema = z.strictObject({
   account: idField,
-  keys: z.array(keySchema).min(1).max(MAX_KEYS),
+  keys: z.array(keySchema).min(1).max(MAX_API_KEYS),
   weight: buildRateField(MAX_WEIGHT).default(DEFAULT_WEIGHT),
   limits: z.strictObject({
     requestsPerSecond: buildRateField(MAX_REQUESTS_PER_SECOND),
@@ -89,13 +92,13 @@
 
 const lenientSchema = z
   .looseObject({
-    account: lenientText,
-    keys: buildLenientList(z.looseObject({ sha256: lenientText })),
+    account: lenientTextField,
+    keys: buildLenientListField(z.looseObject({ sha256: lenientTextField })),
     longestDeadlineMs: z.number().catch(DEFAULT_LONGEST_DEADLINE_MS),
-    work: buildLenientList(
+    work: buildLenientListField(
       z.looseObject({
-        kind: lenientText,
-        service: lenientText,
+        kind: lenientTextField,
+        service: lenientTextField,
         deadlineMs: z.number().optional().catch(undefined),
       }),
     ),
@@ -104,68 +107,73 @@
 
 /** Options of {@link parseContract}. */
 export interface ParseContractOptions {
-  /** Account that the document's key names; the document must be for it. Default: any. */
+  /** Account ID that the document must name, taken from its key. Default: any account. */
   readonly accountId?: string;
 }
 
 /**
- * Checks a contract document, alone, and derives what follows from it.
+ * Validates a contract document independently of all others, and fills in defaults.
  *
- * Left out, `weight` is {@link DEFAULT_WEIGHT}, `longestDeadlineMs` is
- * {@link DEFAULT_LONGEST_DEADLINE_MS}, a work entry is not repeatable, its
- * `deadlineMs` is that of its tier in {@link DEFAULT_DEADLINE_MS}, its
- * `expectedOutputTokens` {@link DEFAULT_EXPECTED_OUTPUT_TOKENS}, and it covers
- * all methods and paths.
+ * The default of `weight` is {@link DEFAULT_WEIGHT}, that of `longestDeadlineMs` is
+ * {@link DEFAULT_LONGEST_DEADLINE_MS}. A work entry is not repeatable by default,
+ * covers all methods and paths, takes its `deadlineMs` from
+ * {@link DEFAULT_DEADLINE_MS} by tier, and its `expectedOutputTokens` is
+ * {@link DEFAULT_EXPECTED_OUTPUT_TOKENS}.
  *
- * @param published - the text, or its bytes as they were published
- * @param options - which account it has to be for
+ * @param document - the published text, or its UTF-8 bytes
+ * @param options - the account that the document must name
  * @returns the contract, or all faults of the document
  */
 export function parseContract(
-  published: Uint8Array | string,
+  document: Uint8Array | string,
   options: ParseContractOptions = {},
 ): DocumentResult<AccountContract> {
-  const result = parseDocument(published, {
+  const result = parseDocument(document, {
     schema: contractSchema,
-    checkRules: (raw) => checkRules(raw, options.accountId),
+    checkFieldRelations: (raw) => checkContractRelations(raw, options.accountId),
   });
   return result.valid ? { valid: true, value: deriveContract(result.value) } : result;
 }
 
-function checkRules(raw: unknown, accountId: string | undefined): readonly RuleFault[] {
+function checkContractRelations(
+  raw: unknown,
+  accountId: string | undefined,
+): readonly FieldFault[] {
   const document = lenientSchema.parse(raw);
   return [
-    ...checkAccount(document.account, accountId),
-    ...findRepeated(
-      document.keys.map((key, at) => ({
+    ...checkAccountId(document.account, accountId),
+    ...findDuplicates(
+      document.keys.map((key, index) => ({
         name: key?.sha256?.toLowerCase(),
-        path: ['keys', at, 'sha256'],
+        path: ['keys', index, 'sha256'],
       })),
-      'is there twice',
+      'is a duplicate',
     ),
-    ...findRepeated(
-      document.work.map((work, at) => ({
+    ...findDuplicates(
+      document.work.map((work, index) => ({
         name: work?.kind && work.service && `${work.service}\n${work.kind}`,
-        path: ['work', at, 'kind'],
+        path: ['work', index, 'kind'],
       })),
-      'names a kind that this service has already',
+      'is the kind of another work entry of this service',
     ),
-    ...document.work.flatMap((work, at) => {
+    ...document.work.flatMap((work, index) => {
       if (work?.deadlineMs === undefined || work.deadlineMs <= document.longestDeadlineMs)
         return [];
       return [
         {
-          path: ['work', at, 'deadlineMs'],
-          message: `is beyond longestDeadlineMs, ${document.longestDeadlineMs}`,
+          path: ['work', index, 'deadlineMs'],
+          message: `exceeds longestDeadlineMs, ${document.longestDeadlineMs}`,
         },
       ];
     }),
   ];
 }
 
-function checkAccount(account: string | undefined, expected: string | undefined): RuleFault[] {
-  if (expected === undefined || account === undefined || account === expected) return [];
-  return [{ path: ['account'], message: `must be "${expected}", as its key says` }];
+function checkAccountId(account: string | undefined, expectedId: string | undefined): FieldFault[] {
+  if (expectedId === undefined || account === undefined || account === expectedId) return [];
+  return [
+    { path: ['account'], message: `must be "${expectedId}", the account ID in the document's key` },
+  ];
 }
 
 function deriveContract(document: ContractDocument): AccountContract {
--- a/src/domain/contracts/contract_test.ts
+++ b/src/domain/contracts/contract_test.ts
@@ -18,12 +18,12 @@
   ]
 }`;
 
-function listFaults(published: Uint8Array | string): readonly DocumentFault[] {
-  const result = parseContract(published, { accountId: 'firm-a' });
+function listFaults(document: Uint8Array | string): readonly DocumentFault[] {
+  const result = parseContract(document, { accountId: 'firm-a' });
   return result.valid ? [] : result.faults;
 }
 
-t.test('parseContract() derives everything, with defaults', async (t) => {
+t.test('parseContract() returns the whole contract and fills in defaults', async (t) => {
   const result = parseContract(Buffer.from(DOCUMENT), { accountId: 'firm-a' });
   t.strictSame(result, {
     valid: true,
@@ -59,7 +59,7 @@
   });
 });
 
-t.test('parseContract() refuses each fault with line and field', async (t) => {
+t.test('parseContract() reports the line and field of each fault', async (t) => {
   const cases: readonly (readonly [string, string, number, string])[] = [
     ['"account": "firm-a"', '"account": "firm-b"', 2, 'account'],
     ['"account": "firm-a",', '', 1, 'account'],
@@ -93,7 +93,7 @@
   });
 });
 
-t.test('parseContract() tells all faults at once', async (t) => {
+t.test('parseContract() reports all faults of a document together', async (t) => {
   const faults = listFaults(
     DOCUMENT.replace('"firm-a"', '7').replace('64', '0').replace('"report"', '"summary"'),
   );
@@ -103,7 +103,7 @@
   );
 });
 
-t.test('parseContract() survives what is no contract at all', async (t) => {
+t.test('parseContract() rejects input that is not a contract', async (t) => {
   const work = '{ "kind": "a", "service": "s", "tier": "batch" },'.repeat(MAX_WORK_ENTRIES);
   const published = [
     '',
--- a/src/domain/contracts/document_bounds.ts
+++ b/src/domain/contracts/document_bounds.ts
@@ -1,85 +1,85 @@
 /**
- * Bounds and defaults of the documents that operators publish. A bound is far
- * beyond any sensible use; it keeps one mistyped document from taking memory
- * or time from everybody else.
+ * Limits and defaults of the documents that operators publish. Each limit is far
+ * above any sensible value, and keeps a mistyped document from consuming memory
+ * or processor time at the expense of all other accounts.
  *
  * @module
  */
 
-/** Longest document, in bytes: the most that one value of the platform's service holds. */
+/** Maximum size of a document in bytes, which is the largest value the platform stores. */
 export const MAX_DOCUMENT_BYTES = 1_048_576;
 
-/** Deepest nesting of objects and lists. */
+/** Maximum nesting depth of objects and lists. */
 export const MAX_DOCUMENT_DEPTH = 16;
 
-/** Most faults that are told of one document. */
+/** Maximum number of faults reported for one document. */
 export const MAX_FAULTS = 50;
 
-/** Longest ID, in characters. */
+/** Maximum length of an ID, in characters. */
 export const MAX_ID_LENGTH = 64;
 
-/** Most API keys of one account, those in rotation included. */
-export const MAX_KEYS = 16;
+/** Maximum number of API keys of one account, including those in rotation. */
+export const MAX_API_KEYS = 16;
 
-/** Most work entries of one contract. */
+/** Maximum number of work entries in one contract. */
 export const MAX_WORK_ENTRIES = 64;
 
-/** Most methods or path prefixes of one work entry. */
+/** Maximum number of methods, and of path prefixes, in one work entry. */
 export const MAX_CALL_PATTERNS = 32;
 
-/** Longest path prefix, in characters. */
+/** Maximum length of a path prefix, in characters. */
 export const MAX_PATH_PREFIX_LENGTH = 256;
 
-/** Highest weight in fair sharing. */
+/** Maximum weight of an account in fair queueing. */
 export const MAX_WEIGHT = 1000;
 
-/** Highest rate of requests, a second. */
+/** Maximum request rate of one account, per second. */
 export const MAX_REQUESTS_PER_SECOND = 1_000_000;
 
-/** Highest rate of tokens, a second. */
+/** Maximum token rate of an account or an engine kind, per second. */
 export const MAX_TOKENS_PER_SECOND = 1_000_000_000;
 
-/** Most requests of one account in flight. */
+/** Maximum limit on the in-flight requests of one account. */
 export const MAX_IN_FLIGHT = 100_000;
 
-/** Longest deadline that a contract may allow, in milliseconds: a day. */
+/** Maximum deadline that a contract may allow, in milliseconds: one day. */
 export const MAX_DEADLINE_MS = 86_400_000;
 
-/** Most output that a work entry may expect, in tokens. */
+/** Maximum expected output of a work entry, in tokens. */
 export const MAX_EXPECTED_OUTPUT_TOKENS = 1_000_000;
 
-/** Most services of a fleet. */
+/** Maximum number of services in a fleet. */
 export const MAX_SERVICES = 256;
 
-/** Most models of one service. */
+/** Maximum number of models of one service. */
 export const MAX_MODELS = 64;
 
-/** Longest name of a model, in characters. */
+/** Maximum length of a model name, in characters. */
 export const MAX_MODEL_LENGTH = 128;
 
-/** Most backend servers of one service. */
+/** Maximum number of backend servers of one service. */
 export const MAX_BACKEND_SERVERS = 4096;
 
-/** Longest URL, in characters. */
+/** Maximum length of a URL, in characters. */
 export const MAX_URL_LENGTH = 256;
 
-/** Most engine kinds of a fleet. */
+/** Maximum number of engine kinds in a fleet. */
 export const MAX_ENGINE_KINDS = 64;
 
-/** Most slots of one backend server. */
+/** Maximum number of slots of one backend server. */
 export const MAX_SLOTS = 4096;
 
-/** Most backend servers that one dispatcher looks after. */
+/** Maximum number of backend servers that one dispatcher manages. */
 export const MAX_DISPATCH_GROUP_SIZE = 64;
 
-/** Weight of a contract that names none. */
+/** Default weight of an account. */
 export const DEFAULT_WEIGHT = 1;
 
-/** Longest deadline of a contract that names none, in milliseconds. */
+/** Default of the longest deadline that a contract allows, in milliseconds. */
 export const DEFAULT_LONGEST_DEADLINE_MS = 600_000;
 
-/** Expected output of a work entry that names none, in tokens. */
+/** Default expected output of a work entry, in tokens. */
 export const DEFAULT_EXPECTED_OUTPUT_TOKENS = 256;
 
-/** Backend servers a dispatcher looks after, where a service doesn't say. */
+/** Default number of backend servers that one dispatcher manages. */
 export const DEFAULT_DISPATCH_GROUP_SIZE = 16;
--- a/src/domain/contracts/fleet.ts
+++ b/src/domain/contracts/fleet.ts
@@ -1,5 +1,6 @@
 /**
- * The fleet document: services, their backend servers and the engine kinds.
+ * Schema and validation of the fleet document: services, their backend servers
+ * and the engine kinds.
  *
  * @module
  */
@@ -21,11 +22,11 @@
 import type { BackendServer, EngineKind, Fleet, Service } from './types.js';
 import { parseDocument } from './_document.js';
 import { buildCountField, buildRateField, idField } from './_fields.js';
-import { checkFleetRules } from './_fleet_rules.js';
+import { checkFleetRelations } from './_fleet_rules.js';
 
 /**
- * Engine kind of a plain service's backend server that names none. Its figures
- * are only where learning starts from.
+ * Default engine kind for backend servers of plain services. Its speeds and slots
+ * are only initial estimates, which are replaced by measured values.
  */
 export const PLAIN_ENGINE_KIND: EngineKind = {
   id: 'plain',
@@ -39,7 +40,7 @@
   url: z
     .string()
     .max(MAX_URL_LENGTH)
-    .refine(isBaseUrl, 'must be http://, an IP number and a port, without a path'),
+    .refine(isBaseUrl, 'must be http://, an IP address and a port, without a path'),
   engineKind: idField.optional(),
   availabilityZone: idField,
 });
@@ -69,17 +70,20 @@
 type ServiceDocument = z.infer<typeof serviceSchema>;
 
 /**
- * Checks a fleet document, alone, and derives what follows from it.
+ * Validates a fleet document independently of all contracts, and fills in defaults.
  *
- * Left out, `honoursContinue` and `checksOrders` are false (the careful
- * choice), `dispatchGroupSize` is {@link DEFAULT_DISPATCH_GROUP_SIZE}, and the
- * engine kind of a plain service's backend server is {@link PLAIN_ENGINE_KIND}.
+ * The defaults of `honoursContinue` and `checksOrders` are false, the safe
+ * choice; that of `dispatchGroupSize` is {@link DEFAULT_DISPATCH_GROUP_SIZE}. A
+ * backend server of a plain service has {@link PLAIN_ENGINE_KIND} by default.
  *
- * @param published - the text, or its bytes as they were published
+ * @param document - the published text, or its UTF-8 bytes
  * @returns the fleet, or all faults of the document
  */
-export function parseFleet(published: Uint8Array | string): DocumentResult<Fleet> {
-  const result = parseDocument(published, { schema: fleetSchema, checkRules: checkFleetRules });
+export function parseFleet(document: Uint8Array | string): DocumentResult<Fleet> {
+  const result = parseDocument(document, {
+    schema: fleetSchema,
+    checkFieldRelations: checkFleetRelations,
+  });
   if (!result.valid) return result;
   const { services, engineKinds } = result.value;
   return {
--- a/src/domain/contracts/fleet_test.ts
+++ b/src/domain/contracts/fleet_test.ts
@@ -19,7 +19,7 @@
   ]
 }`;
 
-t.test('parseFleet() derives everything, with careful defaults', async (t) => {
+t.test('parseFleet() returns the whole fleet and fills in safe defaults', async (t) => {
   const result = parseFleet(DOCUMENT);
   t.match(result, {
     valid: true,
@@ -41,7 +41,7 @@
   });
 });
 
-t.test('parseFleet() refuses each fault with line and field', async (t) => {
+t.test('parseFleet() reports the line and field of each fault', async (t) => {
   const cases: readonly (readonly [string, string, number, string])[] = [
     ['"id": "app"', '"id": "llm"', 8, 'services[1].id'],
     ['"models": ["draft"]', '"models": []', 3, 'services[0].models'],
@@ -66,7 +66,7 @@
 });
 
 t.test(
-  'explainContract() has a row for all that follows, and hints beside the fleet',
+  'explainContract() lists every value, and findHints() compares with the fleet',
   async (t) => {
     const contract = parseContract(`{"account": "firm-a", "keys": [{"sha256": "${'0'.repeat(64)}"}],
     "limits": {"requestsPerSecond": 21, "tokensPerSecond": 22, "inFlight": 23}, "weight": 24,
--- a/src/domain/contracts/hints.ts
+++ b/src/domain/contracts/hints.ts
@@ -1,6 +1,7 @@
 /**
- * Hints about a contract beside the fleet. They are no faults: each document
- * is checked alone, so that no team's document can make another's invalid.
+ * Hints about mismatches between a contract and the fleet. Hints are not faults:
+ * each document is validated independently, so that the document of one team can't
+ * make that of another invalid.
  *
  * @module
  */
@@ -8,11 +9,11 @@
 import type { AccountContract, Fleet, WorkKind } from './types.js';
 
 /**
- * Finds what an operator may have overlooked.
+ * Finds likely mistakes in the combination of a contract and a fleet.
  *
  * @param contract - the valid contract
- * @param fleet - the fleet that is in force, or will be
- * @returns a sentence for each hint
+ * @param fleet - the present or planned fleet
+ * @returns one sentence for each hint
  */
 export function findHints(contract: AccountContract, fleet: Fleet): readonly string[] {
   return contract.work.flatMap((work) => findWorkHints(work, fleet));
--- a/src/domain/contracts/mod.ts
+++ b/src/domain/contracts/mod.ts
@@ -1,7 +1,7 @@
 /**
- * The documents that operators publish: one contract a client account and one
- * fleet document. Each is checked alone and turned into what the rest of the
- * system reads: `const result = parseContract(text); if (result.valid) use(result.value)`.
+ * The documents that operators publish: one contract per client account and one
+ * fleet document. Each is validated independently and parsed into typed values:
+ * `const result = parseContract(text); if (result.valid) use(result.value)`.
  *
  * @module
  */
--- a/src/domain/contracts/types.ts
+++ b/src/domain/contracts/types.ts
@@ -1,16 +1,15 @@
 /**
- * What follows from accepted contracts and from the fleet document, in the
- * form that the rest of the system reads.
+ * Types of validated contracts and of the validated fleet document.
  *
  * @module
  */
 import type { Tier } from '../scheduling/tier.js';
 
-/** The two kinds of service that stand behind the system. */
+/** The kinds of service to which requests are dispatched. */
 export enum ServiceKind {
-  /** A pool of model engines with the OpenAI-compatible protocol. */
+  /** A pool of model engines that speak the OpenAI-compatible protocol. */
   Model = 'model',
-  /** A plain HTTP service, passed through whole. */
+  /** A plain HTTP service; calls and answers are forwarded unchanged. */
   Plain = 'plain',
 }
 
@@ -18,20 +17,21 @@
 export interface BackendServer {
   readonly id: string;
   readonly serviceId: string;
-  /** Base URL, by IP number. */
+  /** Base URL with an IP address as host. */
   readonly url: string;
+  /** ID of its {@link EngineKind}. */
   readonly engineKind: string;
   readonly availabilityZone: string;
 }
 
-/** A generation of hardware; the figures are where learning starts from. */
+/** A generation of hardware; its speeds and slots are initial estimates. */
 export interface EngineKind {
   readonly id: string;
-  /** Tokens a second. */
+  /** Prompt tokens per second. */
   readonly prefillTokensPerSecond: number;
-  /** Tokens a second for one stream alone. */
+  /** Output tokens per second of a single stream without concurrent ones. */
   readonly decodeTokensPerSecond: number;
-  /** Concurrent requests that the window starts from. */
+  /** Initial size of the concurrency window, in requests. */
   readonly slots: number;
 }
 
@@ -39,13 +39,13 @@
 export interface Service {
   readonly id: string;
   readonly kind: ServiceKind;
-  /** Names of the models it serves; empty for a plain service. */
+  /** Names of the models that it serves; empty for a plain service. */
   readonly models: readonly string[];
-  /** Whether its backend servers answer `Expect: 100-continue` before they take a body. */
+  /** Whether its backend servers answer `Expect: 100-continue` before they read a body. */
   readonly honoursContinue: boolean;
-  /** Whether its backend servers refuse an order with an old fencing number. */
+  /** Whether its backend servers refuse requests with an outdated fencing token. */
   readonly checksOrders: boolean;
-  /** Most backend servers that one dispatcher looks after. */
+  /** Maximum number of backend servers that one dispatcher manages. */
   readonly dispatchGroupSize: number;
   readonly backendServers: readonly BackendServer[];
 }
@@ -56,41 +56,42 @@
   readonly engineKinds: readonly EngineKind[];
 }
 
-/** What holds for one kind of work of one client account. */
+/** Settings of one kind of work of one client account at one service. */
 export interface WorkKind {
   readonly kind: string;
   readonly serviceId: string;
   readonly tier: Tier;
-  /** Whether it may be sent without a request ID. */
+  /** Whether a request may run more than once; if not, it needs a request ID. */
   readonly repeatable: boolean;
-  /** Deadline where the caller names none, in milliseconds. */
+  /** Default deadline of a request without its own, in milliseconds. */
   readonly deadlineMs: number;
-  /** Expected output before anything was learnt, in tokens. */
+  /** Initial estimate of a request's output, in tokens. */
   readonly expectedOutputTokens: number;
-  /** Methods that it covers (plain services); empty: all. */
+  /** HTTP methods that it covers, for plain services; empty: all. */
   readonly methods: readonly string[];
-  /** Path prefixes that it covers (plain services); empty: all. */
+  /** Path prefixes that it covers, for plain services; empty: all. */
   readonly pathPrefixes: readonly string[];
 }
 
-/** Limits of one client account over the whole deployment. */
+/** Limits of one client account across all entry hosts. */
 export interface AccountLimits {
   readonly requestsPerSecond: number;
-  /** Prompt and output tokens a second. */
+  /** Prompt and output tokens per second. */
   readonly tokensPerSecond: number;
+  /** Maximum number of concurrent requests. */
   readonly inFlight: number;
 }
 
-/** Everything that follows from one client account's contract. */
+/** The validated contract of one client account, defaults included. */
 export interface AccountContract {
   readonly accountId: string;
-  /** SHA-256 of each API key in force, in lower-case hex. */
+  /** SHA-256 of each valid API key, in lower-case hex. */
   readonly keyHashes: readonly string[];
-  /** Weight in fair sharing inside a tier. */
+  /** Weight in fair queueing within a tier. */
   readonly weight: number;
   readonly limits: AccountLimits;
-  /** Longest deadline that a caller may ask for, in milliseconds. */
+  /** Maximum deadline that a caller may request, in milliseconds. */
   readonly longestDeadlineMs: number;
-  /** Kinds of work; the first that fits a call without a `Work-Kind` header holds. */
+  /** Kinds of work; a call without a `Work-Kind` header has the first kind that covers it. */
   readonly work: readonly WorkKind[];
 }
