--- a/src/domain/freshness/confirmed_age.ts
+++ b/src/domain/freshness/confirmed_age.ts
@@ -1,5 +1,5 @@
 /**
- * How long ago the truth was last known.
+ * The age of cached information since its source last confirmed it.
  *
  * @module
  */
@@ -7,34 +7,37 @@
 import type { Moment } from './moment.js';
 
 /**
- * Age of a piece of knowledge: the time since the *sending* of the question whose
- * answer confirmed it. The answer may have been formed right after the question
- * left, so counting from its arrival could make a revoked key look valid for as
- * long as the answer travelled.
+ * Computes the age of a piece of cached information, counted from the *sending* of
+ * the request whose response confirmed it. The source may have built the response
+ * right after the request was sent, so an age counted from its arrival could make a
+ * revoked key look valid for as long as the response was in transit.
  */
 export class ConfirmedAge {
-  #askedAt: Moment | undefined;
+  #requestedAt: Moment | undefined;
 
-  #ageAtAskedMs = 0;
+  #sourceAgeMs = 0;
 
   /**
-   * Takes a confirmation; an older one than the present is ignored.
+   * Records a confirmation. One that is older than the latest is ignored.
    *
-   * @param askedAt - when the question was sent
-   * @param nowAt - the present moment
-   * @param ageAtAnswerMs - age that the answer itself had where it came from, in
-   *   milliseconds; 0 for an answer of the source
+   * @param requestedAt - when the request was sent
+   * @param now - the present clock reading
+   * @param sourceAgeMs - age that the information already had at the responder, in
+   *   milliseconds; 0 if the responder is the source
    */
-  confirm(askedAt: Moment, nowAt: Moment, ageAtAnswerMs = 0): void {
-    const age = computeElapsedMs(askedAt, nowAt) + ageAtAnswerMs;
-    if (age >= this.computeAgeMs(nowAt)) return;
-    this.#askedAt = askedAt;
-    this.#ageAtAskedMs = ageAtAnswerMs;
+  confirm(requestedAt: Moment, now: Moment, sourceAgeMs = 0): void {
+    const ageMs = computeElapsedMs(requestedAt, now) + sourceAgeMs;
+    if (ageMs >= this.computeAgeMs(now)) return;
+    this.#requestedAt = requestedAt;
+    this.#sourceAgeMs = sourceAgeMs;
   }
 
-  /** @param nowAt - the present moment. @returns age in milliseconds; infinite before the first confirmation */
-  computeAgeMs(nowAt: Moment): number {
-    if (!this.#askedAt) return Infinity;
-    return computeElapsedMs(this.#askedAt, nowAt) + this.#ageAtAskedMs;
+  /**
+   * @param now - the present clock reading
+   * @returns age in milliseconds; infinite before the first confirmation
+   */
+  computeAgeMs(now: Moment): number {
+    if (!this.#requestedAt) return Infinity;
+    return computeElapsedMs(this.#requestedAt, now) + this.#sourceAgeMs;
   }
 }
--- a/src/domain/freshness/confirmed_age_test.ts
+++ b/src/domain/freshness/confirmed_age_test.ts
@@ -3,47 +3,46 @@
 import { ConfirmedAge } from './mod.js';
 import type { Moment } from './mod.js';
 
-const RUNS = { seed: 20, numRuns: 300 };
+const RUN_OPTIONS = { seed: 20, numRuns: 300 };
 
-function at(steadyMs: number, wallMs = steadyMs): Moment {
+function buildReading(steadyMs: number, wallMs = steadyMs): Moment {
   return { steadyMs, wallMs };
 }
 
-t.test('ConfirmedAge knows nothing before the first confirmation', async (t) => {
-  t.equal(new ConfirmedAge().computeAgeMs(at(0)), Infinity);
+t.test('ConfirmedAge is infinite before the first confirmation', async (t) => {
+  t.equal(new ConfirmedAge().computeAgeMs(buildReading(0)), Infinity);
 });
 
-t.test('ConfirmedAge counts from the sending of the question', async (t) => {
+t.test('ConfirmedAge counts from the sending of the request', async (t) => {
   const age = new ConfirmedAge();
-  age.confirm(at(100), at(900));
-  t.equal(age.computeAgeMs(at(1_000)), 900);
+  age.confirm(buildReading(100), buildReading(900));
+  t.equal(age.computeAgeMs(buildReading(1_000)), 900);
 });
 
-t.test('ConfirmedAge adds the age that a passed-on confirmation already had', async (t) => {
+t.test('ConfirmedAge adds the age that a forwarded confirmation already had', async (t) => {
   const age = new ConfirmedAge();
-  age.confirm(at(100), at(150), 700);
-  t.equal(age.computeAgeMs(at(200)), 800);
+  age.confirm(buildReading(100), buildReading(150), 700);
+  t.equal(age.computeAgeMs(buildReading(200)), 800);
 });
 
-t.test('ConfirmedAge is not made older by a late answer to an earlier question', async (t) => {
+t.test('ConfirmedAge ignores a late response to an earlier request', async (t) => {
   const age = new ConfirmedAge();
-  age.confirm(at(500), at(510));
-  age.confirm(at(100), at(520));
-  t.equal(age.computeAgeMs(at(600)), 100);
+  age.confirm(buildReading(500), buildReading(510));
+  age.confirm(buildReading(100), buildReading(520));
+  t.equal(age.computeAgeMs(buildReading(600)), 100);
 });
 
-t.test('ConfirmedAge counts a suspension that the monotonic clock leaves out', async (t) => {
-  // Symptom: a key that was taken away is served long after.
-  // Sequence: the key is confirmed; the machine is suspended for ten seconds; the key
-  // is taken away meanwhile; a call with it comes right after the wake.
-  // Cause: the monotonic clock stood still, so the confirmation looked fresh.
+t.test('ConfirmedAge includes a suspension that the monotonic clock does not count', async (t) => {
+  // Guards against accepting a key long after its revocation. The key is confirmed, then
+  // revoked while the machine is suspended for ten seconds, and used right after the resume.
+  // The monotonic clock stands still meanwhile, so the confirmation looks fresh.
   const age = new ConfirmedAge();
-  age.confirm(at(100, 1_000), at(110, 1_010));
-  t.equal(age.computeAgeMs(at(120, 11_020)), 10_020);
+  age.confirm(buildReading(100, 1_000), buildReading(110, 1_010));
+  t.equal(age.computeAgeMs(buildReading(120, 11_020)), 10_020);
 });
 
 t.test(
-  'ConfirmedAge is never younger than the truth, whatever steps the wall clock takes',
+  'ConfirmedAge never reports less than the true age when the wall clock is stepped',
   async () => {
     const step = fc.record({
       passMs: fc.nat(5_000),
@@ -55,12 +54,12 @@
     fc.assert(
       fc.property(fc.array(step, { maxLength: 30 }), (steps) => {
         const age = new ConfirmedAge();
-        let now = at(0, 1_000_000);
+        let now = buildReading(0, 1_000_000);
         let trueMs = 0;
         let knownAtMs: number | undefined;
         let steppedBackMs = 0;
         const pass = (ms: number, suspendMs: number, wallStepMs: number): void => {
-          now = at(now.steadyMs + ms, now.wallMs + ms + suspendMs + wallStepMs);
+          now = buildReading(now.steadyMs + ms, now.wallMs + ms + suspendMs + wallStepMs);
           trueMs += ms + suspendMs;
           steppedBackMs += Math.max(0, -wallStepMs);
         };
@@ -74,10 +73,10 @@
           knownAtMs = Math.max(knownAtMs ?? 0, askedTrueMs);
         });
         if (knownAtMs === undefined) return age.computeAgeMs(now) === Infinity;
-        // Steps back may hide as much of a suspension, and no more.
+        // A backward step may hide as much of a suspension as its own length, but no more.
         return age.computeAgeMs(now) >= trueMs - knownAtMs - steppedBackMs;
       }),
-      RUNS,
+      RUN_OPTIONS,
     );
   },
 );
--- a/src/domain/freshness/mod.ts
+++ b/src/domain/freshness/mod.ts
@@ -1,6 +1,7 @@
 /**
- * How old knowledge is, over answers, peers and suspensions of the process:
- * `age.confirm(askedAt, now)`, then `age.computeAgeMs(now) < limitMs`.
+ * The age of cached information, whether it came from its source or through peers,
+ * including suspensions of the machine:
+ * `age.confirm(requestedAt, now)`, then `age.computeAgeMs(now) < limitMs`.
  *
  * @module
  */
--- a/src/domain/freshness/moment.ts
+++ b/src/domain/freshness/moment.ts
@@ -1,28 +1,28 @@
 /**
- * Moments that survive a suspension of the process.
+ * Clock readings whose differences include suspensions of the machine.
  *
  * @module
  */
 
-/** One moment on both clocks of this machine. */
+/** A simultaneous reading of both clocks of this machine. */
 export interface Moment {
-  /** Monotonic time in milliseconds; it stands still while the process is suspended. */
+  /** Monotonic time in milliseconds; it stands still while the machine is suspended. */
   readonly steadyMs: number;
-  /** Wall-clock time in milliseconds; it may be stepped in either direction. */
+  /** Wall-clock time in milliseconds; it may be stepped forward or backward. */
   readonly wallMs: number;
 }
 
 /**
- * Computes how much time passed between two moments.
+ * Computes how much time passed between two clock readings.
  *
- * A suspended machine's monotonic clock doesn't count the suspension, so a key
- * that was taken away meanwhile would still look freshly confirmed after the wake.
- * The wall clock does count it, but may be stepped back. Of the two the larger
- * is taken: a step forward makes knowledge look older than it is, which costs a
- * refusal, and never younger.
+ * The monotonic clock doesn't count a suspension of the machine, so a key that was
+ * revoked meanwhile would still look freshly confirmed after the resume. The wall
+ * clock does count it, but may be stepped backward. The larger of both differences
+ * is used: a forward step of the wall clock makes information look older than it is,
+ * which costs a refused request, but never makes it look younger.
  *
- * @param from - the earlier moment
- * @param to - the later moment
+ * @param from - the earlier reading
+ * @param to - the later reading
  * @returns elapsed time in milliseconds, 0 or more
  */
 export function computeElapsedMs(from: Moment, to: Moment): number {
