--- a/src/domain/limits/_fair_targets.ts
+++ b/src/domain/limits/_fair_targets.ts
@@ -1,29 +1,29 @@
 /**
- * Divides room by demand.
+ * Max-min fair division of a capacity.
  *
  * @module
  */
 
 /**
- * Computes max-min fair parts: nobody gets more than it demands while another
- * is short, and what all demands leave over is split evenly.
+ * Computes max-min fair shares: no consumer gets more than its demand while the
+ * demand of another one is unmet. Capacity beyond all demands is split evenly.
  *
- * @param room - what there is
- * @param demands - what each one demands
- * @returns each one's part; together exactly the room, or nothing if there is none
+ * @param available - the capacity to divide; a negative one counts as 0
+ * @param demands - the demand of each consumer by ID
+ * @returns the share of each consumer; the sum is exactly the available capacity
  */
-export function computeFairTargets(
-  room: number,
+export function computeMaxMinShares(
+  available: number,
   demands: ReadonlyMap<string, number>,
 ): ReadonlyMap<string, number> {
-  const parts = new Map<string, number>();
+  const shares = new Map<string, number>();
   const sorted = [...demands].sort(([, a], [, b]) => a - b);
-  let left = Math.max(0, room);
+  let remaining = Math.max(0, available);
   sorted.forEach(([id, demand], index) => {
-    const part = Math.min(demand, left / (sorted.length - index));
-    parts.set(id, part);
-    left -= part;
+    const share = Math.min(demand, remaining / (sorted.length - index));
+    shares.set(id, share);
+    remaining -= share;
   });
-  parts.forEach((part, id) => parts.set(id, part + left / parts.size));
-  return parts;
+  shares.forEach((share, id) => shares.set(id, share + remaining / shares.size));
+  return shares;
 }
--- a/src/domain/limits/_ledger_entry.ts
+++ b/src/domain/limits/_ledger_entry.ts
@@ -1,40 +1,40 @@
 /**
- * What the allowance home knows of one entry host.
+ * The allowance lender's record of one entry host and its leases.
  *
  * @module
  */
-import { HOLD_FACTOR } from './lease_times.js';
+import { RESTRICTION_DURATION_FACTOR } from './lease_times.js';
 import { buildShare, LimitKind } from './share.js';
 import type { AllowanceShare } from './share.js';
 
-/** A lease that was sent. */
+/** A lease that was sent to the entry host. */
 interface SentLease {
-  readonly number: number;
+  readonly leaseNumber: number;
   readonly share: AllowanceShare;
   readonly sentAtMs: number;
 }
 
-/** Unconfirmed leases whose permission has ended are kept as one beyond this count. */
-const MAX_UNCONFIRMED = 8;
+/** Number of unconfirmed leases from which on the expired ones among them are merged into one. */
+const MAX_UNCONFIRMED_LEASES = 8;
 
-const NOTHING = buildShare(() => 0);
+const ZERO_SHARE = buildShare(() => 0);
 
-/** Counts every lease that one entry host may be acting on. */
+/** Tracks every lease that one entry host may still be acting on. */
 export class LedgerEntry {
-  /** Demand of its last request. */
-  demand: AllowanceShare = NOTHING;
+  /** Demand that its last request reported. */
+  demand: AllowanceShare = ZERO_SHARE;
 
-  /** When it last asked, in milliseconds. */
-  askedAtMs = -Infinity;
+  /** When it last requested a lease, in milliseconds. */
+  requestedAtMs = -Infinity;
 
-  /** When anything last came from it, in milliseconds. */
-  heardAtMs = -Infinity;
+  /** When its last message of any kind arrived, in milliseconds. */
+  lastHeardAtMs = -Infinity;
 
   /** Number of its last request. */
   requestNumber = 0;
 
-  /** Share that was last sent. */
-  lastShare: AllowanceShare = NOTHING;
+  /** Share of the lease that was last sent. */
+  lastShare: AllowanceShare = ZERO_SHARE;
 
   /** When a lease was last sent, in milliseconds. */
   lastSentAtMs = -Infinity;
@@ -46,91 +46,95 @@
   #maxRunning = 0;
 
   /**
-   * @param incarnation - whose leases
-   * @param lifeMs - life of a lease in milliseconds
+   * @param incarnation - the incarnation of the entry host that holds the leases
+   * @param leaseDurationMs - duration of a lease in milliseconds
    */
   constructor(
     readonly incarnation: string,
-    readonly lifeMs: number,
+    readonly leaseDurationMs: number,
   ) {}
 
-  /** Notes a lease that is being sent. */
-  noteSent(number: number, share: AllowanceShare, nowMs: number): void {
-    this.#mergeUnconfirmed(nowMs);
-    this.#unconfirmed.push({ number, share, sentAtMs: nowMs });
+  /** Records a lease that is being sent. */
+  recordSentLease(leaseNumber: number, share: AllowanceShare, nowMs: number): void {
+    this.#mergeExpiredLeases(nowMs);
+    this.#unconfirmed.push({ leaseNumber, share, sentAtMs: nowMs });
     this.#maxRunning = Math.max(this.#maxRunning, share.inFlight);
     this.lastShare = share;
     this.lastSentAtMs = nowMs;
   }
 
   /**
-   * Takes in which lease it holds, and how many requests it has in flight. The
-   * count may have grown since, up to any lease that it may still act on.
+   * Records which lease the entry host holds and how many requests it has in flight.
+   * That number may have grown since the report was sent, up to the highest limit of
+   * any lease that the entry host may still be acting on.
    */
-  noteReport(heldLease: number, running: number, nowMs: number): void {
-    const held = this.#unconfirmed.find((lease) => lease.number === heldLease);
-    if (held) {
-      this.#confirmed = held;
-      this.#unconfirmed = this.#unconfirmed.filter((lease) => lease.number > heldLease);
+  recordReport(heldLease: number, running: number, nowMs: number): void {
+    const confirmed = this.#unconfirmed.find((lease) => lease.leaseNumber === heldLease);
+    if (confirmed) {
+      this.#confirmed = confirmed;
+      this.#unconfirmed = this.#unconfirmed.filter((lease) => lease.leaseNumber > heldLease);
     }
-    this.heardAtMs = nowMs;
-    this.#maxRunning = Math.max(running, this.#computeLent(LimitKind.InFlight, 0, nowMs));
+    this.lastHeardAtMs = nowMs;
+    this.#maxRunning = Math.max(running, this.#computeLeasedMax(LimitKind.InFlight, 0, nowMs));
   }
 
-  /** @returns the most that it may use at any moment of the coming lease life */
-  computeUse(kind: LimitKind, base: number, nowMs: number): number {
-    const lent = this.#computeLent(kind, base, nowMs);
-    return this.isBound(nowMs) ? lent : Math.max(lent, base);
+  /** @returns the maximum that it may use at any time during the next lease duration */
+  computeMaxUse(kind: LimitKind, base: number, nowMs: number): number {
+    const leasedMax = this.#computeLeasedMax(kind, base, nowMs);
+    return this.isRestricted(nowMs) ? leasedMax : Math.max(leasedMax, base);
   }
 
-  /** @returns what has to be kept for it: its use, or what it has in flight already */
+  /** @returns what must be reserved for it: its maximum use, or its in-flight count if higher */
   computeReserve(kind: LimitKind, base: number, nowMs: number): number {
-    const use = this.computeUse(kind, base, nowMs);
-    return kind === LimitKind.InFlight ? Math.max(use, this.#maxRunning) : use;
+    const maxUse = this.computeMaxUse(kind, base, nowMs);
+    return kind === LimitKind.InFlight ? Math.max(maxUse, this.#maxRunning) : maxUse;
   }
 
-  /** @returns what it may use through the whole coming lease life, whatever is sent now */
-  computeSure(kind: LimitKind, base: number, nowMs: number): number {
+  /** @returns what it may use throughout the next lease duration, whatever lease is sent now */
+  computeGuaranteed(kind: LimitKind, base: number, nowMs: number): number {
     const confirmed = this.#confirmed;
-    return confirmed && this.isBound(nowMs) ? Math.min(confirmed.share[kind], base) : base;
+    return confirmed && this.isRestricted(nowMs) ? Math.min(confirmed.share[kind], base) : base;
   }
 
-  /** @returns whether a confirmed lease restricts it for the whole coming lease life */
-  isBound(nowMs: number): boolean {
+  /** @returns whether a confirmed lease restricts it throughout the next lease duration */
+  isRestricted(nowMs: number): boolean {
     const confirmed = this.#confirmed;
     return (
       confirmed !== undefined &&
-      confirmed.sentAtMs + HOLD_FACTOR * this.lifeMs >= nowMs + this.lifeMs
+      confirmed.sentAtMs + RESTRICTION_DURATION_FACTOR * this.leaseDurationMs >=
+        nowMs + this.leaseDurationMs
     );
   }
 
-  /** Forgets what it had in flight: it was silent for longer than any request lasts. */
-  expireRunning(): void {
+  /** Clears its in-flight count, after a silence longer than any request can run. */
+  resetRunning(): void {
     this.#maxRunning = 0;
   }
 
-  /** @returns whether a lease may still permit something */
-  isLent(nowMs: number): boolean {
-    return this.lastSentAtMs + this.lifeMs > nowMs;
+  /** @returns whether the lease that was last sent may still be active */
+  hasActiveLease(nowMs: number): boolean {
+    return this.lastSentAtMs + this.leaseDurationMs > nowMs;
   }
 
-  #computeLent(kind: LimitKind, base: number, nowMs: number): number {
+  #computeLeasedMax(kind: LimitKind, base: number, nowMs: number): number {
     const leases = this.#confirmed ? [this.#confirmed, ...this.#unconfirmed] : this.#unconfirmed;
-    return leases.reduce((most, lease) => {
-      const permits = lease.sentAtMs + this.lifeMs > nowMs;
-      const use = permits ? lease.share[kind] : Math.min(lease.share[kind], base);
-      return Math.max(most, use);
+    return leases.reduce((max, lease) => {
+      const isActive = lease.sentAtMs + this.leaseDurationMs > nowMs;
+      const use = isActive ? lease.share[kind] : Math.min(lease.share[kind], base);
+      return Math.max(max, use);
     }, 0);
   }
 
-  /** Keeps the list short where leases arrive and confirmations don't. */
-  #mergeUnconfirmed(nowMs: number): void {
-    if (this.#unconfirmed.length < MAX_UNCONFIRMED) return;
-    const lent = this.#unconfirmed.filter((lease) => lease.sentAtMs + this.lifeMs > nowMs);
-    const ended = this.#unconfirmed.filter((lease) => !lent.includes(lease));
-    const last = ended.at(-1);
-    if (!last) return;
-    const share = buildShare((kind) => Math.max(...ended.map((lease) => lease.share[kind])));
-    this.#unconfirmed = [{ ...last, share }, ...lent];
+  /** Bounds the list of unconfirmed leases when leases are sent but not confirmed. */
+  #mergeExpiredLeases(nowMs: number): void {
+    if (this.#unconfirmed.length < MAX_UNCONFIRMED_LEASES) return;
+    const active = this.#unconfirmed.filter(
+      (lease) => lease.sentAtMs + this.leaseDurationMs > nowMs,
+    );
+    const expired = this.#unconfirmed.filter((lease) => !active.includes(lease));
+    const newestExpired = expired.at(-1);
+    if (!newestExpired) return;
+    const share = buildShare((kind) => Math.max(...expired.map((lease) => lease.share[kind])));
+    this.#unconfirmed = [{ ...newestExpired, share }, ...active];
   }
 }
--- a/src/domain/limits/allowance_home.ts
+++ b/src/domain/limits/allowance_home.ts
@@ -1,18 +1,18 @@
 /**
- * Which entry host lends out an account's allowance.
+ * Choice of the entry host that lends an account's allowance.
  *
  * @module
  */
 import { pickByRendezvous } from '../membership/mod.js';
 
 /**
- * Picks the entry host that lends out an account's allowance. It is picked from
- * the host list and not from the live entry hosts: in a partition both sides
- * would otherwise have one, and each would lend out the whole limit.
+ * Picks the entry host that lends an account's allowance. The candidates are the
+ * host list instead of the live entry hosts: otherwise each side of a network
+ * partition would pick its own lender, and each of them would lend the whole limit.
  *
- * @param accountId - which account
- * @param listedIds - IDs of the host list
- * @returns the ID; undefined for an empty list
+ * @param accountId - ID of the account
+ * @param listedIds - IDs of the entry hosts on the host list
+ * @returns the ID of the lender; undefined for an empty list
  */
 export function pickAllowanceHome(
   accountId: string,
--- a/src/domain/limits/allowance_ledger.ts
+++ b/src/domain/limits/allowance_ledger.ts
@@ -1,265 +1,271 @@
 /**
- * The lender's side of one account's limits.
+ * The ledger by which one entry host lends shares of an account's limits.
  *
  * @module
  */
 import type { AccountLimits } from '../contracts/types.js';
-import { computeFairTargets } from './_fair_targets.js';
+import { computeMaxMinShares } from './_fair_targets.js';
 import { LedgerEntry } from './_ledger_entry.js';
 import type { DemandReport, LedgerContext, LedgerGrant } from './ledger_types.js';
 import { ACK_REQUEST_NUMBER, LEASE_LIFE_MS } from './lease_times.js';
 import { buildShare, listBaseShares, computeFloorShare, LIMIT_KINDS, LimitKind } from './share.js';
 import type { AllowanceShare } from './share.js';
 
-/** Room above the measured demand, so that a growing demand isn't refused. */
-const HEADROOM = 1.25;
+/** Factor on the measured demand, so that requests of a growing demand aren't refused. */
+const DEMAND_HEADROOM_FACTOR = 1.25;
 
-/** A share that differs by less than this factor is not sent unasked. */
-const WORTHWHILE_FACTOR = 1.05;
+/** Smallest relative change of a share for which a lease is sent without a request. */
+const MIN_CHANGE_FACTOR = 1.05;
 
-/** Lives after which an entry host that doesn't ask has no demand any more. */
-const DEMAND_LIVES = 1;
+/** Lease durations without a request after which an entry host has no demand. */
+const DEMAND_EXPIRY_LEASES = 1;
 
-/** A restriction is renewed after this part of a life, an urgent change after the other. */
-const RENEW_LIVES = 1 / 2;
-const CHANGE_LIVES = 1 / 16;
+/** Age, in lease durations, from which a lease that restricts a host without demand is renewed. */
+const RENEWAL_FRACTION = 1 / 2;
+/** Age, in lease durations, before which no lease is replaced without a request. */
+const RESEND_FRACTION = 1 / 16;
 
-const UNLISTED = buildShare(() => 0);
+const ZERO_SHARE = buildShare(() => 0);
 
-interface KnownBases {
+/** Base shares and the inputs from which they were computed. */
+interface CachedBaseShares {
   readonly limits: AccountLimits;
   readonly listedIds: readonly string[];
   readonly shares: ReadonlyMap<string, AllowanceShare>;
 }
 
-/** How a ledger starts. */
+/** Options of {@link AllowanceLedger}. */
 export interface AllowanceLedgerOptions {
   readonly accountId: string;
   /**
-   * Until when nothing is lent, in milliseconds: leases of an earlier home, or
-   * of an earlier incarnation of this one, may be out until then.
+   * Monotonic time in milliseconds before which nothing is lent, since leases of a
+   * previous lender, or of a previous incarnation of this one, may still be active.
    */
   readonly quietUntilMs: number;
   /**
-   * Numbers the leases. The numbers must rise from one ledger of a process to
-   * the next, or a borrower would take a new lease for an old one.
+   * Returns the next lease number. Numbers must also increase from one ledger of a
+   * process to the next, or a borrower would mistake a new lease for an old one.
    */
   readonly nextLeaseNumber: () => number;
-  /** Life of a lease in milliseconds. Default: {@link LEASE_LIFE_MS}. */
+  /** Duration of a lease in milliseconds. Default: {@link LEASE_LIFE_MS}. */
   readonly lifeMs?: number;
 }
 
 /**
- * Lends out what listed entry hosts don't use of an account's limits.
+ * Lends what listed entry hosts don't use of an account's limits.
  *
- * At every moment the shares that all entry hosts may be acting on, whichever
- * messages were lost or late, add up to the limits at most: an entry host
- * counts with its base share, unless it has confirmed a lower lease that binds
- * it for longer than what is lent out instead.
+ * Invariant: at any time, the shares that all entry hosts may be acting on sum to
+ * no more than the limits, even if messages are lost or late. An entry host counts
+ * with its base share, unless it has confirmed a lower lease that restricts it for
+ * longer than the freed part is lent to others.
  */
 export class AllowanceLedger {
   readonly #accountId: string;
 
-  readonly #quietUntilMs: number;
+  readonly #lendingStartsAtMs: number;
 
-  readonly #lifeMs: number;
+  readonly #leaseMs: number;
 
   readonly #entries = new Map<string, LedgerEntry>();
 
   readonly #nextLeaseNumber: () => number;
 
-  #bases: KnownBases | undefined;
+  #baseShares: CachedBaseShares | undefined;
 
-  #lastAskedMs = -Infinity;
+  #lastRequestAtMs = -Infinity;
 
-  /** @param options - how it starts */
+  /** @param options - the account, the start of lending, the lease numbers and duration */
   constructor(options: AllowanceLedgerOptions) {
     this.#accountId = options.accountId;
-    this.#quietUntilMs = options.quietUntilMs;
+    this.#lendingStartsAtMs = options.quietUntilMs;
     this.#nextLeaseNumber = options.nextLeaseNumber;
-    this.#lifeMs = options.lifeMs ?? LEASE_LIFE_MS;
+    this.#leaseMs = options.lifeMs ?? LEASE_LIFE_MS;
   }
 
   /**
-   * Takes in what an entry host tells.
+   * Records a report of an entry host.
    *
-   * @param report - its demand and the lease that it holds
+   * @param report - the host's demand and the lease that it holds
    * @param nowMs - monotonic time in milliseconds
    */
   record(report: DemandReport, nowMs: number): void {
-    const entry = this.#openEntry(report.entryHostId, report.incarnation);
-    entry.noteReport(report.heldLease, report.running, nowMs);
+    const entry = this.#getOrCreateEntry(report.entryHostId, report.incarnation);
+    entry.recordReport(report.heldLease, report.running, nowMs);
     if (report.requestNumber === ACK_REQUEST_NUMBER) return;
     entry.demand = report.demand;
-    entry.askedAtMs = nowMs;
+    entry.requestedAtMs = nowMs;
     entry.requestNumber = report.requestNumber;
-    this.#lastAskedMs = nowMs;
+    this.#lastRequestAtMs = nowMs;
   }
 
   /**
    * Lends a share to one entry host.
    *
-   * @param entryHostId - to which
-   * @param context - what holds now
-   * @returns the lease; undefined where nothing can be lent, and its base share holds
+   * @param entryHostId - ID of the borrower
+   * @param context - the present limits, hosts and time
+   * @returns the lease; undefined if nothing can be lent and the base share applies
    */
   grant(entryHostId: string, context: LedgerContext): LedgerGrant | undefined {
     const { nowMs } = context;
     const incarnation = this.#pickIncarnation(entryHostId, context);
-    const isLendable = nowMs >= this.#quietUntilMs && context.listedIds.includes(entryHostId);
+    const isLendable = nowMs >= this.#lendingStartsAtMs && context.listedIds.includes(entryHostId);
     if (!isLendable || incarnation === undefined) return undefined;
-    const entry = this.#openEntry(entryHostId, incarnation);
-    const share = this.#computeGrant(
+    const entry = this.#getOrCreateEntry(entryHostId, incarnation);
+    const share = this.#computeGrantShare(
       entryHostId,
       this.#computeTargets(context).get(entryHostId),
-      this.#computeReserved(context),
+      this.#computeTotalReserve(context),
       context,
     );
     const leaseNumber = this.#nextLeaseNumber();
-    entry.noteSent(leaseNumber, share, nowMs);
+    entry.recordSentLease(leaseNumber, share, nowMs);
     return {
       entryHostId,
       incarnation,
       leaseNumber,
       requestNumber: entry.requestNumber,
       share,
-      validMs: this.#lifeMs,
+      validMs: this.#leaseMs,
     };
   }
 
   /**
-   * Lists entry hosts that should get a lease without asking: those whose room
-   * others need, and those that can get more than they were lent.
+   * Lists the entry hosts to which a lease should be sent without a request: those
+   * that must give up capacity for others, and those that can get more than before.
    *
-   * @param context - what holds now
-   * @returns their IDs
+   * @param context - the present limits, hosts and time
+   * @returns the IDs of the entry hosts
    */
   listDue(context: LedgerContext): readonly string[] {
-    if (context.nowMs < this.#quietUntilMs || !this.#isPressed(context)) return [];
+    if (context.nowMs < this.#lendingStartsAtMs || !this.#hasUnmetDemand(context)) return [];
     const targets = this.#computeTargets(context);
     const ids = context.listedIds.filter((id) => context.reachable.has(id));
-    const reserved = this.#computeReserved(context);
-    return ids.filter((id) => this.#isDue(id, targets.get(id), reserved, context));
+    const reserved = this.#computeTotalReserve(context);
+    return ids.filter((id) => this.#isLeaseDue(id, targets.get(id), reserved, context));
   }
 
   /**
-   * @param context - what holds now
-   * @returns whether the ledger may be dropped: nothing is lent and nobody asks
+   * @param context - the present limits, hosts and time
+   * @returns whether the ledger may be dropped: no lease is active and no host requests one
    */
   isIdle(context: LedgerContext): boolean {
-    this.#expireRunning(context);
+    this.#resetSilentEntries(context);
     const { nowMs } = context;
-    if (nowMs - this.#lastAskedMs < 2 * this.#lifeMs) return false;
+    if (nowMs - this.#lastRequestAtMs < 2 * this.#leaseMs) return false;
     return [...this.#entries].every(([id, entry]) => {
-      const base = this.#getBase(id, context).inFlight;
+      const base = this.#getBaseShare(id, context).inFlight;
       const reserve = entry.computeReserve(LimitKind.InFlight, base, nowMs);
-      return !entry.isLent(nowMs) && reserve <= base;
+      return !entry.hasActiveLease(nowMs) && reserve <= base;
     });
   }
 
-  /** The one that spoke last; after a silence the one that membership names. */
+  /** Picks the incarnation that reported last; after a silence, that known to membership. */
   #pickIncarnation(id: string, context: LedgerContext): string | undefined {
     const entry = this.#entries.get(id);
-    const isHeard = entry !== undefined && context.nowMs - entry.heardAtMs < this.#lifeMs;
+    const isHeard = entry !== undefined && context.nowMs - entry.lastHeardAtMs < this.#leaseMs;
     return isHeard ? entry.incarnation : (context.reachable.get(id) ?? entry?.incarnation);
   }
 
-  #openEntry(id: string, incarnation: string): LedgerEntry {
-    const known = this.#entries.get(id);
-    if (known?.incarnation === incarnation) return known;
-    const entry = new LedgerEntry(incarnation, this.#lifeMs);
+  #getOrCreateEntry(id: string, incarnation: string): LedgerEntry {
+    const existing = this.#entries.get(id);
+    if (existing?.incarnation === incarnation) return existing;
+    const entry = new LedgerEntry(incarnation, this.#leaseMs);
     this.#entries.set(id, entry);
     return entry;
   }
 
-  /** Base shares change with the host list and the contract alone; they are kept until then. */
-  #getBase(id: string, context: LedgerContext): AllowanceShare {
+  /** Returns a base share; all of them are cached until the limits or the host list change. */
+  #getBaseShare(id: string, context: LedgerContext): AllowanceShare {
     const { limits, listedIds } = context;
-    if (this.#bases?.limits !== limits || this.#bases.listedIds !== listedIds) {
+    if (this.#baseShares?.limits !== limits || this.#baseShares.listedIds !== listedIds) {
       const shares = listBaseShares(limits, this.#accountId, listedIds);
-      this.#bases = { limits, listedIds, shares };
+      this.#baseShares = { limits, listedIds, shares };
     }
-    return this.#bases.shares.get(id) ?? UNLISTED;
+    return this.#baseShares.shares.get(id) ?? ZERO_SHARE;
   }
 
-  #isActive(id: string, nowMs: number): boolean {
+  #hasDemand(id: string, nowMs: number): boolean {
     const entry = this.#entries.get(id);
-    if (!entry || nowMs - entry.askedAtMs > DEMAND_LIVES * this.#lifeMs) return false;
+    if (!entry || nowMs - entry.requestedAtMs > DEMAND_EXPIRY_LEASES * this.#leaseMs) return false;
     return LIMIT_KINDS.some((kind) => entry.demand[kind] > 0);
   }
 
-  /** Whether anybody demands more than holds without a lease. */
-  #isPressed(context: LedgerContext): boolean {
+  /** Checks whether the demand of any entry host, headroom included, exceeds its base share. */
+  #hasUnmetDemand(context: LedgerContext): boolean {
     return context.listedIds.some((id) => {
-      if (!this.#isActive(id, context.nowMs)) return false;
-      const base = this.#getBase(id, context);
+      if (!this.#hasDemand(id, context.nowMs)) return false;
+      const base = this.#getBaseShare(id, context);
       const demand = this.#entries.get(id)?.demand;
-      return LIMIT_KINDS.some((kind) => (demand?.[kind] ?? 0) * HEADROOM > base[kind]);
+      return LIMIT_KINDS.some(
+        (kind) => (demand?.[kind] ?? 0) * DEMAND_HEADROOM_FACTOR > base[kind],
+      );
     });
   }
 
-  /** What each listed entry host should have in the end. */
+  /** Computes the share that each listed entry host should eventually have. */
   #computeTargets(context: LedgerContext): ReadonlyMap<string, AllowanceShare> {
     const { listedIds, reachable, nowMs } = context;
-    const bases = new Map(listedIds.map((id) => [id, this.#getBase(id, context)]));
+    const baseShares = new Map(listedIds.map((id) => [id, this.#getBaseShare(id, context)]));
     const floor = computeFloorShare(context.limits, listedIds.length);
-    const kept = new Map([...bases].map(([id, base]) => [id, reachable.has(id) ? floor : base]));
-    const active = listedIds.filter((id) => reachable.has(id) && this.#isActive(id, nowMs));
-    const parts = (kind: LimitKind): ReadonlyMap<string, number> => {
-      const room = [...kept.values()].reduce(
+    const reservedShares = new Map(
+      [...baseShares].map(([id, base]) => [id, reachable.has(id) ? floor : base]),
+    );
+    const demandingIds = listedIds.filter((id) => reachable.has(id) && this.#hasDemand(id, nowMs));
+    const computeExtraShares = (kind: LimitKind): ReadonlyMap<string, number> => {
+      const available = [...reservedShares.values()].reduce(
         (rest, share) => rest - share[kind],
         context.limits[kind],
       );
-      const demands = active.map((id): [string, number] => {
-        const wanted = (this.#entries.get(id)?.demand[kind] ?? 0) * HEADROOM;
-        return [id, Math.max(0, wanted - (kept.get(id)?.[kind] ?? 0))];
+      const demands = demandingIds.map((id): [string, number] => {
+        const paddedDemand = (this.#entries.get(id)?.demand[kind] ?? 0) * DEMAND_HEADROOM_FACTOR;
+        return [id, Math.max(0, paddedDemand - (reservedShares.get(id)?.[kind] ?? 0))];
       });
-      return computeFairTargets(room, new Map(demands));
+      return computeMaxMinShares(available, new Map(demands));
     };
-    const partsByKind = new Map(LIMIT_KINDS.map((kind) => [kind, parts(kind)]));
+    const extraSharesByKind = new Map(LIMIT_KINDS.map((kind) => [kind, computeExtraShares(kind)]));
     return new Map(
-      [...kept].map(([id, share]) => [
+      [...reservedShares].map(([id, share]) => [
         id,
         buildShare((kind) => {
-          const target = share[kind] + (partsByKind.get(kind)?.get(id) ?? 0);
+          const target = share[kind] + (extraSharesByKind.get(kind)?.get(id) ?? 0);
           return kind === LimitKind.InFlight ? Math.floor(target) : target;
         }),
       ]),
     );
   }
 
-  #computeGrant(
+  #computeGrantShare(
     id: string,
     target: AllowanceShare | undefined,
     reserved: AllowanceShare,
     context: LedgerContext,
   ): AllowanceShare {
-    const base = this.#getBase(id, context);
+    const base = this.#getBaseShare(id, context);
     const entry = this.#entries.get(id);
     return buildShare((kind) => {
-      const own = this.#computeReserve(id, kind, context);
-      const room = context.limits[kind] - (reserved[kind] - own);
-      const sure = entry?.computeSure(kind, base[kind], context.nowMs) ?? base[kind];
-      return Math.min(target?.[kind] ?? 0, Math.max(room, sure, 0));
+      const ownReserve = this.#computeReserve(id, kind, context);
+      const available = context.limits[kind] - (reserved[kind] - ownReserve);
+      const guaranteed = entry?.computeGuaranteed(kind, base[kind], context.nowMs) ?? base[kind];
+      return Math.min(target?.[kind] ?? 0, Math.max(available, guaranteed, 0));
     });
   }
 
-  /** What one entry host may be using during the coming lease life. */
+  /** Computes what one entry host may use during the next lease duration. */
   #computeReserve(id: string, kind: LimitKind, context: LedgerContext): number {
-    const base = this.#getBase(id, context)[kind];
+    const base = this.#getBaseShare(id, context)[kind];
     return this.#entries.get(id)?.computeReserve(kind, base, context.nowMs) ?? base;
   }
 
-  /** What all together may be using during the coming lease life. */
-  #computeReserved(context: LedgerContext): AllowanceShare {
-    this.#expireRunning(context);
+  /** Computes what all entry hosts together may use during the next lease duration. */
+  #computeTotalReserve(context: LedgerContext): AllowanceShare {
+    this.#resetSilentEntries(context);
     const ids = [...new Set([...context.listedIds, ...this.#entries.keys()])];
     return buildShare((kind) =>
       ids.reduce((sum, id) => sum + this.#computeReserve(id, kind, context), 0),
     );
   }
 
-  #isDue(
+  #isLeaseDue(
     id: string,
     target: AllowanceShare | undefined,
     reserved: AllowanceShare,
@@ -269,22 +275,22 @@
     const entry = this.#entries.get(id);
     if (!entry || !target) return true;
     const ageMs = nowMs - entry.lastSentAtMs;
-    if (ageMs < CHANGE_LIVES * this.#lifeMs) return false;
-    if (ageMs >= RENEW_LIVES * this.#lifeMs && !this.#isActive(id, nowMs)) return true;
-    const base = this.#getBase(id, context);
-    const next = this.#computeGrant(id, target, reserved, context);
+    if (ageMs < RESEND_FRACTION * this.#leaseMs) return false;
+    if (ageMs >= RENEWAL_FRACTION * this.#leaseMs && !this.#hasDemand(id, nowMs)) return true;
+    const base = this.#getBaseShare(id, context);
+    const next = this.#computeGrantShare(id, target, reserved, context);
     return LIMIT_KINDS.some((kind) => {
-      const use = entry.computeUse(kind, base[kind], nowMs);
-      const mustShrink = use > target[kind] * WORTHWHILE_FACTOR;
+      const maxUse = entry.computeMaxUse(kind, base[kind], nowMs);
+      const mustShrink = maxUse > target[kind] * MIN_CHANGE_FACTOR;
       const mayGrow =
-        this.#isActive(id, nowMs) && next[kind] > entry.lastShare[kind] * WORTHWHILE_FACTOR;
+        this.#hasDemand(id, nowMs) && next[kind] > entry.lastShare[kind] * MIN_CHANGE_FACTOR;
       return mustShrink || mayGrow;
     });
   }
 
-  #expireRunning(context: LedgerContext): void {
+  #resetSilentEntries(context: LedgerContext): void {
     this.#entries.forEach((entry) => {
-      if (context.nowMs - entry.heardAtMs > context.maxRunMs) entry.expireRunning();
+      if (context.nowMs - entry.lastHeardAtMs > context.maxRunMs) entry.resetRunning();
     });
   }
 }
--- a/src/domain/limits/allowance_ledger_test.ts
+++ b/src/domain/limits/allowance_ledger_test.ts
@@ -10,13 +10,13 @@
   LIMIT_KINDS,
   LimitKind,
 } from './mod.js';
-import type { AllowanceShare, LedgerGrant } from './mod.js';
+import type { AllowanceShare, LedgerContext, LedgerGrant } from './mod.js';
 
 const ACCOUNT_ID = 'firm-a';
 const STEP_MS = 50;
 const STEPS = 600;
 const NUM_RUNS = 50;
-const ROUNDING = 1e-6;
+const ROUNDING_TOLERANCE = 1e-6;
 
 interface Borrower {
   readonly id: string;
@@ -33,7 +33,7 @@
   readonly restartEverySteps: number;
 }
 
-const RUN: fc.Arbitrary<Run> = fc.record({
+const RUN_ARBITRARY: fc.Arbitrary<Run> = fc.record({
   seed: fc.nat(1_000_000),
   count: fc.integer({ min: 1, max: 8 }),
   limits: fc.record({
@@ -46,8 +46,8 @@
   restartEverySteps: fc.constantFrom(STEPS + 1, 70, 130),
 });
 
-/** Entry hosts that borrow from one ledger over a bad network; rates alone. */
-class Borrowers {
+/** Simulates entry hosts that borrow from one ledger over a lossy network, without requests. */
+class LeaseSimulation {
   readonly borrowers: readonly Borrower[];
 
   readonly ids: readonly string[];
@@ -56,11 +56,11 @@
 
   #ledger: AllowanceLedger;
 
-  #home = 1;
+  #lenderIncarnation = 1;
 
-  #lastRequest = 0;
+  #lastRequestNumber = 0;
 
-  #lastLease = 0;
+  #lastLeaseNumber = 0;
 
   #messages: { readonly atMs: number; readonly deliver: () => void }[] = [];
 
@@ -76,14 +76,14 @@
       holder: new LeaseHolder(),
       base: computeBaseShare(run.limits, ACCOUNT_ID, id, this.ids),
     }));
-    this.#ledger = this.#openLedger(0);
+    this.#ledger = this.#createLedger(0);
   }
 
-  /** The home dies and comes back: it knows of no lease. */
-  startHome(): void {
-    this.#home += 1;
-    this.#lastLease = 0;
-    this.#ledger = this.#openLedger(this.nowMs + LEASE_LIFE_MS);
+  /** Restarts the lender, which then knows no leases. */
+  restartLender(): void {
+    this.#lenderIncarnation += 1;
+    this.#lastLeaseNumber = 0;
+    this.#ledger = this.#createLedger(this.nowMs + LEASE_LIFE_MS);
   }
 
   runStep(): void {
@@ -95,23 +95,23 @@
       if (this.#random.nextFraction() < 0.02) this.#changeDemand(borrower.id);
       if (this.#random.nextFraction() < 0.1) this.#sendRequest(borrower);
     });
-    this.#sendDue();
+    this.#sendDueLeases();
   }
 
-  /** Parts of a limit that each may use now. */
-  listParts(kind: LimitKind): readonly number[] {
+  /** Lists the fraction of a limit that each entry host may use now. */
+  listFractions(kind: LimitKind): readonly number[] {
     return this.borrowers.map(
       ({ holder, base }) => holder.computeShare(base, this.nowMs)[kind] / this.run.limits[kind],
     );
   }
 
-  #openLedger(quietUntilMs: number): AllowanceLedger {
+  #createLedger(quietUntilMs: number): AllowanceLedger {
     return new AllowanceLedger({
       accountId: ACCOUNT_ID,
       quietUntilMs,
       nextLeaseNumber: () => {
-        this.#lastLease += 1;
-        return this.#lastLease;
+        this.#lastLeaseNumber += 1;
+        return this.#lastLeaseNumber;
       },
     });
   }
@@ -123,20 +123,20 @@
   }
 
   #sendRequest(borrower: Borrower): void {
-    this.#lastRequest += 1;
-    const requestNumber = this.#lastRequest;
-    const home = String(this.#home);
+    this.#lastRequestNumber += 1;
+    const requestNumber = this.#lastRequestNumber;
+    const lenderIncarnation = String(this.#lenderIncarnation);
     borrower.holder.noteRequest(requestNumber, this.nowMs);
     const report = {
       entryHostId: borrower.id,
       incarnation: borrower.id,
       requestNumber,
-      heldLease: borrower.holder.getHeldNumber(home),
+      heldLease: borrower.holder.getHeldNumber(lenderIncarnation),
       demand: this.#demands.get(borrower.id) ?? buildShare(() => 0),
       running: 0,
     };
     this.#send(() => {
-      if (home !== String(this.#home)) return;
+      if (lenderIncarnation !== String(this.#lenderIncarnation)) return;
       this.#ledger.record(report, this.nowMs);
       this.#sendLease(borrower, this.#grant(borrower.id));
     });
@@ -146,7 +146,7 @@
     return this.#ledger.grant(id, this.#buildContext());
   }
 
-  #sendDue(): void {
+  #sendDueLeases(): void {
     this.#ledger.listDue(this.#buildContext()).forEach((id) => {
       const borrower = this.borrowers.find((one) => one.id === id);
       if (borrower) this.#sendLease(borrower, this.#grant(id));
@@ -155,11 +155,11 @@
 
   #sendLease(borrower: Borrower, grant: LedgerGrant | undefined): void {
     if (!grant) return;
-    const lease = { ...grant, home: String(this.#home) };
+    const lease = { ...grant, home: String(this.#lenderIncarnation) };
     this.#send(() => borrower.holder.accept(lease, this.nowMs));
   }
 
-  #buildContext(): Parameters<AllowanceLedger['grant']>[1] {
+  #buildContext(): LedgerContext {
     return {
       limits: this.run.limits,
       listedIds: this.ids,
@@ -177,20 +177,21 @@
 }
 
 interface Peak {
+  /** Largest sum of all shares, as a fraction of the limit. */
   readonly sum: number;
-  /** Largest share of one of 8 entry hosts. */
-  readonly lent: number;
+  /** Largest share of one of 8 entry hosts, as a fraction of the limit. */
+  readonly largestShare: number;
 }
 
-/** Throws when more is in use than the limit. */
-function checkParts(borrowers: Borrowers): Peak {
+/** Throws if the shares in use exceed a limit. */
+function checkTotalUse(simulation: LeaseSimulation): Peak {
   const peaks = LIMIT_KINDS.map((kind) => {
-    const parts = borrowers.listParts(kind);
-    const sum = parts.reduce((total, part) => total + part, 0);
-    if (sum > 1 + ROUNDING)
-      throw new Error(`Shares of ${kind} add up to ${sum} at ${borrowers.nowMs} ms`);
-    const isLending = parts.length === 8 && kind === LimitKind.Requests;
-    return { sum, lent: isLending ? Math.max(...parts) : 0 };
+    const fractions = simulation.listFractions(kind);
+    const sum = fractions.reduce((total, fraction) => total + fraction, 0);
+    if (sum > 1 + ROUNDING_TOLERANCE)
+      throw new Error(`Shares of ${kind} add up to ${sum} at ${simulation.nowMs} ms`);
+    const isLending = fractions.length === 8 && kind === LimitKind.Requests;
+    return { sum, largestShare: isLending ? Math.max(...fractions) : 0 };
   });
   return mergePeaks(peaks);
 }
@@ -198,37 +199,36 @@
 function mergePeaks(peaks: readonly Peak[]): Peak {
   return {
     sum: Math.max(...peaks.map(({ sum }) => sum)),
-    lent: Math.max(...peaks.map(({ lent }) => lent)),
+    largestShare: Math.max(...peaks.map(({ largestShare: lent }) => lent)),
   };
 }
 
-t.test('AllowanceLedger never lends one share twice', async (t) => {
-  // Symptom: the shares in use add up to more than the limit.
-  // Sequence: leases and confirmations are lost, overtake each other or arrive after their
-  // life; the home restarts while leases are out; the demand moves all the time.
-  // Cause: room that is given away while somebody may still use it.
-  let most: Peak = { sum: 0, lent: 0 };
+t.test('AllowanceLedger never lends the same capacity twice', async (t) => {
+  // Guards against shares in use that add up to more than the limit, because capacity is lent
+  // while another host may still use it. Leases and confirmations are lost, reordered or
+  // arrive expired; the lender restarts while leases are active; the demand keeps changing.
+  let most: Peak = { sum: 0, largestShare: 0 };
   fc.assert(
-    fc.property(RUN, (run) => {
-      const borrowers = new Borrowers(run);
+    fc.property(RUN_ARBITRARY, (run) => {
+      const borrowers = new LeaseSimulation(run);
       for (let step = 1; step <= STEPS; step += 1) {
-        if (step % run.restartEverySteps === 0) borrowers.startHome();
+        if (step % run.restartEverySteps === 0) borrowers.restartLender();
         borrowers.runStep();
-        most = mergePeaks([most, checkParts(borrowers)]);
+        most = mergePeaks([most, checkTotalUse(borrowers)]);
       }
     }),
     { seed: 42, numRuns: NUM_RUNS },
   );
   t.comment(`largest sum of all shares: ${most.sum.toFixed(6)} of the limit`);
-  t.comment(`largest share of one of 8 entry hosts: ${most.lent.toFixed(3)} of the limit`);
-  t.ok(most.sum <= 1 + ROUNDING);
-  t.ok(most.lent > 0.9, 'something was lent');
+  t.comment(`largest share of one of 8 entry hosts: ${most.largestShare.toFixed(3)} of the limit`);
+  t.ok(most.sum <= 1 + ROUNDING_TOLERANCE);
+  t.ok(most.largestShare > 0.9, 'capacity was lent');
 });
 
-t.test('AllowanceLedger lends nothing while leases of an earlier home may be out', async (t) => {
-  // Symptom: twice the limit for seconds after the home was replaced.
-  // Sequence: the earlier home lent nearly all, died, and the new one lends at once.
-  // Cause: the new home knows no leases.
+t.test('AllowanceLedger lends nothing while a previous lender may have leases', async (t) => {
+  // Guards against use of twice the limit for seconds after the lender was replaced: the
+  // previous lender lent nearly everything and crashed, and the new one, which knows none of
+  // its leases, lends at once.
   const quietUntilMs = 5000;
   const ledger = new AllowanceLedger({
     accountId: ACCOUNT_ID,
@@ -236,7 +236,7 @@
     nextLeaseNumber: () => 1,
   });
   const limits = { requestsPerSecond: 10, tokensPerSecond: 10, inFlight: 10 };
-  const context = {
+  const context: Omit<LedgerContext, 'nowMs'> = {
     limits,
     listedIds: ['eh-1'],
     reachable: new Map([['eh-1', 'eh-1']]),
@@ -246,11 +246,10 @@
   t.same(ledger.grant('eh-1', { ...context, nowMs: quietUntilMs })?.share.inFlight, 1);
 });
 
-t.test('AllowanceLedger keeps room for what a silent entry host has in flight', async (t) => {
-  // Symptom: more requests in flight than the limit, though no lease says so.
-  // Sequence: an entry host starts many requests under a lease, then falls silent; its
-  // lease ends, its requests run on.
-  // Cause: counting leases where running requests count.
+t.test('AllowanceLedger reserves the in-flight requests of a silent entry host', async (t) => {
+  // Guards against more requests in flight than the limit, because the ledger counts leases
+  // instead of running requests: an entry host starts many requests under a lease and falls
+  // silent; its lease expires while its requests still run.
   const limits = { requestsPerSecond: 10, tokensPerSecond: 10, inFlight: 10 };
   let lease = 0;
   const ledger = new AllowanceLedger({
@@ -261,7 +260,7 @@
       return lease;
     },
   });
-  const context = (nowMs: number): Parameters<AllowanceLedger['grant']>[1] => ({
+  const context = (nowMs: number): LedgerContext => ({
     limits,
     listedIds: ['eh-1', 'eh-2'],
     reachable: new Map([
@@ -274,16 +273,16 @@
   const report = (
     id: string,
     nowMs: number,
-    told: { wanted: number; running: number; heldLease: number },
+    state: { wanted: number; running: number; heldLease: number },
   ): LedgerGrant | undefined => {
     ledger.record(
       {
         entryHostId: id,
         incarnation: id,
         requestNumber: 1,
-        heldLease: told.heldLease,
-        demand: { requestsPerSecond: 0, tokensPerSecond: 0, inFlight: told.wanted },
-        running: told.running,
+        heldLease: state.heldLease,
+        demand: { requestsPerSecond: 0, tokensPerSecond: 0, inFlight: state.wanted },
+        running: state.running,
       },
       nowMs,
     );
@@ -293,8 +292,8 @@
   t.equal(low?.share.inFlight, 1);
   report('eh-1', 1, { wanted: 0, running: 8, heldLease: low?.leaseNumber ?? 0 });
   const asks = { wanted: 9, running: 0, heldLease: 0 };
-  t.equal(report('eh-2', 2, asks)?.share.inFlight, 5, 'no more than its base share');
+  t.equal(report('eh-2', 2, asks)?.share.inFlight, 5, 'at most its base share');
   const held = { wanted: 0, running: 0, heldLease: low?.leaseNumber ?? 0 };
   report('eh-1', 3, held);
-  t.equal(report('eh-2', 4, asks)?.share.inFlight, 9, 'all but what an idle one keeps');
+  t.equal(report('eh-2', 4, asks)?.share.inFlight, 9, 'all but the floor share of the idle host');
 });
--- a/src/domain/limits/lease_holder.ts
+++ b/src/domain/limits/lease_holder.ts
@@ -1,118 +1,120 @@
 /**
- * The borrower's side of an account's leases.
+ * The borrower's view of an account's leases.
  *
  * @module
  */
-import { HOLD_FACTOR } from './lease_times.js';
+import { RESTRICTION_DURATION_FACTOR } from './lease_times.js';
 import { buildShare } from './share.js';
 import type { AllowanceShare } from './share.js';
 
-/** Requests whose sending time is remembered. */
-const MAX_REMEMBERED_REQUESTS = 32;
+/** Maximum number of lease requests whose sending time is kept. */
+const MAX_TRACKED_REQUESTS = 32;
 
-/** A lease as it arrived. */
+/** A lease as received from the lender. */
 export interface ReceivedLease {
-  /** Incarnation of the entry host that lent it. */
+  /** Incarnation of the lender. */
   readonly home: string;
-  /** Rises with each lease of that incarnation for this account. */
+  /** Increases with each lease of that incarnation for this account. */
   readonly leaseNumber: number;
-  /** The newest request that the home had heard when it lent. */
+  /** Number of the newest request that the lender had received when it sent the lease. */
   readonly requestNumber: number;
   readonly share: AllowanceShare;
+  /** Duration of the lease in milliseconds. */
   readonly validMs: number;
 }
 
 interface HeldLease extends ReceivedLease {
-  /** Until when more than the base share is permitted, in milliseconds. */
-  readonly permittedUntilMs: number;
-  /** Until when less than the base share binds, in milliseconds. */
-  readonly boundUntilMs: number;
+  /** Time in milliseconds until which the lease permits more than the base share. */
+  readonly permissionEndsAtMs: number;
+  /** Time in milliseconds until which the lease restricts to less than the base share. */
+  readonly restrictionEndsAtMs: number;
 }
 
 /**
- * Holds the newest lease. Its permission is counted from the sending of the
- * request that it answers, so that it never outlasts the home's own count,
- * however late it arrives; its restriction is counted from its receipt, so that
- * it never ends before the home's count does.
+ * Holds the newest lease. Its permission starts when the request that it answers
+ * was sent, so that it never ends later than in the lender's ledger, however late
+ * the lease arrives. Its restriction starts when the lease is received, so that it
+ * never ends earlier than in the lender's ledger.
  */
 export class LeaseHolder {
-  readonly #sentAtMs = new Map<number, number>();
+  readonly #requestSentAtMs = new Map<number, number>();
 
   #held: HeldLease | undefined;
 
   /**
-   * Notes a request that is being sent.
+   * Records a lease request that is being sent.
    *
-   * @param requestNumber - its number; numbers rise and none is used twice
+   * @param requestNumber - number of the request; numbers increase and are never reused
    * @param nowMs - monotonic time in milliseconds
    */
   noteRequest(requestNumber: number, nowMs: number): void {
-    this.#sentAtMs.set(requestNumber, nowMs);
-    const [oldest] = this.#sentAtMs.keys();
-    if (this.#sentAtMs.size > MAX_REMEMBERED_REQUESTS && oldest !== undefined)
-      this.#sentAtMs.delete(oldest);
+    this.#requestSentAtMs.set(requestNumber, nowMs);
+    const [oldest] = this.#requestSentAtMs.keys();
+    if (this.#requestSentAtMs.size > MAX_TRACKED_REQUESTS && oldest !== undefined)
+      this.#requestSentAtMs.delete(oldest);
   }
 
   /**
-   * Takes a lease in place of the one before.
+   * Replaces the held lease, unless the received one is no newer.
    *
-   * @param lease - the lease
+   * @param lease - the received lease
    * @param nowMs - monotonic time in milliseconds
-   * @returns false for one that is older than the held one
+   * @returns whether the lease was accepted
    */
   accept(lease: ReceivedLease, nowMs: number): boolean {
     const isOlder = lease.home === this.#held?.home && lease.leaseNumber <= this.#held.leaseNumber;
     if (isOlder) return false;
-    const sentAtMs = this.#sentAtMs.get(lease.requestNumber) ?? -Infinity;
+    const sentAtMs = this.#requestSentAtMs.get(lease.requestNumber) ?? -Infinity;
     this.#held = {
       ...lease,
-      permittedUntilMs: sentAtMs + lease.validMs,
-      boundUntilMs: nowMs + HOLD_FACTOR * lease.validMs,
+      permissionEndsAtMs: sentAtMs + lease.validMs,
+      restrictionEndsAtMs: nowMs + RESTRICTION_DURATION_FACTOR * lease.validMs,
     };
     return true;
   }
 
   /**
-   * @param home - an incarnation
-   * @returns number of the held lease, if that incarnation lent it; 0 otherwise
+   * @param lenderIncarnation - incarnation of a lender
+   * @returns number of the held lease if that lender sent it; 0 otherwise
    */
-  getHeldNumber(home: string): number {
-    return this.#held?.home === home ? this.#held.leaseNumber : 0;
+  getHeldNumber(lenderIncarnation: string): number {
+    return this.#held?.home === lenderIncarnation ? this.#held.leaseNumber : 0;
   }
 
   /**
-   * Computes what may be used now.
+   * Computes the share that may be used now.
    *
-   * @param base - the share that holds without a lease
+   * @param base - the share that applies without a lease
    * @param nowMs - monotonic time in milliseconds
    * @returns the share
    */
   computeShare(base: AllowanceShare, nowMs: number): AllowanceShare {
     const held = this.#held;
-    if (!held || nowMs >= Math.max(held.boundUntilMs, held.permittedUntilMs)) return base;
-    if (nowMs < held.permittedUntilMs) return held.share;
+    if (!held || nowMs >= Math.max(held.restrictionEndsAtMs, held.permissionEndsAtMs)) return base;
+    if (nowMs < held.permissionEndsAtMs) return held.share;
     return buildShare((kind) => Math.min(held.share[kind], base[kind]));
   }
 
   /**
-   * Lists the moments at which the share changes by the passing of time alone.
+   * Lists the times at which the share changes without a message: the ends of the
+   * held lease's permission and restriction.
    *
-   * @param afterMs - only later ones
-   * @param untilMs - none later than this
-   * @returns the moments in order
+   * @param afterMs - exclusive lower bound, in milliseconds
+   * @param untilMs - inclusive upper bound, in milliseconds
+   * @returns the times in ascending order, in milliseconds
    */
   listChanges(afterMs: number, untilMs: number): readonly number[] {
     if (!this.#held) return [];
-    return [this.#held.permittedUntilMs, this.#held.boundUntilMs]
+    return [this.#held.permissionEndsAtMs, this.#held.restrictionEndsAtMs]
       .filter((atMs) => atMs > afterMs && atMs <= untilMs)
       .sort((a, b) => a - b);
   }
 
   /**
    * @param nowMs - monotonic time in milliseconds
-   * @returns whether a lease is in force
+   * @returns whether a lease is in effect
    */
   isHolding(nowMs: number): boolean {
-    return this.#held !== undefined && nowMs < this.#held.boundUntilMs;
+    return this.#held !== undefined && nowMs < this.#held.restrictionEndsAtMs;
   }
 }
--- a/src/domain/limits/lease_times.ts
+++ b/src/domain/limits/lease_times.ts
@@ -1,19 +1,19 @@
 /**
- * How long leases of allowances live.
+ * Durations of allowance leases.
  *
  * @module
  */
 
-/** Default time for which a lease permits more than the base share, in milliseconds. */
+/** Default time in milliseconds for which a lease permits more than the base share. */
 export const LEASE_LIFE_MS = 2000;
 
 /**
- * A lease binds its holder to a share below the base share for this many lease
- * lives from its receipt. It must be longer than one life: the room that it
- * frees is lent to another for a whole life while this one is still in force.
- * What is beyond that lets a renewal or its confirmation be lost.
+ * Number of lease durations, from its receipt, for which a lease restricts its
+ * holder to a share below the base share. It must exceed 1, since the freed capacity
+ * is lent to another host for a whole lease duration under this restriction. The
+ * excess tolerates the loss of a renewal or of its confirmation.
  */
-export const HOLD_FACTOR = 3;
+export const RESTRICTION_DURATION_FACTOR = 3;
 
-/** Request number of a message that only confirms which lease is held. */
+/** Request number of a report that requests nothing and only confirms the held lease. */
 export const ACK_REQUEST_NUMBER = 0;
--- a/src/domain/limits/ledger_types.ts
+++ b/src/domain/limits/ledger_types.ts
@@ -1,31 +1,32 @@
 /**
- * What goes into and comes out of an account's ledger.
+ * Inputs and outputs of an account's allowance ledger.
  *
  * @module
  */
 import type { AccountLimits } from '../contracts/types.js';
 import type { AllowanceShare } from './share.js';
 
-/** What one entry host tells of its demand. */
+/** A report of an entry host to the lender. */
 export interface DemandReport {
   readonly entryHostId: string;
   readonly incarnation: string;
-  /** 0: it only confirms the lease that it holds. */
+  /** Number of the lease request; 0 if the report only confirms the held lease. */
   readonly requestNumber: number;
-  /** Number of the lease that it holds of this home; 0: none. */
+  /** Number of the lease that it holds from this lender; 0: none. */
   readonly heldLease: number;
   readonly demand: AllowanceShare;
-  /** Requests that are in flight there now. */
+  /** Number of requests that it has in flight. */
   readonly running: number;
 }
 
-/** What holds at the moment of a decision. */
+/** The circumstances of one decision of the ledger. */
 export interface LedgerContext {
   readonly limits: AccountLimits;
+  /** IDs of the entry hosts on the host list. */
   readonly listedIds: readonly string[];
-  /** IDs and incarnations of the listed entry hosts that are heard of, this one included. */
+  /** Incarnations of the reachable listed entry hosts by ID, this host included. */
   readonly reachable: ReadonlyMap<string, string>;
-  /** Longest time that a request is in flight, in milliseconds. */
+  /** Maximum time that a request may be in flight, in milliseconds. */
   readonly maxRunMs: number;
   /** Monotonic time in milliseconds. */
   readonly nowMs: number;
@@ -38,5 +39,6 @@
   readonly leaseNumber: number;
   readonly requestNumber: number;
   readonly share: AllowanceShare;
+  /** Duration of the lease in milliseconds. */
   readonly validMs: number;
 }
--- a/src/domain/limits/mod.ts
+++ b/src/domain/limits/mod.ts
@@ -1,7 +1,7 @@
 /**
- * Limits of client accounts over all entry hosts, as pure arithmetic: token
- * buckets, the shares that hold without any message, the ledger by which one
- * entry host lends out what the others don't use, and the borrower's side.
+ * Limits of client accounts across all entry hosts, without input or output: token
+ * buckets, base shares that apply without communication, the ledger by which one
+ * entry host lends what the others don't use, and the borrower's lease holder.
  * `new TokenBucket({ rate: 5, capacity: 5, nowMs }).take(1, nowMs)`.
  *
  * @module
@@ -23,6 +23,6 @@
 export { AllowanceLedger } from './allowance_ledger.js';
 export type { AllowanceLedgerOptions } from './allowance_ledger.js';
 export type { DemandReport, LedgerContext, LedgerGrant } from './ledger_types.js';
-export { ACK_REQUEST_NUMBER, HOLD_FACTOR, LEASE_LIFE_MS } from './lease_times.js';
+export { ACK_REQUEST_NUMBER, RESTRICTION_DURATION_FACTOR, LEASE_LIFE_MS } from './lease_times.js';
 export { SharedBucket } from './shared_bucket.js';
-export type { PeerTotal, SharedBucketLimit, SharedBucketOptions } from './shared_bucket.js';
+export type { PeerReport, SharedBucketLimit, SharedBucketOptions } from './shared_bucket.js';
--- a/src/domain/limits/share.ts
+++ b/src/domain/limits/share.ts
@@ -1,31 +1,31 @@
 /**
- * Shares of an account's limits.
+ * Shares of an account's limits that belong to single entry hosts.
  *
  * @module
  */
 import type { AccountLimits } from '../contracts/types.js';
 import { pickByRendezvous } from '../membership/mod.js';
 
-/** A part of an account's limits; the rates may be fractions. */
+/** A share of an account's limits; the rates may be fractional. */
 export type AllowanceShare = AccountLimits;
 
-/** The limits of an account, by the names of their fields. */
+/** The kinds of limit; each value is the name of the limit's field. */
 export enum LimitKind {
   Requests = 'requestsPerSecond',
   Tokens = 'tokensPerSecond',
   InFlight = 'inFlight',
 }
 
-/** Every limit. */
+/** All kinds of limit. */
 export const LIMIT_KINDS: readonly LimitKind[] = Object.values(LimitKind);
 
-/** Part of the base rate that an entry host without demand keeps. */
+/** Fraction of its base rates that an entry host without demand keeps. */
 const FLOOR_FRACTION = 1 / 16;
 
 /**
- * Builds a share from a figure for each limit.
+ * Builds a share from a value for each kind of limit.
  *
- * @param compute - gives the figure of one limit
+ * @param compute - returns the value for one kind of limit
  * @returns the share
  */
 export function buildShare(compute: (kind: LimitKind) => number): AllowanceShare {
@@ -36,20 +36,21 @@
   };
 }
 
-const NOTHING = buildShare(() => 0);
+const ZERO_SHARE = buildShare(() => 0);
 
 /**
- * Lists the shares that entry hosts may use without a lease. They add up to the
- * limits, never to more.
+ * Lists the base shares, which entry hosts may use without a lease. They sum to
+ * the limits, never to more.
  *
- * Requests in flight are whole: each entry host gets the quotient, and the rest
- * goes, one each, to those that rendezvous hashing picks first. With fewer in
- * flight than entry hosts some get none and must ask for a lease first.
+ * The in-flight limit is divided into integers: each entry host gets the quotient,
+ * and the hosts that rendezvous hashing ranks first get one more each until the
+ * remainder is used up. If the limit is below the number of hosts, some hosts get 0
+ * and need a lease before their first request.
  *
  * @param limits - limits of the account
- * @param accountId - which account
- * @param listedIds - IDs of the host list
- * @returns the share of each
+ * @param accountId - ID of the account
+ * @param listedIds - IDs of the entry hosts on the host list
+ * @returns the base share of each entry host by ID
  */
 export function listBaseShares(
   limits: AccountLimits,
@@ -57,44 +58,44 @@
   listedIds: readonly string[],
 ): ReadonlyMap<string, AllowanceShare> {
   const count = listedIds.length;
-  const whole = Math.floor(limits.inFlight);
-  const favoured = pickFavoured(accountId, listedIds, whole % count);
+  const inFlight = Math.floor(limits.inFlight);
+  const remainderHosts = pickRemainderHosts(accountId, listedIds, inFlight % count);
   return new Map(
     listedIds.map((id) => [
       id,
       {
         requestsPerSecond: limits.requestsPerSecond / count,
         tokensPerSecond: limits.tokensPerSecond / count,
-        inFlight: Math.floor(whole / count) + (favoured.has(id) ? 1 : 0),
+        inFlight: Math.floor(inFlight / count) + (remainderHosts.has(id) ? 1 : 0),
       },
     ]),
   );
 }
 
-function pickFavoured(
+function pickRemainderHosts(
   accountId: string,
   listedIds: readonly string[],
   count: number,
 ): ReadonlySet<string> {
-  const favoured = new Set<string>();
+  const picked = new Set<string>();
   const remaining = new Set(listedIds);
-  while (favoured.size < count) {
-    const picked = pickByRendezvous(`allowance\n${accountId}`, remaining);
-    if (picked === undefined) break;
-    favoured.add(picked);
-    remaining.delete(picked);
+  while (picked.size < count) {
+    const next = pickByRendezvous(`allowance\n${accountId}`, remaining);
+    if (next === undefined) break;
+    picked.add(next);
+    remaining.delete(next);
   }
-  return favoured;
+  return picked;
 }
 
 /**
- * Computes the share that one entry host may use without a lease.
+ * Computes the base share, which one entry host may use without a lease.
  *
  * @param limits - limits of the account
- * @param accountId - which account
- * @param entryHostId - whose share
- * @param listedIds - IDs of the host list
- * @returns the share; nothing for an entry host that is not listed
+ * @param accountId - ID of the account
+ * @param entryHostId - ID of the entry host
+ * @param listedIds - IDs of the entry hosts on the host list
+ * @returns the base share; all zeros for an entry host that is not listed
  */
 export function computeBaseShare(
   limits: AccountLimits,
@@ -102,17 +103,18 @@
   entryHostId: string,
   listedIds: readonly string[],
 ): AllowanceShare {
-  return listBaseShares(limits, accountId, listedIds).get(entryHostId) ?? NOTHING;
+  return listBaseShares(limits, accountId, listedIds).get(entryHostId) ?? ZERO_SHARE;
 }
 
 /**
- * Computes what an entry host without demand keeps while others are short, so
- * that its next first request is admitted at once. With fewer requests in flight
- * than entry hosts it keeps none of them: whoever has demand gets them all.
+ * Computes the floor share, which an entry host without demand keeps while others
+ * have unmet demand, so that its next request is admitted at once. If the in-flight
+ * limit is below the number of entry hosts, the floor is 0 in flight and the whole
+ * limit goes to hosts with demand.
  *
  * @param limits - limits of the account
- * @param listedCount - number of listed entry hosts
- * @returns the smallest share
+ * @param listedCount - number of entry hosts on the host list
+ * @returns the floor share
  */
 export function computeFloorShare(limits: AccountLimits, listedCount: number): AllowanceShare {
   return {
--- a/src/domain/limits/share_test.ts
+++ b/src/domain/limits/share_test.ts
@@ -7,7 +7,7 @@
   maxLength: 12,
 });
 
-t.test('computeBaseShare() gives shares that add up to the limits', async (t) => {
+t.test('computeBaseShare() returns shares that add up to the limits', async (t) => {
   const limits = fc.record({
     requestsPerSecond: fc.double({ min: 0.1, max: 1e4, noNaN: true }),
     tokensPerSecond: fc.double({ min: 1, max: 1e7, noNaN: true }),
@@ -26,12 +26,12 @@
   t.pass('for every list and limit');
 });
 
-t.test('computeBaseShare() gives an unlisted entry host nothing', async (t) => {
+t.test('computeBaseShare() returns zeros for an unlisted entry host', async (t) => {
   const limits = { requestsPerSecond: 8, tokensPerSecond: 8, inFlight: 8 };
   t.equal(computeBaseShare(limits, 'firm-a', 'eh-9', ['eh-1']).inFlight, 0);
 });
 
-t.test('pickAllowanceHome() is the same whatever the order of the list', async (t) => {
+t.test('the allowance lender does not depend on the order of the host list', async (t) => {
   fc.assert(
     fc.property(LISTED, fc.string(), (listed, account) => {
       const home = pickAllowanceHome(account, listed);
--- a/src/domain/limits/shared_bucket.ts
+++ b/src/domain/limits/shared_bucket.ts
@@ -1,6 +1,6 @@
 /**
- * One account's token bucket, kept by many entry hosts that tell each other what
- * they spend.
+ * A token bucket of one account that is replicated over many entry hosts, which
+ * report their spending to each other.
  *
  * @module
  */
@@ -10,89 +10,90 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * Part of the burst that a bucket starts with. A process that has just started
+ * Initial level as a fraction of the capacity. A process that has just started
  * doesn't know what was spent before; a full bucket after each restart would let
  * an account spend its burst again and again.
  */
-const START_PART = 0.2;
+const INITIAL_FILL_FRACTION = 0.2;
 
 /**
- * Part of the capacity that a request larger than it must find. It takes the rest
- * as debt, which later requests pay back, so that a long prompt isn't refused for
- * ever and the rate still holds over time.
+ * Highest level that a request ever needs, as a fraction of the capacity. A larger
+ * request takes the rest as debt, which later refills pay back, so that a long
+ * prompt isn't refused forever and the rate is still kept over time.
  */
-const LARGE_REQUEST_PART = 0.5;
+const LARGE_REQUEST_FRACTION = 0.5;
 
 /**
- * Part of the capacity that one entry host may spend in the time after which a
- * silent peer is noticed. Until then two sides of a partition both believe in the
- * whole level; with this, what they spend twice stays within the limit's margin.
+ * Fraction of the capacity that one entry host may spend within the peer timeout.
+ * Until that timeout detects a partition, both sides of it count on the whole level;
+ * this bound keeps what they spend twice within the tolerance of the limit.
  */
-const PACE_PART = 0.5;
+const LOCAL_BURST_FRACTION = 0.5;
 
-/** An account's limit as a bucket needs it. */
+/** The limit of one account, across all entry hosts. */
 export interface SharedBucketLimit {
-  /** Units a second, over all entry hosts. */
+  /** Refill rate in units per second. */
   readonly ratePerSecond: number;
-  /** Most units that gather, over all entry hosts. */
+  /** Maximum number of units that accumulate. */
   readonly capacity: number;
 }
 
-/** What is known of the spending that one peer reports. */
-interface PeerSpend {
-  /** The newest total that it reported. */
+/** State of the reports from one source. */
+interface PeerSpending {
+  /** Total of the newest report. */
   totalUnits: number;
-  heardAtMs: number;
-  /** What was taken over from it. */
-  takenUnits: number;
+  reportedAtMs: number;
+  /** Units of its reports that were subtracted from the level. */
+  appliedUnits: number;
 }
 
-/** A peer's report of what was spent. */
-export interface PeerTotal {
-  /** The peer's process, and whose spending it reports; totals of one source only rise. */
+/** A peer's report of the units that were spent. */
+export interface PeerReport {
+  /** ID of the peer's process and the hosts that it reports for; totals per source only rise. */
   readonly source: string;
-  /** Units since the process began. */
+  /** Units spent since the process started. */
   readonly totalUnits: number;
   /**
-   * Whether it reports for nobody else and everything since its start counts. What a
-   * peer has added up for others, or before it was found again, was heard already.
+   * Whether the peer reports only its own spending and all of it since its start is
+   * new. A sum over other hosts, or the total of a peer that was reached before,
+   * contains units that earlier reports have already covered.
    */
   readonly isNewProcess: boolean;
-  /** Whether this entry host passes it on as its own group's. */
+  /** Whether the peer is a member of the group for which this entry host relays reports. */
   readonly isMember: boolean;
 }
 
-/** Settings of {@link SharedBucket}. */
+/** Options of {@link SharedBucket}. */
 export interface SharedBucketOptions {
   readonly limit: SharedBucketLimit;
   /** Monotonic time in milliseconds. */
   readonly nowMs: number;
-  /** Silence after which a peer counts as out of reach, in milliseconds. */
+  /** Silence after which a peer counts as unreachable, in milliseconds. */
   readonly silentAfterMs: number;
 }
 
 /**
- * Each entry host keeps the level of the one bucket as it believes it to be: it
- * refills it, takes off what it spends itself at once, and what peers report as
- * soon as it hears of it. Reports are running totals, so that a lost one is made
- * good by the next.
+ * Replica of a token bucket that all entry hosts share. Each entry host keeps its
+ * own estimate of the level: it refills the level, subtracts its own spending at
+ * once, and subtracts the spending of peers when they report it. Reports are running
+ * totals, so the next report makes up for a lost one.
  *
- * What can go wrong is that entry hosts out of reach of each other each refill the
- * whole rate. Therefore only the part that corresponds to the entry hosts within
- * reach is refilled, and the capacity shrinks likewise: the sides of a partition
- * together never refill more than the whole. Spending that happened out of reach is
- * covered by the part that was not refilled meanwhile and isn't taken off again.
+ * Entry hosts that can't reach each other would each refill at the whole rate.
+ * Therefore the rate and the capacity are scaled by the fraction of entry hosts that
+ * are reachable, so that the sides of a partition together never refill more than
+ * the whole rate. Spending at hosts while they are unreachable is covered by the
+ * refill that was left out meanwhile, and isn't subtracted again afterwards.
  */
 export class SharedBucket {
   #limit: SharedBucketLimit;
 
-  readonly #silentAfterMs: number;
+  readonly #peerTimeoutMs: number;
 
-  readonly #peers = new Map<string, PeerSpend>();
+  readonly #peers = new Map<string, PeerSpending>();
 
   readonly #startedAtMs: number;
 
-  #reach = 1;
+  #reachableFraction = 1;
 
   #level: number;
 
@@ -100,142 +101,143 @@
 
   #totalUnits = 0;
 
-  /** Taken over from members, and from everybody. */
+  /** Units reported by the members of this host's group. */
   #memberUnits = 0;
 
-  #heardUnits = 0;
+  /** Units reported by all peers, members included. */
+  #peerUnits = 0;
 
-  readonly #pace: TokenBucket;
+  readonly #localBucket: TokenBucket;
 
-  /** @param options - limit, time and patience with silent peers */
+  /** @param options - the limit, the time and the peer timeout */
   constructor(options: SharedBucketOptions) {
     this.#limit = options.limit;
-    this.#silentAfterMs = options.silentAfterMs;
+    this.#peerTimeoutMs = options.silentAfterMs;
     this.#startedAtMs = options.nowMs;
     this.#refilledAtMs = options.nowMs;
-    this.#level = options.limit.capacity * START_PART;
-    this.#pace = new TokenBucket({ ...this.#computePace(), nowMs: options.nowMs });
+    this.#level = options.limit.capacity * INITIAL_FILL_FRACTION;
+    this.#localBucket = new TokenBucket({ ...this.#computeLocalLimit(), nowMs: options.nowMs });
   }
 
-  /** Units that this entry host has spent since its start; to be reported to peers. */
+  /** Units that this entry host has spent since its start, as it reports to peers. */
   get totalUnits(): number {
     return this.#totalUnits;
   }
 
-  /** Units that this entry host and its members have spent. */
+  /** Units that this entry host and the members of its group have spent. */
   get groupUnits(): number {
     return this.#totalUnits + this.#memberUnits;
   }
 
   /**
-   * @param source - a peer's process, as in {@link PeerTotal}
-   * @returns units that everybody but it has spent
+   * @param source - source to leave out, as in {@link PeerReport}
+   * @returns units that this entry host and all other sources have spent
    */
   computeOthersUnits(source: string): number {
-    const own = this.#peers.get(source)?.takenUnits ?? 0;
-    return this.#totalUnits + this.#heardUnits - own;
+    const appliedUnits = this.#peers.get(source)?.appliedUnits ?? 0;
+    return this.#totalUnits + this.#peerUnits - appliedUnits;
   }
 
-  /** @param limit - the limit from now on. @param nowMs - monotonic time in milliseconds */
+  /** @param limit - the new limit. @param nowMs - monotonic time in milliseconds */
   setLimit(limit: SharedBucketLimit, nowMs: number): void {
     this.#refill(nowMs);
     this.#limit = limit;
-    const { rate, capacity } = this.#computePace();
-    this.#pace.setRate(rate, capacity, nowMs);
-    this.#clamp();
+    const { rate, capacity } = this.#computeLocalLimit();
+    this.#localBucket.setRate(rate, capacity, nowMs);
+    this.#clampLevel();
   }
 
   /**
-   * @param reach - entry hosts within reach, this one included, as part of all that
-   *   are known; in (0, 1]
+   * @param reachableFraction - fraction of the known entry hosts that are reachable, this one
+   *   included; in (0, 1]
    * @param nowMs - monotonic time in milliseconds
    */
-  setReach(reach: number, nowMs: number): void {
-    if (reach === this.#reach) return;
+  setReach(reachableFraction: number, nowMs: number): void {
+    if (reachableFraction === this.#reachableFraction) return;
     this.#refill(nowMs);
-    this.#reach = reach;
-    this.#clamp();
+    this.#reachableFraction = reachableFraction;
+    this.#clampLevel();
   }
 
   /**
-   * Spends units, if they are there.
+   * Spends units if they are available.
    *
-   * @param units - how many
+   * @param units - number of units
    * @param nowMs - monotonic time in milliseconds
-   * @returns 0 when they were taken; else the time until they may be there, in milliseconds
+   * @returns 0 if they were spent; otherwise the estimated wait in milliseconds
    */
   take(units: number, nowMs: number): number {
     this.#refill(nowMs);
-    const needed = Math.min(units, this.#capacity * LARGE_REQUEST_PART);
-    const lacking = needed - this.#level;
-    if (lacking > 0) return (lacking / this.#ratePerSecond) * MS_PER_SECOND;
-    const paceMs = this.#pace.computeWaitMs(units, nowMs);
-    if (paceMs > 0) return paceMs;
-    this.#pace.take(units, nowMs);
+    const needed = Math.min(units, this.#capacity * LARGE_REQUEST_FRACTION);
+    const missing = needed - this.#level;
+    if (missing > 0) return (missing / this.#ratePerSecond) * MS_PER_SECOND;
+    const localWaitMs = this.#localBucket.computeWaitMs(units, nowMs);
+    if (localWaitMs > 0) return localWaitMs;
+    this.#localBucket.take(units, nowMs);
     this.#spend(units);
     return 0;
   }
 
   /**
-   * Gives back what a request didn't use because it never ran.
+   * Returns the units of a request that never ran.
    *
-   * @param units - how many
+   * @param units - number of units
    */
   release(units: number): void {
     this.#spend(-units);
   }
 
   /**
-   * Takes a peer's report.
+   * Subtracts the new units of a peer's report from the level.
    *
-   * @param report - what was spent
+   * @param report - the peer's report
    * @param nowMs - monotonic time in milliseconds
    */
-  applyPeerTotal(report: PeerTotal, nowMs: number): void {
+  applyPeerTotal(report: PeerReport, nowMs: number): void {
     this.#refill(nowMs);
     const { source, totalUnits, isMember } = report;
     const known = this.#peers.get(source);
-    const news = this.#computeNews(known, report, nowMs);
-    this.#level -= news;
-    this.#clamp();
-    this.#heardUnits += news;
-    if (isMember) this.#memberUnits += news;
-    const takenUnits = (known?.takenUnits ?? 0) + news;
-    this.#peers.set(source, { totalUnits, heardAtMs: nowMs, takenUnits });
+    const newUnits = this.#computeNewUnits(known, report, nowMs);
+    this.#level -= newUnits;
+    this.#clampLevel();
+    this.#peerUnits += newUnits;
+    if (isMember) this.#memberUnits += newUnits;
+    const totalAppliedUnits = (known?.appliedUnits ?? 0) + newUnits;
+    this.#peers.set(source, { totalUnits, reportedAtMs: nowMs, appliedUnits: totalAppliedUnits });
   }
 
-  #computeNews(known: PeerSpend | undefined, report: PeerTotal, nowMs: number): number {
+  #computeNewUnits(known: PeerSpending | undefined, report: PeerReport, nowMs: number): number {
     const { totalUnits, isNewProcess } = report;
     if (known) {
-      const wasSilent = nowMs - known.heardAtMs > this.#silentAfterMs;
+      const wasSilent = nowMs - known.reportedAtMs > this.#peerTimeoutMs;
       return wasSilent ? 0 : totalUnits - known.totalUnits;
     }
-    // A peer that is older than this process tells of times that the level, which
-    // started low, doesn't contain.
-    const isOlder = nowMs - this.#startedAtMs < this.#silentAfterMs;
-    return isOlder || !isNewProcess ? 0 : Math.min(totalUnits, this.#limit.capacity);
+    // Within the peer timeout after the start, a new peer may be older than this process. Its
+    // total then covers an earlier time, for which the low initial level makes allowance.
+    const mayPredateThisProcess = nowMs - this.#startedAtMs < this.#peerTimeoutMs;
+    return mayPredateThisProcess || !isNewProcess ? 0 : Math.min(totalUnits, this.#limit.capacity);
   }
 
   get #ratePerSecond(): number {
-    return this.#limit.ratePerSecond * this.#reach;
+    return this.#limit.ratePerSecond * this.#reachableFraction;
   }
 
   get #capacity(): number {
-    return this.#limit.capacity * this.#reach;
+    return this.#limit.capacity * this.#reachableFraction;
   }
 
-  #computePace(): { readonly rate: number; readonly capacity: number } {
-    const capacity = this.#limit.capacity * PACE_PART;
-    return { capacity, rate: (capacity / this.#silentAfterMs) * MS_PER_SECOND };
+  #computeLocalLimit(): { readonly rate: number; readonly capacity: number } {
+    const capacity = this.#limit.capacity * LOCAL_BURST_FRACTION;
+    return { capacity, rate: (capacity / this.#peerTimeoutMs) * MS_PER_SECOND };
   }
 
   #spend(units: number): void {
     this.#totalUnits += units;
     this.#level -= units;
-    this.#clamp();
+    this.#clampLevel();
   }
 
-  #clamp(): void {
+  #clampLevel(): void {
     this.#level = Math.min(this.#level, this.#capacity);
   }
 
@@ -243,6 +245,6 @@
     const elapsedMs = Math.max(0, nowMs - this.#refilledAtMs);
     this.#refilledAtMs = Math.max(this.#refilledAtMs, nowMs);
     this.#level += (this.#ratePerSecond * elapsedMs) / MS_PER_SECOND;
-    this.#clamp();
+    this.#clampLevel();
   }
 }
--- a/src/domain/limits/shared_bucket_relays_test.ts
+++ b/src/domain/limits/shared_bucket_relays_test.ts
@@ -5,66 +5,70 @@
 import { SharedBucket } from './mod.js';
 
 const LIMIT = { ratePerSecond: 1_000, capacity: 1_000 };
-const SILENT_AFTER_MS = 450;
-const ROUND_MS = 150;
-const GROUPS = 3;
+const PEER_TIMEOUT_MS = 450;
+const EXCHANGE_INTERVAL_MS = 150;
+const GROUP_COUNT = 3;
 const GROUP_SIZE = 3;
-const COUNT = GROUPS * GROUP_SIZE;
+const HOST_COUNT = GROUP_COUNT * GROUP_SIZE;
 
-interface Heard {
-  atMs: number;
+interface ReceivedReport {
+  receivedAtMs: number;
   hostCount: number;
 }
 
 /**
- * Entry hosts in groups. The first of each is its relay: members report to it, relays to
- * each other, and each relay tells its members of everybody else.
+ * Simulates entry hosts in groups. The first host of each group is its relay: members
+ * report to their relay, relays report their groups to each other, and each relay reports
+ * to every member what all other hosts spend.
  */
 class RelayedHosts {
-  buckets = Array.from({ length: COUNT }, () => createBucket(0));
+  buckets = Array.from({ length: HOST_COUNT }, () => createBucket(0));
 
   readonly incarnations = this.buckets.map(() => 0);
 
   sides = this.buckets.map(() => 0);
 
-  /** What each has heard from each, by scope. */
-  readonly #heard = this.buckets.map(() => new Map<string, Heard>());
+  /** Newest report that each host received, by sender and scope. */
+  readonly #receivedReports = this.buckets.map(() => new Map<string, ReceivedReport>());
 
   restart(index: number, nowMs: number): void {
     this.buckets[index] = createBucket(nowMs);
     this.incarnations[index] = (this.incarnations[index] ?? 0) + 1;
-    this.#heard[index]?.clear();
+    this.#receivedReports[index]?.clear();
   }
 
   exchange(nowMs: number): void {
-    for (let host = 0; host < COUNT; host += 1) {
+    for (let host = 0; host < HOST_COUNT; host += 1) {
       const relay = host - (host % GROUP_SIZE);
-      if (host !== relay) this.#tell(host, relay, 'member', nowMs);
+      if (host !== relay) this.#report(host, relay, 'member', nowMs);
     }
-    for (let relay = 0; relay < COUNT; relay += GROUP_SIZE) {
-      for (let other = 0; other < COUNT; other += GROUP_SIZE) {
-        if (other !== relay) this.#tell(relay, other, 'group', nowMs);
+    for (let relay = 0; relay < HOST_COUNT; relay += GROUP_SIZE) {
+      for (let other = 0; other < HOST_COUNT; other += GROUP_SIZE) {
+        if (other !== relay) this.#report(relay, other, 'group', nowMs);
       }
       for (let member = relay + 1; member < relay + GROUP_SIZE; member += 1) {
-        this.#tell(relay, member, 'fleet', nowMs);
+        this.#report(relay, member, 'fleet', nowMs);
       }
     }
     this.buckets.forEach((bucket, host) => {
-      bucket.setReach(Math.min(1, (1 + this.#countReached(host, nowMs)) / COUNT), nowMs);
+      bucket.setReach(
+        Math.min(1, (1 + this.#countReachableHosts(host, nowMs)) / HOST_COUNT),
+        nowMs,
+      );
     });
   }
 
-  #tell(from: number, to: number, scope: string, nowMs: number): void {
-    if (this.sides[from] !== this.sides[to]) return;
-    const bucket = this.buckets[from] as SharedBucket;
-    const receiver = `${to}/${this.incarnations[to]}/member`;
+  #report(sender: number, recipient: number, scope: string, nowMs: number): void {
+    if (this.sides[sender] !== this.sides[recipient]) return;
+    const bucket = this.buckets[sender] as SharedBucket;
+    const receiver = `${recipient}/${this.incarnations[recipient]}/member`;
     const totals: Record<string, number> = {
       member: bucket.totalUnits,
       group: bucket.groupUnits,
       fleet: bucket.computeOthersUnits(receiver),
     };
-    const source = `${from}/${this.incarnations[from]}/${scope}`;
-    (this.buckets[to] as SharedBucket).applyPeerTotal(
+    const source = `${sender}/${this.incarnations[sender]}/${scope}`;
+    (this.buckets[recipient] as SharedBucket).applyPeerTotal(
       {
         source,
         totalUnits: totals[scope] ?? 0,
@@ -73,35 +77,38 @@
       },
       nowMs,
     );
-    this.#heard[to]?.set(`${from}/${scope}`, {
-      atMs: nowMs,
-      hostCount: this.#countTold(from, to, scope, nowMs),
+    this.#receivedReports[recipient]?.set(`${sender}/${scope}`, {
+      receivedAtMs: nowMs,
+      hostCount: this.#countReportedHosts(sender, recipient, scope, nowMs),
     });
   }
 
-  #countTold(from: number, to: number, scope: string, nowMs: number): number {
+  #countReportedHosts(from: number, to: number, scope: string, nowMs: number): number {
     if (scope === 'member') return 1;
-    const isTold = (source: string): boolean =>
+    const isIncluded = (source: string): boolean =>
       scope === 'group' ? source.endsWith('/member') : source !== `${to}/member`;
-    return 1 + this.#sumFresh(from, nowMs, isTold);
+    return 1 + this.#countFreshHosts(from, nowMs, isIncluded);
   }
 
-  #countReached(host: number, nowMs: number): number {
-    return this.#sumFresh(host, nowMs, () => true);
+  #countReachableHosts(host: number, nowMs: number): number {
+    return this.#countFreshHosts(host, nowMs, () => true);
   }
 
-  #sumFresh(host: number, nowMs: number, isCounted: (source: string) => boolean): number {
-    return [...(this.#heard[host] ?? new Map<string, Heard>())]
-      .filter(([source, { atMs }]) => nowMs - atMs <= SILENT_AFTER_MS && isCounted(source))
+  #countFreshHosts(host: number, nowMs: number, isIncluded: (source: string) => boolean): number {
+    return [...(this.#receivedReports[host] ?? new Map<string, ReceivedReport>())]
+      .filter(
+        ([source, { receivedAtMs }]) =>
+          nowMs - receivedAtMs <= PEER_TIMEOUT_MS && isIncluded(source),
+      )
       .reduce((sum, [, { hostCount }]) => sum + hostCount, 0);
   }
 }
 
 function createBucket(nowMs: number): SharedBucket {
-  return new SharedBucket({ limit: LIMIT, nowMs, silentAfterMs: SILENT_AFTER_MS });
+  return new SharedBucket({ limit: LIMIT, nowMs, silentAfterMs: PEER_TIMEOUT_MS });
 }
 
-t.test('a relay adds its members up, and tells each of all others', async (t) => {
+t.test('a relay sums its members and reports to each the spending of all others', async (t) => {
   const hosts = new RelayedHosts();
   hosts.exchange(0);
   hosts.buckets.forEach((bucket) => bucket.take(10, 0));
@@ -109,22 +116,22 @@
   hosts.buckets.forEach((bucket, host) => {
     const isRelay = host % GROUP_SIZE === 0;
     if (isRelay) t.equal(bucket.groupUnits, GROUP_SIZE * 10, String(host));
-    t.equal(bucket.computeOthersUnits(''), COUNT * 10, String(host));
+    t.equal(bucket.computeOthersUnits(''), HOST_COUNT * 10, String(host));
   });
 });
 
 t.test(
-  'entry hosts in groups together keep the limit and its margin, over cuts and restarts',
+  'entry hosts in groups keep the limit with its tolerance over partitions and restarts',
   async (t) => {
-    // The bound that the users set over any eight seconds: a quarter more than rate and
-    // burst, and a slack of a few large requests, half of what the rate gives in a second.
+    // The required bound over any eight seconds: 1.25 times the rate and the burst, plus a
+    // slack for a few large requests, which is half of the units of one second.
     const WINDOW_MS = 8_000;
     const SLACK = 500;
     const bound = (LIMIT.ratePerSecond * 8 + LIMIT.capacity) * 1.25 + SLACK;
     const phase = fc.record({
       lengthMs: fc.integer({ min: 1_000, max: 6_000 }),
-      sides: fc.array(fc.nat(2), { minLength: COUNT, maxLength: COUNT }),
-      restarts: fc.array(fc.nat(COUNT - 1), { maxLength: 3 }),
+      sides: fc.array(fc.nat(2), { minLength: HOST_COUNT, maxLength: HOST_COUNT }),
+      restarts: fc.array(fc.nat(HOST_COUNT - 1), { maxLength: 3 }),
       demand: fc.integer({ min: 1, max: 8 }),
     });
     fc.assert(
@@ -138,11 +145,11 @@
           restarts.forEach((index) => hosts.restart(index, nowMs));
           const endMs = nowMs + lengthMs;
           for (; nowMs < endMs; nowMs += 30) {
-            if (nowMs % ROUND_MS === 0) hosts.exchange(nowMs);
+            if (nowMs % EXCHANGE_INTERVAL_MS === 0) hosts.exchange(nowMs);
             for (let request = 0; request < demand; request += 1) {
               pick = (pick * 1_103_515_245 + 12_345) % 2_147_483_648;
               const units = 10 + (pick % 140);
-              const bucket = hosts.buckets[pick % COUNT] as SharedBucket;
+              const bucket = hosts.buckets[pick % HOST_COUNT] as SharedBucket;
               if (bucket.take(units, nowMs) === 0) spent.push({ atMs: nowMs, units });
             }
           }
--- a/src/domain/limits/shared_bucket_test.ts
+++ b/src/domain/limits/shared_bucket_test.ts
@@ -3,21 +3,21 @@
 import { isWithinBound } from '../../../test/support/spending.js';
 import type { Spending } from '../../../test/support/spending.js';
 import { SharedBucket } from './mod.js';
-import type { PeerTotal } from './mod.js';
+import type { PeerReport } from './mod.js';
 
 const LIMIT = { ratePerSecond: 1_000, capacity: 1_000 };
-const SILENT_AFTER_MS = 450;
-const RUNS = { seed: 24, numRuns: 60 };
+const PEER_TIMEOUT_MS = 450;
+const RUN_OPTIONS = { seed: 24, numRuns: 60 };
 
 function createBucket(nowMs = 0): SharedBucket {
-  return new SharedBucket({ limit: LIMIT, nowMs, silentAfterMs: SILENT_AFTER_MS });
+  return new SharedBucket({ limit: LIMIT, nowMs, silentAfterMs: PEER_TIMEOUT_MS });
 }
 
-function buildTotal(source: string, totalUnits: number): PeerTotal {
+function buildReport(source: string, totalUnits: number): PeerReport {
   return { source, totalUnits, isNewProcess: true, isMember: false };
 }
 
-t.test('SharedBucket starts low and fills to its capacity', async (t) => {
+t.test('SharedBucket starts at a low level and refills to its capacity', async (t) => {
   const bucket = createBucket();
   t.equal(bucket.take(200, 0), 0);
   t.ok(bucket.take(100, 0) > 0);
@@ -26,36 +26,34 @@
   t.ok(bucket.take(500, 10_451) > 0);
 });
 
-t.test('SharedBucket spends no more at one entry host than peers can miss', async (t) => {
-  // Symptom: an account spends several times its limit around a partition.
-  // Sequence: the bucket is full; entry hosts lose each other; until they notice, each
-  // side spends the whole level.
-  // Cause: what one entry host spends before peers hear of it had no bound of its own.
+t.test('SharedBucket bounds what one entry host spends before its peers know', async (t) => {
+  // Guards against an account that spends several times its limit around a partition: the
+  // bucket is full, the entry hosts lose contact, and until they detect it each side spends
+  // the whole level, since unreported spending has no bound of its own.
   const bucket = createBucket();
   t.equal(bucket.take(500, 10_000), 0);
   t.ok(bucket.take(100, 10_000) > 0);
 });
 
-t.test('SharedBucket admits a request larger than its capacity and has it paid back', async (t) => {
-  // Symptom: the longest prompts of a small account are refused for ever.
-  // Sequence: a request needs more units than can ever gather.
-  // Cause: a bucket that only gives what it holds.
+t.test('SharedBucket admits a request larger than its capacity and repays the debt', async (t) => {
+  // Guards against refusing the longest prompts of a small account forever, because a request
+  // needs more units than the bucket can ever hold.
   const bucket = createBucket();
   t.equal(bucket.take(3_000, 5_000), 0);
   t.ok(bucket.take(1, 6_000) > 0);
   t.equal(bucket.take(1, 8_000), 0);
 });
 
-t.test('SharedBucket takes off what peers report, once', async (t) => {
+t.test('SharedBucket subtracts the units that peers report exactly once', async (t) => {
   const bucket = createBucket();
-  bucket.applyPeerTotal(buildTotal('peer', 0), 5_000);
-  bucket.applyPeerTotal(buildTotal('peer', 900), 5_100);
-  bucket.applyPeerTotal(buildTotal('peer', 900), 5_100);
+  bucket.applyPeerTotal(buildReport('peer', 0), 5_000);
+  bucket.applyPeerTotal(buildReport('peer', 900), 5_100);
+  bucket.applyPeerTotal(buildReport('peer', 900), 5_100);
   t.ok(bucket.take(200, 5_100) > 0);
   t.equal(bucket.take(100, 5_100), 0);
 });
 
-t.test('SharedBucket gives back what never ran', async (t) => {
+t.test('SharedBucket returns the units of a request that never ran', async (t) => {
   const bucket = createBucket();
   bucket.take(200, 0);
   bucket.release(200);
@@ -63,7 +61,7 @@
   t.equal(bucket.totalUnits, 200);
 });
 
-t.test('SharedBucket refills its part only while peers are out of reach', async (t) => {
+t.test('SharedBucket refills at a fraction of the rate while peers are unreachable', async (t) => {
   const bucket = createBucket();
   bucket.setReach(0.25, 0);
   bucket.take(50, 0);
@@ -73,25 +71,25 @@
   t.equal(bucket.take(10, 10_040), 0);
 });
 
-/** Entry hosts that exchange totals each 150 ms with those on their side. */
-class Hosts {
+/** Simulates entry hosts that exchange totals with the hosts on their side of a partition. */
+class SimulatedHosts {
   readonly count: number;
 
   readonly buckets: SharedBucket[];
 
   readonly incarnations: number[];
 
-  /** Side that each entry host is on. */
+  /** Side of the partition that each entry host is on. */
   sides: number[];
 
-  readonly #heardMs: number[][];
+  readonly #lastHeardAtMs: number[][];
 
   constructor(count: number) {
     this.count = count;
     this.buckets = Array.from({ length: count }, () => createBucket());
     this.incarnations = this.buckets.map(() => 0);
     this.sides = this.buckets.map(() => 0);
-    this.#heardMs = this.buckets.map(() => this.buckets.map(() => 0));
+    this.#lastHeardAtMs = this.buckets.map(() => this.buckets.map(() => 0));
   }
 
   restart(index: number, nowMs: number): void {
@@ -101,26 +99,26 @@
 
   exchange(nowMs: number): void {
     this.buckets.forEach((bucket, to) => {
-      const heard = this.#heardMs[to] as number[];
+      const lastHeardAtMs = this.#lastHeardAtMs[to] as number[];
       this.buckets.forEach((other, from) => {
         if (from === to || this.sides[from] !== this.sides[to]) return;
-        heard[from] = nowMs;
+        lastHeardAtMs[from] = nowMs;
         const source = `${from}/${this.incarnations[from]}`;
-        bucket.applyPeerTotal(buildTotal(source, other.totalUnits), nowMs);
+        bucket.applyPeerTotal(buildReport(source, other.totalUnits), nowMs);
       });
-      const near = heard.filter(
-        (atMs, from) => from === to || nowMs - atMs <= SILENT_AFTER_MS,
+      const reachableCount = lastHeardAtMs.filter(
+        (atMs, from) => from === to || nowMs - atMs <= PEER_TIMEOUT_MS,
       ).length;
-      bucket.setReach(near / this.count, nowMs);
+      bucket.setReach(reachableCount / this.count, nowMs);
     });
   }
 }
 
 t.test(
-  'entry hosts together keep the limit and its margin, over partitions and restarts',
+  'entry hosts together keep the limit with its tolerance over partitions and restarts',
   async (t) => {
-    // The bound that the users set over any eight seconds: a quarter more than rate and
-    // burst, and a slack of a few large requests, half of what the rate gives in a second.
+    // The required bound over any eight seconds: 1.25 times the rate and the burst, plus a
+    // slack for a few large requests, which is half of the units of one second.
     const WINDOW_MS = 8_000;
     const SLACK = 500;
     const bound = (LIMIT.ratePerSecond * 8 + LIMIT.capacity) * 1.25 + SLACK;
@@ -132,7 +130,7 @@
     });
     fc.assert(
       fc.property(fc.array(phase, { minLength: 2, maxLength: 8 }), fc.nat(), (phases, salt) => {
-        const hosts = new Hosts(5);
+        const hosts = new SimulatedHosts(5);
         const spent: Spending[] = [];
         let nowMs = 0;
         let pick = salt;
@@ -153,7 +151,7 @@
         });
         return isWithinBound(spent, WINDOW_MS, bound);
       }),
-      RUNS,
+      RUN_OPTIONS,
     );
     t.pass('no counterexample');
   },
--- a/src/domain/limits/token_bucket.ts
+++ b/src/domain/limits/token_bucket.ts
@@ -1,28 +1,28 @@
 /**
- * A token bucket whose rate may change and whose level may go below zero.
+ * A token bucket with a variable rate, whose level may become negative.
  *
  * @module
  */
 
 const MS_PER_SECOND = 1000;
 
-/** Rounding of many small refills must not refuse a whole token. */
-const TOLERANCE = 1e-9;
+/** Tolerance in tokens, so that the rounding errors of many small refills don't refuse a take. */
+const ROUNDING_TOLERANCE = 1e-9;
 
-/** How a bucket starts. */
+/** Options of {@link TokenBucket}. */
 export interface TokenBucketOptions {
-  /** Tokens a second. */
+  /** Refill rate in tokens per second. */
   readonly rate: number;
-  /** Most tokens that gather; the bucket starts full. */
+  /** Maximum number of tokens that accumulate; the bucket starts full. */
   readonly capacity: number;
   /** Monotonic time in milliseconds. */
   readonly nowMs: number;
 }
 
 /**
- * Admits `rate` tokens a second. One take may be larger than the capacity: it
- * needs a full bucket and leaves a debt, so that a long prompt is not refused
- * for ever by a small share and yet the rate holds over time.
+ * Admits `rate` tokens per second. A take may be larger than the capacity: it
+ * requires a full bucket and leaves a negative level, so that a small share doesn't
+ * refuse a long prompt forever and the rate is still kept over time.
  */
 export class TokenBucket {
   #rate: number;
@@ -31,22 +31,22 @@
 
   #level: number;
 
-  #filledAtMs: number;
+  #refilledAtMs: number;
 
-  /** @param options - how it starts */
+  /** @param options - the rate, the capacity and the time */
   constructor(options: TokenBucketOptions) {
     this.#rate = options.rate;
     this.#capacity = options.capacity;
     this.#level = options.capacity;
-    this.#filledAtMs = options.nowMs;
+    this.#refilledAtMs = options.nowMs;
   }
 
   /**
-   * Changes rate and capacity from now on. What has gathered beyond the new
-   * capacity is lost; a larger capacity starts no fuller.
+   * Changes the rate and the capacity. Tokens above the new capacity are discarded;
+   * a larger capacity adds no tokens.
    *
-   * @param rate - tokens a second
-   * @param capacity - most tokens that gather
+   * @param rate - refill rate in tokens per second
+   * @param capacity - maximum number of tokens that accumulate
    * @param nowMs - monotonic time in milliseconds
    */
   setRate(rate: number, capacity: number, nowMs: number): void {
@@ -57,23 +57,24 @@
   }
 
   /**
-   * Computes how long a take has to wait.
+   * Computes how long a take must wait.
    *
-   * @param amount - how many tokens
+   * @param amount - number of tokens
    * @param nowMs - monotonic time in milliseconds
-   * @returns 0 when it is admitted now; milliseconds otherwise, infinite at rate 0
+   * @returns the wait in milliseconds; 0 if admitted now, infinite at rate 0
    */
   computeWaitMs(amount: number, nowMs: number): number {
     this.#refill(nowMs);
-    const lacking = Math.min(amount, this.#capacity) - this.#level;
-    if (lacking <= TOLERANCE) return 0;
-    return (lacking / this.#rate) * MS_PER_SECOND;
+    const missing = Math.min(amount, this.#capacity) - this.#level;
+    if (missing <= ROUNDING_TOLERANCE) return 0;
+    return (missing / this.#rate) * MS_PER_SECOND;
   }
 
   /**
-   * Takes tokens, into debt if need be; ask {@link TokenBucket.computeWaitMs} first.
+   * Takes tokens, even if the level becomes negative. Callers check
+   * {@link TokenBucket.computeWaitMs} first.
    *
-   * @param amount - how many tokens
+   * @param amount - number of tokens
    * @param nowMs - monotonic time in milliseconds
    */
   take(amount: number, nowMs: number): void {
@@ -82,9 +83,9 @@
   }
 
   /**
-   * Corrects an earlier take that was a prediction.
+   * Corrects an earlier take whose amount was an estimate.
    *
-   * @param amount - tokens that come back; negative: more were used
+   * @param amount - number of tokens to return; negative if more were used
    * @param nowMs - monotonic time in milliseconds
    */
   settle(amount: number, nowMs: number): void {
@@ -94,17 +95,17 @@
 
   /**
    * @param nowMs - monotonic time in milliseconds
-   * @returns whether a new bucket would be no fuller
+   * @returns whether the bucket is full, as a new one would be
    */
   isFull(nowMs: number): boolean {
     this.#refill(nowMs);
-    return this.#level >= this.#capacity - TOLERANCE;
+    return this.#level >= this.#capacity - ROUNDING_TOLERANCE;
   }
 
   #refill(nowMs: number): void {
-    if (nowMs <= this.#filledAtMs) return;
-    const gained = (this.#rate * (nowMs - this.#filledAtMs)) / MS_PER_SECOND;
-    this.#level = Math.min(this.#capacity, this.#level + gained);
-    this.#filledAtMs = nowMs;
+    if (nowMs <= this.#refilledAtMs) return;
+    const refilled = (this.#rate * (nowMs - this.#refilledAtMs)) / MS_PER_SECOND;
+    this.#level = Math.min(this.#capacity, this.#level + refilled);
+    this.#refilledAtMs = nowMs;
   }
 }
