--- a/src/domain/routing/mod.ts
+++ b/src/domain/routing/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Routes, services and client accounts of calls that bear their own request ID:
+ * Look-up of the routes, services and client accounts of calls that carry a request ID:
  * `new RouteTable(document).findRoute('api.example', '/surveys/1')`.
  *
  * @module
--- a/src/domain/routing/route_table.ts
+++ b/src/domain/routing/route_table.ts
@@ -1,19 +1,19 @@
 /**
- * Finds the route and the client account of a request.
+ * Look-up of the route, service and client account of a request, and its rank.
  *
  * @module
  */
 import type { Regions } from '../places/mod.js';
 import type { ClientAccount, Route, RoutingDocument, ServiceInfo } from './types.js';
 
-/** Ranks of routes that fit between two ranks of accounts. */
-const ROUTE_RANKS = 1_000;
+/** Number of route ranks within one account rank. */
+const ROUTE_RANK_COUNT = 1_000;
 
-/** One configuration, indexed for look-ups; it never changes. */
+/** An immutable index of one published configuration. */
 export class RouteTable {
   readonly document: RoutingDocument;
 
-  /** Routes by host name, longest prefix first. */
+  /** Routes by host name, ordered by descending prefix length. */
   readonly #routes = new Map<string, Route[]>();
 
   readonly #accounts = new Map<string, ClientAccount>();
@@ -43,19 +43,19 @@
   /**
    * Finds the route with the longest prefix.
    *
-   * @param hostName - host name that the caller asked for, without a port
+   * @param hostName - host name of the request, without a port
    * @param path - path of the request, without its query
-   * @returns the route; undefined when none matches
+   * @returns the route; undefined if none matches
    */
   findRoute(hostName: string, path: string): Route | undefined {
     return this.#routes.get(hostName)?.find(({ prefix }) => path.startsWith(prefix));
   }
 
   /**
-   * Finds where calls for a host name may be handled.
+   * Finds the regions in which requests for a host name may be handled.
    *
-   * @param hostName - host name that callers ask for
-   * @returns regions that any of its routes allows; undefined where one allows all
+   * @param hostName - host name of the requests
+   * @returns the union of its routes' regions; undefined if a route allows all or none exists
    */
   findRegions(hostName: string): Regions {
     const routes = this.#routes.get(hostName) ?? [];
@@ -64,44 +64,44 @@
     return [...new Set(routes.flatMap(({ regions = [] }) => regions))];
   }
 
-  /** @param key - the caller's key. @returns whose it is; undefined for an unknown key */
+  /** @param key - the caller's key. @returns the account; undefined for an unknown key */
   findAccount(key: string): ClientAccount | undefined {
     return this.#accounts.get(key);
   }
 
-  /** @param serviceId - which service. @returns the service, where it is published */
+  /** @param serviceId - ID of the service. @returns the service; undefined if not published */
   findService(serviceId: string): ServiceInfo | undefined {
     return this.#services.get(serviceId);
   }
 }
 
 /**
- * Picks one of a route's services by weight.
+ * Picks one of a route's services at random, by weight.
  *
  * @param route - the route
  * @param fraction - a random number in [0, 1)
- * @returns the service's ID; undefined when the route has none
+ * @returns the service ID; undefined if the route has no services
  */
 export function pickService(route: Route, fraction: number): string | undefined {
   const { services } = route;
   if (services.length <= 1) return services[0]?.serviceId;
   const total = services.reduce((sum, { weight }) => sum + weight, 0);
-  let rest = fraction * total;
+  let remaining = fraction * total;
   const picked = services.find(({ weight }) => {
-    rest -= weight;
-    return rest < 0;
+    remaining -= weight;
+    return remaining < 0;
   });
   return (picked ?? services[services.length - 1])?.serviceId;
 }
 
 /**
- * Computes the rank of a request. An account's rank goes before its routes'; among
- * the requests of accounts of the same rank that of their routes decides.
+ * Computes the rank of a request: requests are ordered by the rank of their account
+ * first, and by the rank of their route among accounts of the same rank.
  *
  * @param route - the request's route
- * @param account - whose request it is, where it has an account
+ * @param account - the request's account; undefined for a request without a key
  * @returns the rank; 0 is the most urgent
  */
 export function computeRank(route: Route, account: ClientAccount | undefined): number {
-  return (account?.rank ?? 0) * ROUTE_RANKS + Math.min(route.rank, ROUTE_RANKS - 1);
+  return (account?.rank ?? 0) * ROUTE_RANK_COUNT + Math.min(route.rank, ROUTE_RANK_COUNT - 1);
 }
--- a/src/domain/routing/route_table_test.ts
+++ b/src/domain/routing/route_table_test.ts
@@ -35,7 +35,7 @@
   };
 }
 
-t.test('RouteTable finds the longest prefix of the host name', async (t) => {
+t.test('RouteTable finds the route with the longest prefix for the host name', async (t) => {
   const table = new RouteTable(
     buildDocument([
       buildRoute({ name: 'short', prefix: '/a/' }),
@@ -49,14 +49,14 @@
   t.equal(table.findRoute('none.example', '/a/b'), undefined);
 });
 
-t.test('RouteTable finds accounts by each of their keys', async (t) => {
+t.test('RouteTable finds an account by its key, and a service by its ID', async (t) => {
   const table = new RouteTable(buildDocument([]));
   t.equal(table.findAccount('key-firm-a')?.id, 'firm-a');
   t.equal(table.findAccount('key-firm-b'), undefined);
   t.equal(table.findService('engines')?.isEngine, true);
 });
 
-t.test('pickService() divides by weight', async (t) => {
+t.test('pickService() divides requests by weight', async (t) => {
   const route = buildRoute({
     services: [
       { serviceId: 'old', weight: 90 },
@@ -70,10 +70,10 @@
   t.equal(pickService(buildRoute({ services: [] }), 0.5), undefined);
 });
 
-t.test('computeRank() puts the account first and keeps its routes apart', async (t) => {
-  // Symptom: batch work is served while audits of the same account wait.
-  // Sequence: all accounts have the same rank; it replaces the routes' ranks.
-  // Cause: one rank for all requests of an account leaves no order among them.
+t.test('computeRank() orders by account first and by route within an account', async (t) => {
+  // Guards against batch work that is served while urgent requests of the same account wait:
+  // all accounts have the same rank, and if it replaces the ranks of the routes, the requests
+  // of an account have no order among them.
   const urgent = buildRoute({ rank: 0 });
   const batch = buildRoute({ rank: 2 });
   const high = buildAccount('firm-a', 0);
--- a/src/domain/routing/types.ts
+++ b/src/domain/routing/types.ts
@@ -1,99 +1,100 @@
 /**
- * What operators publish for calls that bear their own request ID: routes,
- * services and client accounts.
+ * Types of the published routing configuration, for calls that carry a request ID:
+ * routes, services and client accounts.
  *
  * @module
  */
 
 import type { Regions } from '../places/mod.js';
 
-/** One of the services that share a route's requests. */
+/** One of the services among which a route's requests are divided. */
 export interface WeightedService {
   readonly serviceId: string;
-  /** Share relative to the other services of the route; above 0. */
+  /** Weight relative to the other services of the route; above 0. */
   readonly weight: number;
 }
 
-/** How requests below one path prefix of one host name are handled. */
+/** Settings for the requests of one host name whose path starts with one prefix. */
 export interface Route {
   readonly name: string;
-  /** Host name that the caller asked for. */
+  /** Host name in the request. */
   readonly hostName: string;
-  /** Start of the path, with a slash at both ends. */
+  /** Path prefix; begins and ends with a slash. */
   readonly prefix: string;
   readonly services: readonly WeightedService[];
-  /** Whether a request may be run more than once. */
+  /** Whether a request may run more than once. */
   readonly isRepeatable: boolean;
-  /** Whether the answer is a series of events. */
+  /** Whether the answer is a stream of events. */
   readonly isStream: boolean;
-  /** Whether a broken stream may go on at another backend server. */
+  /** Whether another backend server may resume an interrupted stream. */
   readonly isResumable: boolean;
-  /** Longest time that a caller may be kept waiting, in milliseconds. */
+  /** Maximum time for which a caller may be kept waiting, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time to the answer, or to its first event, that callers aim at, in milliseconds. */
+  /** Target latency until the answer or, for a stream, its first event, in milliseconds. */
   readonly targetMs: number;
-  /** Longest pause between events that callers accept, in milliseconds; 0: none is set. */
+  /** Longest acceptable gap between the events of a stream, in milliseconds; 0: no target. */
   readonly targetGapMs: number;
   /** Rank of its requests; 0 is the most urgent. */
   readonly rank: number;
-  /** Most backend servers that one request may be sent to. */
+  /** Maximum number of backend servers to which one request may be sent. */
   readonly maxAttempts: number;
-  /** Whether it is served without a key. */
+  /** Whether requests without an API key are served. */
   readonly isOpen: boolean;
-  /** Regions in which its requests may be handled. */
+  /** Regions in which its requests may be handled; undefined: all. */
   readonly regions?: Regions;
 }
 
-/** A service that backend servers belong to. */
+/** A service and the properties that its backend servers share. */
 export interface ServiceInfo {
   readonly id: string;
-  /** Most connections that one of its backend servers accepts from all entry hosts. */
+  /** Maximum number of connections that one backend server accepts from all entry hosts. */
   readonly maxConnections: number;
   /** Whether its backend servers are model engines. */
   readonly isEngine: boolean;
-  /** Output tokens in one event of a stream. */
+  /** Number of output tokens in one event of a stream. */
   readonly tokensPerEvent: number;
-  /** What one of its backend servers bears while it warms up; undefined: as much as when warm. */
+  /** Load limits of a backend server during warm-up; undefined: full load from the start. */
   readonly warmup?: ServiceWarmup | undefined;
 }
 
-/** How backend servers of a service warm up after their start. */
+/** The warm-up of a service's backend servers after their start. */
 export interface ServiceWarmup {
   readonly durationMs: number;
-  /** Requests a second that a cold one bears. */
+  /** Requests per second that a cold backend server can handle. */
   readonly requestsPerSecond: number;
 }
 
-/** What an account's limit counts. */
+/** The unit in which an account's limit is counted. */
 export enum LimitUnit {
   Requests = 'requests',
   Tokens = 'tokens',
 }
 
-/** Limit of one client account, over all entry hosts together. */
+/** Rate limit of one client account across all entry hosts. */
 export interface AccountLimit {
   readonly unit: LimitUnit;
-  /** Units a second. */
+  /** Units per second. */
   readonly ratePerSecond: number;
-  /** Most units that gather while the account is quiet. */
+  /** Maximum number of units that accumulate while the account is idle. */
   readonly burst: number;
-  /** Units of a request that doesn't say how many it takes. */
+  /** Units charged for a request without a declared size. */
   readonly unitsOfUnsized: number;
 }
 
 /** A client account. */
 export interface ClientAccount {
   readonly id: string;
+  /** API keys of the account. */
   readonly keys: readonly string[];
-  /** Rank of its requests, which goes before their routes'; undefined: the most urgent. */
+  /** Rank of its requests, which precedes the rank of the route; undefined: 0, the most urgent. */
   readonly rank: number | undefined;
-  /** Undefined: the account has no limit. */
+  /** Rate limit; undefined: the account has no limit. */
   readonly limit: AccountLimit | undefined;
-  /** Regions in which its requests may be handled. */
+  /** Regions in which its requests may be handled; undefined: all. */
   readonly regions?: Regions;
 }
 
-/** Limits on what one caller's connection may do. */
+/** Limits on each connection of a caller. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -101,9 +102,9 @@
   readonly idleTimeoutMs: number;
 }
 
-/** One published configuration as a whole. */
+/** One published routing configuration. */
 export interface RoutingDocument {
-  /** Rises with each publication. */
+  /** Version number; increases with each publication. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly ServiceInfo[];
