--- a/src/domain/backend_servers/pick_server.ts
+++ b/src/domain/backend_servers/pick_server.ts
@@ -61,7 +61,7 @@
  * The time to the first byte alone isn't enough: engines with the same one may differ fivefold in
  * generation speed, and while most slots are taken, the time for which a request holds its slot
  * delays all others. In two runs at a load one third above the capacity of six engines, this
- * raised the served fraction of calls by 0.8 and 2.4 percentage points.
+ * raised the served calls by 0.8 and 2.4 in 100.
  *
  * While calls wait both on this and on other entry hosts, all of them see the same slots become
  * free, so each takes only its own share of them.
--- a/src/domain/backend_servers/pick_server_test.ts
+++ b/src/domain/backend_servers/pick_server_test.ts
@@ -129,8 +129,8 @@
 t.test('pickServer() avoids a fast server that returns errors', async (t) => {
   // Guards against a server that fails part of its requests immediately and therefore looks fast,
   // so that it attracts most requests.
-  const failing = buildCandidate('failing', 8);
-  const healthy = buildCandidate('healthy', 8);
+  const failing = buildCandidate('bad', 8);
+  const healthy = buildCandidate('good', 8);
   for (let request = 0; request < 6; request += 1) {
     failing.load.begin(WORK);
     failing.load.noteFirstByte(WORK);
@@ -138,7 +138,7 @@
   }
   healthy.load.begin(WORK);
   healthy.load.noteFirstByte(WORK);
-  t.equal(pick([failing, healthy]), 'healthy');
+  t.equal(pick([failing, healthy]), 'good');
 });
 
 t.test(
--- a/src/domain/backend_servers/server_directory.ts
+++ b/src/domain/backend_servers/server_directory.ts
@@ -153,8 +153,9 @@
   }
 
   /**
-   * @param id - incarnation ID. @param nowMs - monotonic time. @returns whether it may get
-   *   requests
+   * @param id - ID of the incarnation
+   * @param nowMs - monotonic time in milliseconds
+   * @returns whether it may receive requests
    */
   isUsable(id: string, nowMs: number): boolean {
     const known = this.#incarnations.get(id);
--- a/src/domain/backend_servers/server_load.ts
+++ b/src/domain/backend_servers/server_load.ts
@@ -149,19 +149,29 @@
     this.#peersInFlight = Math.max(0, this.#peersInFlight + change);
   }
 
-  /** @param work - a request that is being sent to the server */
+  /**
+   * Records the start of a request.
+   *
+   * @param work - a request that is being sent to the server
+   */
   begin(work: RequestWork): void {
     this.#ownInFlight += 1;
     this.share.noteTaken();
     this.#pendingPromptTokens += work.promptTokens;
   }
 
-  /** @param work - a request whose first event has arrived, or that ended without one */
+  /**
+   * Removes a request's prompt from the pending work.
+   *
+   * @param work - a request whose first event has arrived, or that ended without one
+   */
   noteFirstByte(work: RequestWork): void {
     this.#pendingPromptTokens = Math.max(0, this.#pendingPromptTokens - work.promptTokens);
   }
 
   /**
+   * Records the end of a request.
+   *
    * @param outcome - outcome of a request on the server
    * @param nowMs - monotonic time in milliseconds
    */
@@ -204,8 +214,8 @@
   }
 
   /**
-   * @param nowMs - monotonic time in milliseconds. @returns whether to avoid the server after
-   *   failures
+   * @param nowMs - monotonic time in milliseconds
+   * @returns whether to avoid the server after failures
    */
   isPaused(nowMs: number): boolean {
     if (nowMs < this.#pausedUntilMs) return true;
--- a/src/domain/crashes/_judge.ts
+++ b/src/domain/crashes/_judge.ts
@@ -41,7 +41,10 @@
 export interface Evidence {
   readonly counts: CrashSuspectCounts;
   readonly nowMs: number;
-  /** Time that notices about other runs at a crash may take to arrive, in milliseconds. */
+  /**
+   * Time that notices about other runs at a crash may take to arrive, in milliseconds. Crashes
+   * younger than this don't count yet.
+   */
   readonly settleMs: number;
 }
 
@@ -75,8 +78,8 @@
 /**
  * Decides what may be sent of a content. Three crashes put it on probation, whatever else ran
  * there. It is quarantined once several consecutive crashes most likely have no other cause, once
- * a server crashes in a trial of it with no other likely cause, or once all trials are used up
- * without an answer.
+ * a server crashes in a trial of the content with no other likely cause, or once all trials are
+ * used up without an answer.
  *
  * @param suspect - a content
  * @param evidence - what is known of all crashes
--- a/src/domain/crashes/_suspect.ts
+++ b/src/domain/crashes/_suspect.ts
@@ -89,7 +89,8 @@
   }
 
   /**
-   * @param state - what may be sent from now on. @param nowMs - monotonic time in milliseconds
+   * @param state - what may be sent from now on
+   * @param nowMs - monotonic time in milliseconds
    */
   setState(state: SuspectState, nowMs: number): void {
     if (state === SuspectState.Doubted) this.#probationStartedAtMs = nowMs;
@@ -116,8 +117,8 @@
     this.#trials.set(trial.id, { ...trial, startedAtMs: known?.startedAtMs ?? trial.startedAtMs });
     if (this.#trials.size > MAX_TRIALS_KEPT) {
       const { trials } = this;
-      const dropped = trials.find(({ isVoid }) => isVoid) ?? trials[0];
-      if (dropped) this.#trials.delete(dropped.id);
+      const evicted = trials.find(({ isVoid }) => isVoid) ?? trials[0];
+      if (evicted) this.#trials.delete(evicted.id);
     }
     return true;
   }
@@ -137,10 +138,12 @@
   }
 
   /**
-   * @param atMs - when the content ran or was requested
+   * Records that the content ran or was requested.
+   *
+   * @param atMs - when it ran or was requested
    * @returns whether the last announcement to peers is old enough for a new one
    */
-  noteSeen(atMs: number): boolean {
+  recordSeen(atMs: number): boolean {
     this.#lastSeenAtMs = Math.max(this.#lastSeenAtMs, atMs);
     if (this.#lastSeenAtMs - this.#announcedAtMs < SEEN_ANNOUNCE_INTERVAL_MS) return false;
     this.#announcedAtMs = this.#lastSeenAtMs;
@@ -174,9 +177,9 @@
     if (this.runs.size < MAX_CRASHES_KEPT) return undefined;
     const runs = [...this.runs.values()].sort((a, b) => a.endedAtMs - b.endedAtMs);
     const oldest = runs.slice(MIN_CRASHES_FOR_PROBATION).find((run) => run.endedAtMs < endedAtMs);
-    const dropped = runs.find(({ state }) => state === CrashState.Cleared) ?? oldest;
-    if (dropped) this.runs.delete(dropped.crashId);
-    return dropped?.crashId;
+    const evicted = runs.find(({ state }) => state === CrashState.Cleared) ?? oldest;
+    if (evicted) this.runs.delete(evicted.crashId);
+    return evicted?.crashId;
   }
 
   /**
@@ -207,7 +210,11 @@
   }
 }
 
-/** Merges a second notice about a run into the known one. @returns whether that changed it */
+/**
+ * Merges a second notice about a run into the known one.
+ *
+ * @returns whether the known run changed
+ */
 function mergeRun(known: SuspectRun, run: SuspectRun): boolean {
   const isCleared = known.state !== CrashState.Cleared && run.state === CrashState.Cleared;
   const isVouched = !known.isVouched && run.isVouched;
--- a/src/domain/crashes/crash_ledger.ts
+++ b/src/domain/crashes/crash_ledger.ts
@@ -31,6 +31,7 @@
 export interface SuspectStateChange {
   readonly contentId: string;
   readonly state: SuspectState;
+  /** Whether the content is quarantined. */
   readonly isHeld: boolean;
   /** IDs of the crashes that count against the content. */
   readonly crashIds: readonly string[];
@@ -38,9 +39,7 @@
 
 /** Settings of the ledger. */
 export interface CrashLedgerOptions {
-  /**
-   * @returns time that notices about other runs at a crash may take to arrive, in milliseconds
-   */
+  /** @returns time that notices about other runs at a crash may take, in milliseconds */
   readonly getSettleMs: () => number;
 }
 
@@ -143,7 +142,7 @@
    */
   noteSeen(contentId: string, nowMs: number): CrashNote[] {
     const suspect = this.#table.find(contentId);
-    return suspect?.noteSeen(nowMs) ? listNotices(suspect, nowMs) : [];
+    return suspect?.recordSeen(nowMs) ? listNotices(suspect, nowMs) : [];
   }
 
   /**
@@ -154,13 +153,13 @@
    * @returns the notices that added something
    */
   apply(notices: readonly CrashNote[], nowMs: number): CrashNote[] {
-    const news = notices.filter((note) => this.#applyNotice(note, nowMs));
-    if (news.length > 0) this.review(nowMs);
+    const newNotices = notices.filter((notice) => this.#applyNotice(notice, nowMs));
+    if (newNotices.length > 0) this.review(nowMs);
     const quarantinedIds = new Set(
       notices.filter(({ isHeld }) => isHeld).map(({ contentId }) => contentId),
     );
     quarantinedIds.forEach((contentId) => this.#adoptQuarantine(contentId, nowMs));
-    return news;
+    return newNotices;
   }
 
   /**
@@ -222,7 +221,9 @@
   }
 
   /**
-   * Forgets contents that weren't seen for long. @param nowMs - monotonic time in milliseconds
+   * Forgets contents that weren't seen for long.
+   *
+   * @param nowMs - monotonic time in milliseconds
    */
   expire(nowMs: number): void {
     this.#table.list().forEach((suspect) => {
@@ -239,24 +240,24 @@
     const retentionMs = state === CrashState.Suspected ? REMEMBERED_MS : CLEARED_RETENTION_MS;
     if (seenAgoMs > retentionMs && !this.#table.find(contentId)) return false;
     const suspect = this.#table.getOrCreate(contentId);
-    const isSeenLater = suspect.noteSeen(nowMs - seenAgoMs);
+    const mustAnnounceSeen = suspect.recordSeen(nowMs - seenAgoMs);
     const endedAtMs = nowMs - endedAgoMs;
     const evicted = suspect.runs.has(crashId) ? undefined : suspect.evictRun(endedAtMs);
     if (evicted !== undefined) this.#table.removeCrash(suspect, evicted);
-    const isNews = suspect.apply({
+    const hasNewRun = suspect.apply({
       crashId,
       state,
       isVouched,
       startedAtMs: nowMs - startedAgoMs,
       endedAtMs,
     });
-    if (isNews) this.#table.addCrash(suspect, crashId);
+    if (hasNewRun) this.#table.addCrash(suspect, crashId);
     const newTrials = trials.filter(({ id, startedAgoMs: agoMs, isVoid: hasNotRun = false }) =>
       suspect.addTrial({ id, startedAtMs: nowMs - agoMs, isVoid: hasNotRun }),
     );
-    const hasChanged = isNews || newTrials.length > 0;
+    const hasChanged = hasNewRun || newTrials.length > 0;
     if (hasChanged) this.#revision += 1;
-    return hasChanged || isSeenLater;
+    return hasChanged || mustAnnounceSeen;
   }
 
   #clearRun(suspect: Suspect, crashId: string, nowMs: number): CrashNote[] {
--- a/src/domain/crashes/doubt_list.ts
+++ b/src/domain/crashes/doubt_list.ts
@@ -67,7 +67,7 @@
 
   /**
    * @param nowMs - monotonic time in milliseconds
-   * @returns the content with a trial that has no result yet but may soon have one
+   * @returns ID of the content with a trial that has no result yet but may soon have one
    */
   findOpen(nowMs: number): string | undefined {
     const openSuspect = this.#table.list().find((suspect) => {
--- a/src/domain/crashes/trial_plan.ts
+++ b/src/domain/crashes/trial_plan.ts
@@ -42,7 +42,7 @@
 }
 
 /**
- * @param doubt - progress of a content's trials
+ * @param progress - progress of a content's trials
  * @returns the earliest time of the next trial; Infinity once the trials are used up
  */
 export function computeNextTrialAtMs({ sinceMs, trialCount, lastTrialAtMs }: Doubt): number {
--- a/src/domain/direct/mod.ts
+++ b/src/domain/direct/mod.ts
@@ -1,7 +1,7 @@
 /**
  * Decisions about calls that carry their own request ID and are served by the entry host which
  * they reach: queue order, retry-after times, and this host's share of a service's retry budget.
- * `new WaitingLine().add(call)`.
+ * `computeUrgency({ rank, isLate })` orders waiting calls.
  *
  * @module
  */
--- a/src/domain/direct/output_forecast.ts
+++ b/src/domain/direct/output_forecast.ts
@@ -20,8 +20,8 @@
 
 /**
  * Tracks the median ratio of the actual output of one route's answers to the announced one.
- * Callers' own hints are right on average but often far off. Without a hint, the request's output
- * limit says little, since callers allow far more than they need.
+ * Callers' own hints are right at the median but often far off. Without a hint, the request's
+ * output limit says little, since callers allow far more than they need.
  */
 export class OutputForecast {
   #hintFactor = 1;
--- a/src/domain/direct/retry_share.ts
+++ b/src/domain/direct/retry_share.ts
@@ -14,10 +14,8 @@
   readonly windowMs: number;
 }
 
-/**
- * Number of slices that a window is divided into; the oldest slice is dropped as time advances.
- */
-const SLICES_PER_WINDOW = 10;
+/** Number of slices per window; the oldest slice is dropped as time advances. */
+const SLICE_COUNT = 10;
 
 /**
  * Fraction of each limit that is used. The rest covers entry hosts that restart within a window
@@ -70,9 +68,8 @@
   }
 
   #getCurrentSlice(nowMs: number): Slice {
-    const index = Math.floor((nowMs / this.#bounds.windowMs) * SLICES_PER_WINDOW);
-    while (this.#slices[0] && this.#slices[0].index < index - SLICES_PER_WINDOW)
-      this.#slices.shift();
+    const index = Math.floor((nowMs / this.#bounds.windowMs) * SLICE_COUNT);
+    while (this.#slices[0] && this.#slices[0].index < index - SLICE_COUNT) this.#slices.shift();
     const last = this.#slices[this.#slices.length - 1];
     if (last && last.index >= index) return last;
     const slice = { index, attempts: 0, retries: 0 };
--- a/src/domain/direct/returning_callers.ts
+++ b/src/domain/direct/returning_callers.ts
@@ -14,8 +14,8 @@
   #longestDeadlineMs = 0;
 
   /**
-   * @param deadlineMs - time that the caller waits. @returns whether it was probably refused
-   *   before
+   * @param deadlineMs - time that the caller waits
+   * @returns whether the caller was probably refused before
    */
   isReturning(deadlineMs: number | undefined): boolean {
     if (deadlineMs === undefined) return false;
--- a/src/domain/direct/wait_outlook.ts
+++ b/src/domain/direct/wait_outlook.ts
@@ -28,7 +28,7 @@
 
 /**
  * Tracks the outcomes of waits by urgency of the calls, to spare callers waits that end in a
- * refusal. In fourteen pairs of runs, neither the served calls nor those held in vain changed
+ * refusal. In fourteen pairs of runs, neither the served calls nor the calls held in vain changed
  * beyond noise.
  */
 export class WaitOutlook {
--- a/src/domain/direct/wait_time.ts
+++ b/src/domain/direct/wait_time.ts
@@ -44,8 +44,8 @@
  * @returns milliseconds
  */
 export function computeWaitMs({ isLate, timeLeftMs, targetMs }: WaitOptions): number {
-  const lateMs = Math.min(MAX_LATE_WAIT_MS, timeLeftMs * LATE_WAIT_FRACTION);
-  return isLate ? lateMs : Math.min(lateMs, targetMs * AIM_WAIT_PART);
+  const maxLateWaitMs = Math.min(MAX_LATE_WAIT_MS, timeLeftMs * LATE_WAIT_FRACTION);
+  return isLate ? maxLateWaitMs : Math.min(maxLateWaitMs, targetMs * AIM_WAIT_PART);
 }
 
 /**
--- a/src/domain/direct/waiting_line.ts
+++ b/src/domain/direct/waiting_line.ts
@@ -61,8 +61,8 @@
   }
 
   /**
-   * @param call - a call outside the queue. @returns the number of calls that would be ahead of
-   *   it
+   * @param call - a call outside the queue
+   * @returns the number of calls that would be ahead of it
    */
   countAhead(call: T): number {
     let ahead = this.#calls.length;
