--- a/src/application/direct/_counted_hosts.ts
+++ b/src/application/direct/_counted_hosts.ts
@@ -6,13 +6,13 @@
 import type { EntryHostIdentity } from '../../domain/membership/mod.js';
 
 /** Remembers them until they are looked at next. */
-export class CountedHosts {
+export class CountedPeers {
   /** By incarnation. */
-  readonly #counted = new Map<string, EntryHostIdentity>();
+  readonly #byIncarnation = new Map<string, EntryHostIdentity>();
 
   /** @param identity - a peer whose report counts */
   add(identity: EntryHostIdentity): void {
-    this.#counted.set(identity.incarnation, identity);
+    this.#byIncarnation.set(identity.incarnation, identity);
   }
 
   /**
@@ -21,12 +21,12 @@
    * @param counted - peers whose reports count now
    * @returns those that were dropped
    */
-  dropOthers(counted: readonly EntryHostIdentity[]): readonly EntryHostIdentity[] {
-    const incarnations = new Set(counted.map(({ incarnation }) => incarnation));
-    const dropped = [...this.#counted.values()].filter(
-      ({ incarnation }) => !incarnations.has(incarnation),
+  retainOnly(counted: readonly EntryHostIdentity[]): readonly EntryHostIdentity[] {
+    const retainedIncarnations = new Set(counted.map(({ incarnation }) => incarnation));
+    const dropped = [...this.#byIncarnation.values()].filter(
+      ({ incarnation }) => !retainedIncarnations.has(incarnation),
     );
-    dropped.forEach(({ incarnation }) => this.#counted.delete(incarnation));
+    dropped.forEach(({ incarnation }) => this.#byIncarnation.delete(incarnation));
     return dropped;
   }
 }
--- a/src/application/direct/_entry_reader.ts
+++ b/src/application/direct/_entry_reader.ts
@@ -8,7 +8,7 @@
 import type { EventLog, Metrics } from '../../ports/mod.js';
 
 /** What the reader needs. */
-export interface EntryReaderOptions {
+export interface EntryDecoderOptions {
   /** Start of the keys under which backend servers are registered. */
   readonly prefix: string;
   readonly log: EventLog;
@@ -22,21 +22,21 @@
 }
 
 /** Decodes entries, and tells of those that can't be read. */
-export class EntryReader {
-  readonly #options: EntryReaderOptions;
+export class EntryDecoder {
+  readonly #options: EntryDecoderOptions;
 
   /** @param options - what the reader needs */
-  constructor(options: EntryReaderOptions) {
+  constructor(options: EntryDecoderOptions) {
     this.#options = options;
   }
 
   /** @param key - key of an entry. @returns the name that it stands under */
-  readName(key: string): string {
+  getServerId(key: string): string {
     return key.slice(this.#options.prefix.length);
   }
 
   /** @param key - key of an entry. @param value - what is written. @returns undefined for what can't be read */
-  read(key: string, value: Uint8Array): BackendServerEntry | undefined {
+  tryDecode(key: string, value: Uint8Array): BackendServerEntry | undefined {
     const { decode, log, metrics } = this.#options;
     try {
       return decode(key, value);
--- a/src/application/direct/_kept_by_key.ts
+++ b/src/application/direct/_kept_by_key.ts
@@ -6,7 +6,7 @@
 
 /** A map that fills itself. */
 export class KeptByKey<T> {
-  readonly #kept = new Map<string, T>();
+  readonly #values = new Map<string, T>();
 
   readonly #create: (key: string) => T;
 
@@ -17,20 +17,20 @@
 
   /** @param key - a key. @returns its object */
   take(key: string): T {
-    const found = this.#kept.get(key);
-    if (found !== undefined) return found;
+    const existing = this.#values.get(key);
+    if (existing !== undefined) return existing;
     const created = this.#create(key);
-    this.#kept.set(key, created);
+    this.#values.set(key, created);
     return created;
   }
 
   /** @param key - a key. @returns its object, if it was ever asked for */
   find(key: string): T | undefined {
-    return this.#kept.get(key);
+    return this.#values.get(key);
   }
 
   /** @returns keys and objects */
   list(): readonly (readonly [string, T])[] {
-    return [...this.#kept];
+    return [...this.#values];
   }
 }
--- a/src/application/direct/_peer_figures.ts
+++ b/src/application/direct/_peer_figures.ts
@@ -6,15 +6,15 @@
 import type { HostReportMessage, WaitingNoticeMessage } from '../../ports/mod.js';
 
 /** What a peer reports of backend servers. */
-export type PeerFigures = Pick<
+export type PeerStats = Pick<
   HostReportMessage,
   'inFlight' | 'waitingCalls' | 'firstWaiting' | 'avoidedBy' | 'endedServers'
 >;
 
-const FIGURE_KINDS = ['avoidedBy', 'inFlight', 'waitingCalls'] as const;
+const SUMMED_FIELDS = ['avoidedBy', 'inFlight', 'waitingCalls'] as const;
 
 /** Figures that are added up. */
-export type FigureKind = (typeof FIGURE_KINDS)[number];
+export type SummedField = (typeof SUMMED_FIELDS)[number];
 
 type Counts = Readonly<Record<string, number>>;
 
@@ -33,10 +33,10 @@
  * each. Sums are kept up with each report, as adding all reports up anew for each one was
  * most of a relay's work.
  */
-export class PeerFigureTable {
-  readonly #figures = new Map<string, PeerFigures>();
+export class PeerStatsTable {
+  readonly #stats = new Map<string, PeerStats>();
 
-  readonly #totals: Readonly<Record<FigureKind, Map<string, number>>> = {
+  readonly #totals: Readonly<Record<SummedField, Map<string, number>>> = {
     avoidedBy: new Map(),
     inFlight: new Map(),
     waitingCalls: new Map(),
@@ -44,50 +44,50 @@
 
   /**
    * @param source - incarnation of the peer's process
-   * @param figures - what it reports; undefined when it is gone
+   * @param stats - what it reports; undefined when it is gone
    */
-  put(source: string, figures: PeerFigures | undefined): void {
-    const former = this.#figures.get(source);
-    if (figures) this.#figures.set(source, figures);
-    else this.#figures.delete(source);
-    FIGURE_KINDS.forEach((kind) => {
-      const totals = this.#totals[kind];
-      if (former) addCounts(totals, former[kind], -1);
-      if (figures) addCounts(totals, figures[kind], 1);
+  set(source: string, stats: PeerStats | undefined): void {
+    const previous = this.#stats.get(source);
+    if (stats) this.#stats.set(source, stats);
+    else this.#stats.delete(source);
+    SUMMED_FIELDS.forEach((field) => {
+      const totals = this.#totals[field];
+      if (previous) addCounts(totals, previous[field], -1);
+      if (stats) addCounts(totals, stats[field], 1);
     });
   }
 
   /**
-   * @param kind - which figure
+   * @param field - which figure
    * @param id - of a backend server, or a service
    * @returns its sum over all peers
    */
-  getTotal(kind: FigureKind, id: string): number {
-    return this.#totals[kind].get(id) ?? 0;
+  getTotal(field: SummedField, id: string): number {
+    return this.#totals[field].get(id) ?? 0;
   }
 
   /**
    * Adds up what peers report.
    *
-   * @param kind - which figures
-   * @param own - counts of this entry host, which are added
+   * @param field - which figures
+   * @param ownCounts - counts of this entry host, which are added
    * @param sources - peers' processes
    * @returns the counts
    */
-  sum(kind: FigureKind, own: Counts, sources: readonly string[]): Record<string, number> {
-    const sums = new Map(Object.entries(own));
-    const isMost = sources.length * 2 > this.#figures.size;
-    if (isMost) this.#addAllBut(sums, kind, sources);
-    else sources.forEach((source) => addCounts(sums, this.#figures.get(source)?.[kind] ?? {}, 1));
+  sum(field: SummedField, ownCounts: Counts, sources: readonly string[]): Record<string, number> {
+    const sums = new Map(Object.entries(ownCounts));
+    const isMajority = sources.length * 2 > this.#stats.size;
+    if (isMajority) this.#addTotalsOf(sums, field, sources);
+    else sources.forEach((source) => addCounts(sums, this.#stats.get(source)?.[field] ?? {}, 1));
     return Object.fromEntries(sums);
   }
 
   /** What few leave out is taken off the sums of all. */
-  #addAllBut(sums: Map<string, number>, kind: FigureKind, sources: readonly string[]): void {
-    this.#totals[kind].forEach((count, id) => addCount(sums, id, count));
+  #addTotalsOf(sums: Map<string, number>, field: SummedField, sources: readonly string[]): void {
+    this.#totals[field].forEach((count, id) => addCount(sums, id, count));
     const included = new Set(sources);
-    this.#figures.forEach((figures, source) => {
-      if (!included.has(source)) addCounts(sums, figures[kind], -1);
+    this.#stats.forEach((stats, source) => {
+      if (!included.has(source)) addCounts(sums, stats[field], -1);
     });
   }
 
@@ -95,17 +95,17 @@
    * Lists how urgent the first waiting calls are.
    *
    * @param sources - peers' processes that are counted
-   * @param own - urgency of the first that waits here, by service
+   * @param ownUrgencies - urgency of the first that waits here, by service
    * @returns urgency by service
    */
-  listFirstWaiting(sources: readonly string[], own: Counts): Record<string, number> {
-    const first = { ...own };
+  mergeFirstWaiting(sources: readonly string[], ownUrgencies: Counts): Record<string, number> {
+    const urgencies = { ...ownUrgencies };
     sources.forEach((source) => {
-      Object.entries(this.#figures.get(source)?.firstWaiting ?? {}).forEach(([id, urgency]) => {
-        first[id] = Math.min(first[id] ?? Infinity, urgency);
+      Object.entries(this.#stats.get(source)?.firstWaiting ?? {}).forEach(([id, urgency]) => {
+        urgencies[id] = Math.min(urgencies[id] ?? Infinity, urgency);
       });
     });
-    return first;
+    return urgencies;
   }
 
   /**
@@ -117,7 +117,7 @@
    */
   findFirstWaiting(serviceId: string, excluded?: string): FirstWaiting | undefined {
     let first: FirstWaiting | undefined;
-    this.#figures.forEach(({ firstWaiting, waitingCalls }, source) => {
+    this.#stats.forEach(({ firstWaiting, waitingCalls }, source) => {
       const urgency = firstWaiting[serviceId];
       const isWaiting = (waitingCalls[serviceId] ?? 0) > 0 && source !== excluded;
       if (urgency === undefined || !isWaiting) return;
@@ -134,9 +134,9 @@
    * @param change - slots that it has taken
    */
   adjust(source: string, serverId: string, change: number): void {
-    this.#change(source, ({ inFlight }) => {
-      const slots = Math.max(0, (inFlight[serverId] ?? 0) + change);
-      return { inFlight: { ...inFlight, [serverId]: slots } };
+    this.#update(source, ({ inFlight }) => {
+      const slotCount = Math.max(0, (inFlight[serverId] ?? 0) + change);
+      return { inFlight: { ...inFlight, [serverId]: slotCount } };
     });
   }
 
@@ -147,7 +147,7 @@
    * @param notice - what it told
    */
   applyNotice(source: string, { serviceId, calls, firstUrgency }: WaitingNoticeMessage): void {
-    this.#change(source, ({ waitingCalls, firstWaiting }) => ({
+    this.#update(source, ({ waitingCalls, firstWaiting }) => ({
       waitingCalls: { ...waitingCalls, [serviceId]: calls },
       firstWaiting: { ...firstWaiting, [serviceId]: firstUrgency },
     }));
@@ -160,25 +160,25 @@
    * @param serviceId - service that it waited for
    */
   noteServed(source: string, serviceId: string): void {
-    this.#change(source, ({ waitingCalls }) => {
-      const left = Math.max(0, (waitingCalls[serviceId] ?? 0) - 1);
-      return { waitingCalls: { ...waitingCalls, [serviceId]: left } };
+    this.#update(source, ({ waitingCalls }) => {
+      const remaining = Math.max(0, (waitingCalls[serviceId] ?? 0) - 1);
+      return { waitingCalls: { ...waitingCalls, [serviceId]: remaining } };
     });
   }
 
   /** What a peer has reported stays as it came; a changed copy takes its place. */
-  #change(source: string, build: (figures: PeerFigures) => Partial<PeerFigures>): void {
-    const figures = this.#figures.get(source);
-    if (figures) this.put(source, { ...figures, ...build(figures) });
+  #update(source: string, buildChanges: (stats: PeerStats) => Partial<PeerStats>): void {
+    const figures = this.#stats.get(source);
+    if (figures) this.set(source, { ...figures, ...buildChanges(figures) });
   }
 }
 
-function addCount(sums: Map<string, number>, id: string, count: number): void {
-  const sum = (sums.get(id) ?? 0) + count;
-  if (sum === 0) sums.delete(id);
-  else sums.set(id, sum);
+function addCount(totals: Map<string, number>, id: string, count: number): void {
+  const sum = (totals.get(id) ?? 0) + count;
+  if (sum === 0) totals.delete(id);
+  else totals.set(id, sum);
 }
 
-function addCounts(sums: Map<string, number>, counts: Counts, factor: 1 | -1): void {
-  Object.entries(counts).forEach(([id, count]) => addCount(sums, id, count * factor));
+function addCounts(totals: Map<string, number>, counts: Counts, sign: 1 | -1): void {
+  Object.entries(counts).forEach(([id, count]) => addCount(totals, id, count * sign));
 }
--- a/src/application/direct/_peer_links.ts
+++ b/src/application/direct/_peer_links.ts
@@ -12,7 +12,7 @@
  * Time for which a link may stand without a report, in milliseconds: two peers that
  * have just found each other settle within some rounds of reports.
  */
-const UNUSED_AFTER_MS = 5_000;
+const UNUSED_LINK_TIMEOUT_MS = 5_000;
 
 /** What the links need. */
 export interface PeerLinksOptions {
@@ -25,11 +25,11 @@
 }
 
 /** What the links depend on. */
-export interface WantedLinks {
+export interface LinkInputs {
   /** Peers' addresses that links are kept to. */
-  readonly wanted: readonly string[];
+  readonly wantedUrls: readonly string[];
   /** Peers that are heard, with or without a link. */
-  readonly heard: readonly HostState[];
+  readonly heardPeers: readonly HostState[];
   /** @returns whether a linked peer reports to this entry host */
   readonly isUsed: (peer: EntryHostIdentity) => boolean;
 }
@@ -42,51 +42,51 @@
 export class PeerLinks {
   readonly #options: PeerLinksOptions;
 
-  readonly #upAtMs = new Map<string, number>();
+  readonly #linkedAtMs = new Map<string, number>();
 
-  #seeds: readonly string[];
+  #seedUrls: readonly string[];
 
-  #dialled = '';
+  #lastAddresses = '';
 
   /** @param options - what the links need */
   constructor(options: PeerLinksOptions) {
     this.#options = options;
-    this.#seeds = options.seeds;
+    this.#seedUrls = options.seeds;
     options.peers.onLink(({ peer, up }) => this.#handleLink(peer, up));
   }
 
   /** @param peerUrls - addresses that peers are looked for at, from now on */
-  setSeeds(peerUrls: readonly string[]): void {
-    this.#seeds = peerUrls;
+  setSeedUrls(peerUrls: readonly string[]): void {
+    this.#seedUrls = peerUrls;
   }
 
   /** @param links - what is wanted now */
-  update({ wanted, heard, isUsed }: WantedLinks): void {
+  update({ wantedUrls, heardPeers, isUsed }: LinkInputs): void {
     const isHeard = (url: string): boolean =>
-      heard.some(({ identity }) => identity.peerUrl === url);
-    const urls = new Set([...wanted, ...this.#seeds.filter((url) => !isHeard(url))]);
+      heardPeers.some(({ identity }) => identity.peerUrl === url);
+    const urls = new Set([...wantedUrls, ...this.#seedUrls.filter((url) => !isHeard(url))]);
     urls.delete(this.#options.selfUrl);
-    const dialled = [...urls].sort().join();
-    if (dialled !== this.#dialled) this.#options.peers.setAddresses([...urls]);
-    this.#dialled = dialled;
+    const addresses = [...urls].sort().join();
+    if (addresses !== this.#lastAddresses) this.#options.peers.setAddresses([...urls]);
+    this.#lastAddresses = addresses;
     this.#dropUnused(urls, isUsed);
   }
 
-  #dropUnused(urls: ReadonlySet<string>, isUsed: WantedLinks['isUsed']): void {
+  #dropUnused(keptUrls: ReadonlySet<string>, isUsed: LinkInputs['isUsed']): void {
     const { peers, clock } = this.#options;
-    const oldestMs = clock.nowMs() - UNUSED_AFTER_MS;
+    const linkedBeforeMs = clock.nowMs() - UNUSED_LINK_TIMEOUT_MS;
     peers
       .listLinked()
-      .filter(({ peerUrl }) => !urls.has(peerUrl))
-      .filter((peer) => (this.#upAtMs.get(peer.incarnation) ?? Infinity) < oldestMs)
+      .filter(({ peerUrl }) => !keptUrls.has(peerUrl))
+      .filter((peer) => (this.#linkedAtMs.get(peer.incarnation) ?? Infinity) < linkedBeforeMs)
       .filter((peer) => !isUsed(peer))
       .forEach(({ incarnation }) => peers.dropLink(incarnation));
   }
 
   #handleLink({ id, incarnation }: EntryHostIdentity, isUp: boolean): void {
     const { clock, log } = this.#options;
-    if (isUp) this.#upAtMs.set(incarnation, clock.nowMs());
-    else this.#upAtMs.delete(incarnation);
+    if (isUp) this.#linkedAtMs.set(incarnation, clock.nowMs());
+    else this.#linkedAtMs.delete(incarnation);
     log.write(LogLevel.Info, isUp ? 'dependency_regained' : 'dependency_lost', {
       dependency: 'peer',
       entryHost: id,
--- a/src/application/direct/_report_builder.ts
+++ b/src/application/direct/_report_builder.ts
@@ -11,13 +11,13 @@
 import { NO_FIGURES } from './report_figures.js';
 import type { FigureSources, ReportFigures } from './report_figures.js';
 import type { ReportRole } from './_report_role.js';
-import type { ReportSources } from './_report_sources.js';
+import type { ReceivedReports } from './_report_sources.js';
 
 /** What reports are built from. */
 export interface ReportBuilderOptions {
   readonly roster: Roster;
   readonly role: ReportRole;
-  readonly sources: ReportSources;
+  readonly received: ReceivedReports;
   readonly buildFigures: (sources: FigureSources) => ReportFigures;
 }
 
@@ -37,39 +37,45 @@
    * @returns the report
    */
   build(peer: EntryHostIdentity, scope: ReportScope, sequence: number): HostReportMessage {
-    const { roster, role, sources, buildFigures } = this.#options;
+    const { roster, role, received, buildFigures } = this.#options;
     const { incarnation } = peer;
-    const last = sources.find(incarnation)?.report;
-    const added = role.listFigureSources(scope, incarnation);
-    const incarnations = added.map(({ identity }) => identity.incarnation);
-    const hostCount = added.reduce((sum, { report }) => sum + report.hostCount, 1);
+    const lastReport = received.find(incarnation)?.report;
+    const addedReports = role.listAddedReports(scope, incarnation);
+    const incarnations = addedReports.map(({ identity }) => identity.incarnation);
+    const hostCount = addedReports.reduce((sum, { report }) => sum + report.hostCount, 1);
     // A member that strangers take for a relay only helps them to find one.
-    const hasFigures = scope === ReportScope.Member || role.isRelay;
-    const figures = hasFigures
+    const hasStats = scope === ReportScope.Member || role.isRelay;
+    const stats = hasStats
       ? buildFigures({ incarnations, scope, receiver: incarnation })
       : NO_FIGURES;
     // What another scope left out was never told.
-    const seenRevision = last?.heardScope === scope ? last.heardRosterRevision : 0;
+    const ackedRevision = lastReport?.heardScope === scope ? lastReport.heardRosterRevision : 0;
     return {
       type: PeerMessageType.HostReport,
       sequence,
-      heardSequence: last?.sequence ?? 0,
+      heardSequence: lastReport?.sequence ?? 0,
       scope,
-      hostCount: hasFigures ? hostCount : 0,
-      ...figures,
-      roster: this.#listRoster(peer, scope, seenRevision),
+      hostCount: hasStats ? hostCount : 0,
+      ...stats,
+      roster: this.#listRosterEntries(peer, scope, ackedRevision),
       rosterRevision: roster.revision,
-      heardRosterRevision: last?.rosterRevision ?? 0,
-      heardScope: last?.scope,
+      heardRosterRevision: lastReport?.rosterRevision ?? 0,
+      heardScope: lastReport?.scope,
     };
   }
 
-  #listRoster(peer: EntryHostIdentity, scope: ReportScope, after: number): RosterEntry[] {
+  #listRosterEntries(
+    peer: EntryHostIdentity,
+    scope: ReportScope,
+    afterRevision: number,
+  ): RosterEntry[] {
     const { roster, role } = this.#options;
-    const changes = roster.listChanges(after, scope === ReportScope.Fleet);
+    const changes = roster.listChanges(afterRevision, scope === ReportScope.Fleet);
     if (scope !== ReportScope.Group) return changes;
-    const told = new Set(changes.map(({ state }) => state.identity.id));
-    const relays = role.listRelaysFor(peer).filter(({ identity }) => !told.has(identity.id));
-    return [...changes, ...relays.map((state) => ({ state, isHeard: false }))];
+    const includedIds = new Set(changes.map(({ state }) => state.identity.id));
+    const missingRelays = role
+      .listRelaysFor(peer)
+      .filter(({ identity }) => !includedIds.has(identity.id));
+    return [...changes, ...missingRelays.map((state) => ({ state, isHeard: false }))];
   }
 }
--- a/src/application/direct/_report_role.ts
+++ b/src/application/direct/_report_role.ts
@@ -6,86 +6,86 @@
 import type { EntryHostIdentity } from '../../domain/membership/mod.js';
 import { pickRelays, ReportScope } from '../../domain/overlay/mod.js';
 import type { HostState, Roster } from '../../domain/overlay/mod.js';
-import { RelayChoice } from './_relay_choice.js';
-import type { RelayChoiceInputs } from './_relay_choice.js';
-import type { PictureOrigin, ReportSource, ReportSources } from './_report_sources.js';
+import { RelaySelector } from './_relay_choice.js';
+import type { RelaySelectionInputs } from './_relay_choice.js';
+import type { ViewOrigin, ReceivedReport, ReceivedReports } from './_report_sources.js';
 
 /** What a role follows from. */
 export interface ReportRoleOptions {
   readonly roster: Roster;
-  readonly sources: ReportSources;
+  readonly received: ReceivedReports;
 }
 
 /** Follows the plan of relays as entry hosts come and go. */
 export class ReportRole {
   readonly #roster: Roster;
 
-  readonly #sources: ReportSources;
+  readonly #received: ReceivedReports;
 
-  readonly #choice = new RelayChoice();
+  readonly #relaySelector = new RelaySelector();
 
   /** Names of the relays by the present plan. */
-  #relays: ReadonlySet<string> = new Set();
+  #relayIds: ReadonlySet<string> = new Set();
 
   #plannedRevision = 0;
 
   /** States of the relays by the plan, and of those that links are kept to by a relay. */
   #relayStates: readonly HostState[] = [];
 
-  #wantedByRelay: readonly HostState[] = [];
+  #relayLinkTargets: readonly HostState[] = [];
 
   /** @param options - what the role follows from */
-  constructor({ roster, sources }: ReportRoleOptions) {
+  constructor({ roster, received }: ReportRoleOptions) {
     this.#roster = roster;
-    this.#sources = sources;
+    this.#received = received;
   }
 
   /** Whether this entry host passes reports on. */
   get isRelay(): boolean {
-    return this.#relays.has(this.#roster.self.identity.id);
+    return this.#relayIds.has(this.#roster.self.identity.id);
   }
 
   /** Name of the relay that it is a member of; undefined for a relay. */
   get relayId(): string | undefined {
-    return this.isRelay ? undefined : this.#choice.id;
+    return this.isRelay ? undefined : this.#relaySelector.id;
   }
 
   /** How many relays there are by the plan. */
   get relayCount(): number {
-    return this.#relays.size;
+    return this.#relayIds.size;
   }
 
   /** Where its picture of all others comes from. */
-  get origin(): PictureOrigin {
+  get origin(): ViewOrigin {
     const relay = this.relayId === undefined ? undefined : this.#roster.find(this.relayId);
-    return { isRelay: this.isRelay, relay: relay?.identity.incarnation };
+    return { isRelay: this.isRelay, relayIncarnation: relay?.identity.incarnation };
   }
 
   /** @param id - an entry host's name. @returns whether it passes reports on, by the plan */
-  isPlanned(id: string): boolean {
-    return this.#relays.has(id);
+  isPlannedRelay(id: string): boolean {
+    return this.#relayIds.has(id);
   }
 
   /** @param incarnation - a peer's process. @returns whether it is a member of this relay */
   hasMember(incarnation: string): boolean {
-    return this.isRelay && this.#sources.find(incarnation)?.report.scope === ReportScope.Member;
+    return this.isRelay && this.#received.find(incarnation)?.report.scope === ReportScope.Member;
   }
 
   /** @param nowMs - monotonic time. @returns whether the role or the relay is another one now */
   update(nowMs: number): boolean {
-    const before = this.relayId;
+    const previousRelayId = this.relayId;
     const wasRelay = this.isRelay;
-    if (this.#roster.revision !== this.#plannedRevision) this.#plan();
-    if (!this.isRelay) this.#choice.update(this.#buildInputs(nowMs));
-    return wasRelay !== this.isRelay || before !== this.relayId;
+    if (this.#roster.revision !== this.#plannedRevision) this.#updatePlan();
+    if (!this.isRelay) this.#relaySelector.update(this.#buildSelectionInputs(nowMs));
+    return wasRelay !== this.isRelay || previousRelayId !== this.relayId;
   }
 
   /** @param source - a peer's report that was just heard */
-  noteReport({ identity, report, heardAtMs }: ReportSource): void {
-    const isServed = report.scope === ReportScope.Fleet && identity.id === this.relayId;
-    if (!isServed) return;
+  noteReport({ identity, report, receivedAtMs }: ReceivedReport): void {
+    const isFromOwnRelay = report.scope === ReportScope.Fleet && identity.id === this.relayId;
+    if (!isFromOwnRelay) return;
     const knownCount = this.#roster.size;
-    this.#choice.noteServed(report.hostCount, { knownCount, nowMs: heardAtMs });
+    this.#relaySelector.noteFleetReport(report.hostCount, { knownCount, nowMs: receivedAtMs });
   }
 
   /**
@@ -95,8 +95,8 @@
    *
    * @returns the peers
    */
-  listWanted(): readonly HostState[] {
-    if (this.isRelay) return this.#wantedByRelay;
+  listLinkTargets(): readonly HostState[] {
+    if (this.isRelay) return this.#relayLinkTargets;
     return this.#relayStates.filter(({ identity }) => identity.id === this.relayId);
   }
 
@@ -104,10 +104,10 @@
   pickScope(peer: EntryHostIdentity): ReportScope | undefined {
     if (this.hasMember(peer.incarnation)) return ReportScope.Fleet;
     if (!this.isRelay && peer.id === this.relayId) return ReportScope.Member;
-    const isRelay = this.#relays.has(peer.id);
-    const isStranger = !this.#roster.isHeard(peer.id);
-    const isFellow = this.isRelay && isRelay;
-    return isFellow || isStranger || this.#mustAnswer(peer) ? ReportScope.Group : undefined;
+    const isRelay = this.#relayIds.has(peer.id);
+    const isUnknown = !this.#roster.isHeard(peer.id);
+    const isBetweenRelays = this.isRelay && isRelay;
+    return isBetweenRelays || isUnknown || this.#mustAnswer(peer) ? ReportScope.Group : undefined;
   }
 
   /**
@@ -117,11 +117,11 @@
    * round.
    */
   #mustAnswer({ id, incarnation }: EntryHostIdentity): boolean {
-    const asked = this.#sources.find(incarnation)?.report;
-    if (asked?.scope !== ReportScope.Group) return false;
+    const request = this.#received.find(incarnation)?.report;
+    if (request?.scope !== ReportScope.Group) return false;
     // A member leaves it to its own relay to answer other relays, or it would count twice.
-    if (!this.isRelay && this.#relays.has(id)) return false;
-    return asked.hostCount > 0 || asked.heardSequence === 0;
+    if (!this.isRelay && this.#relayIds.has(id)) return false;
+    return request.hostCount > 0 || request.heardSequence === 0;
   }
 
   /**
@@ -134,7 +134,7 @@
    * @returns the relays' states; none for a relay of the plan, which links to all others
    */
   listRelaysFor({ id }: EntryHostIdentity): readonly HostState[] {
-    return this.#relays.has(id) ? [] : this.#relayStates;
+    return this.#relayIds.has(id) ? [] : this.#relayStates;
   }
 
   /**
@@ -144,31 +144,31 @@
    * @param receiver - incarnation of whom it is told to
    * @returns the reports
    */
-  listFigureSources(scope: ReportScope, receiver: string): ReportSource[] {
+  listAddedReports(scope: ReportScope, receiver: string): ReceivedReport[] {
     if (scope === ReportScope.Member || !this.isRelay) return [];
-    if (scope === ReportScope.Group) return this.#sources.listByScope(ReportScope.Member);
-    return this.#sources
+    if (scope === ReportScope.Group) return this.#received.listByScope(ReportScope.Member);
+    return this.#received
       .listCounted(this.origin)
       .filter(({ identity }) => identity.incarnation !== receiver);
   }
 
-  #plan(): void {
+  #updatePlan(): void {
     const { self, revision } = this.#roster;
     this.#plannedRevision = revision;
-    const pickStaying = (hosts: readonly HostState[]): ReadonlySet<string> =>
+    const pickRelayIds = (hosts: readonly HostState[]): ReadonlySet<string> =>
       pickRelays([self, ...hosts].filter(({ isLeaving }) => !isLeaving));
-    this.#relays = pickStaying(this.#roster.listPresumed());
-    const wouldBe = pickStaying(this.#roster.listKnown());
+    this.#relayIds = pickRelayIds(this.#roster.listPresumed());
+    const potentialRelayIds = pickRelayIds(this.#roster.listKnown());
     this.#relayStates = this.#roster
       .listPresumed()
-      .filter(({ identity }) => this.#relays.has(identity.id));
-    this.#wantedByRelay = this.#roster
+      .filter(({ identity }) => this.#relayIds.has(identity.id));
+    this.#relayLinkTargets = this.#roster
       .listKnown()
       .filter(({ isLeaving }) => !isLeaving)
-      .filter(({ identity: { id } }) => this.#relays.has(id) || wouldBe.has(id));
+      .filter(({ identity: { id } }) => this.#relayIds.has(id) || potentialRelayIds.has(id));
   }
 
-  #buildInputs(nowMs: number): RelayChoiceInputs {
+  #buildSelectionInputs(nowMs: number): RelaySelectionInputs {
     return {
       self: this.#roster.self,
       relays: this.#relayStates,
--- a/src/application/direct/_report_rounds.ts
+++ b/src/application/direct/_report_rounds.ts
@@ -19,19 +19,19 @@
  * at rest wakes once for both. At twenty hosts the processor time of start and rest fell by a
  * twentieth (two runs each, together with fewer looks at whether to read the store).
  */
-const ANSWER_GRACE_MS = 60;
+const MEMBER_GRACE_MS = 60;
 
 /** Shortest time between two reports of a member to its relay, in milliseconds: half an interval. */
-const MIN_ANSWER_MS = 75;
+const MIN_MEMBER_INTERVAL_MS = 75;
 
 /**
  * Time from a relay's reports to its members until those to other relays, in milliseconds: its
  * members have answered by then, and the others pass their figures on with their next round.
  */
-const FELLOWS_AFTER_MS = 75;
+const RELAY_SEND_DELAY_MS = 75;
 
 /** What the rounds need, and what they call. */
-export interface ReportRoundsOptions {
+export interface ReportSchedulerOptions {
   readonly clock: Clock;
   /** @returns whether a relay's reports set the pace */
   readonly isMember: () => boolean;
@@ -40,53 +40,53 @@
 }
 
 /** Calls for reports again and again. */
-export class ReportRounds {
-  readonly #options: ReportRoundsOptions;
+export class ReportScheduler {
+  readonly #options: ReportSchedulerOptions;
 
-  #timer: Timer | undefined;
+  #roundTimer: Timer | undefined;
 
-  #fellowsTimer: Timer | undefined;
+  #relaySendTimer: Timer | undefined;
 
-  #roundAtMs = Number.NEGATIVE_INFINITY;
+  #lastRoundAtMs = Number.NEGATIVE_INFINITY;
 
   #isRunning = false;
 
   /** @param options - what the rounds need */
-  constructor(options: ReportRoundsOptions) {
+  constructor(options: ReportSchedulerOptions) {
     this.#options = options;
   }
 
   /** Begins with a round now. */
   start(): void {
     this.#isRunning = true;
-    this.#run();
+    this.#runRound();
   }
 
   /** Takes note of a report of the relay: it is answered now, unless another one just was. */
   noteRelayReport(): void {
-    const sinceMs = this.#options.clock.nowMs() - this.#roundAtMs;
-    if (this.#isRunning && sinceMs >= MIN_ANSWER_MS) this.#run();
+    const elapsedMs = this.#options.clock.nowMs() - this.#lastRoundAtMs;
+    if (this.#isRunning && elapsedMs >= MIN_MEMBER_INTERVAL_MS) this.#runRound();
   }
 
   /** @param send - called when the members have answered this round */
-  scheduleFellows(send: () => void): void {
-    this.#fellowsTimer?.cancel();
-    this.#fellowsTimer = this.#options.clock.setTimer(FELLOWS_AFTER_MS, send);
+  scheduleRelaySend(send: () => void): void {
+    this.#relaySendTimer?.cancel();
+    this.#relaySendTimer = this.#options.clock.setTimer(RELAY_SEND_DELAY_MS, send);
   }
 
   /** Calls no more. */
   stop(): void {
     this.#isRunning = false;
-    this.#timer?.cancel();
-    this.#fellowsTimer?.cancel();
+    this.#roundTimer?.cancel();
+    this.#relaySendTimer?.cancel();
   }
 
-  #run(): void {
+  #runRound(): void {
     const { clock, isMember, onRound } = this.#options;
-    this.#timer?.cancel();
-    this.#roundAtMs = clock.nowMs();
+    this.#roundTimer?.cancel();
+    this.#lastRoundAtMs = clock.nowMs();
     onRound();
-    const graceMs = isMember() ? ANSWER_GRACE_MS : 0;
-    this.#timer = clock.setTimer(REPORT_INTERVAL_MS + graceMs, () => this.#run());
+    const graceMs = isMember() ? MEMBER_GRACE_MS : 0;
+    this.#roundTimer = clock.setTimer(REPORT_INTERVAL_MS + graceMs, () => this.#runRound());
   }
 }
--- a/src/application/direct/_report_sources.ts
+++ b/src/application/direct/_report_sources.ts
@@ -14,55 +14,55 @@
 export const REACH_SILENT_MS = 450;
 
 /** A peer's newest report. */
-export interface ReportSource {
+export interface ReceivedReport {
   readonly identity: EntryHostIdentity;
   readonly report: HostReportMessage;
-  readonly heardAtMs: number;
+  readonly receivedAtMs: number;
 }
 
 /** Where this entry host's picture of all others comes from. */
-export interface PictureOrigin {
+export interface ViewOrigin {
   /** Whether it passes reports on for others. */
   readonly isRelay: boolean;
   /** Incarnation of the relay that it is a member of. */
-  readonly relay: string | undefined;
+  readonly relayIncarnation: string | undefined;
 }
 
 /** Keeps reports, and tells which of them count. */
-export class ReportSources {
-  readonly #sources = new Map<string, ReportSource>();
+export class ReceivedReports {
+  readonly #byIncarnation = new Map<string, ReceivedReport>();
 
-  /** @param source - a peer and its newest report; a former process of the same host counts no more */
-  put(source: ReportSource): void {
-    const { id, incarnation } = source.identity;
-    if (!this.#sources.has(incarnation)) {
-      [...this.#sources.values()]
+  /** @param received - a peer and its newest report; a former process of the same host counts no more */
+  put(received: ReceivedReport): void {
+    const { id, incarnation } = received.identity;
+    if (!this.#byIncarnation.has(incarnation)) {
+      [...this.#byIncarnation.values()]
         .filter(({ identity }) => identity.id === id)
-        .forEach(({ identity }) => this.#sources.delete(identity.incarnation));
+        .forEach(({ identity }) => this.#byIncarnation.delete(identity.incarnation));
     }
-    this.#sources.set(incarnation, source);
+    this.#byIncarnation.set(incarnation, received);
   }
 
   /** @param incarnation - a peer's process. @returns its newest report */
-  find(incarnation: string): ReportSource | undefined {
-    return this.#sources.get(incarnation);
+  find(incarnation: string): ReceivedReport | undefined {
+    return this.#byIncarnation.get(incarnation);
   }
 
   /** Forgets peers that were silent for too long. @param nowMs - monotonic time in milliseconds */
   dropSilent(nowMs: number): void {
-    this.#sources.forEach(({ heardAtMs }, incarnation) => {
-      if (nowMs - heardAtMs > SILENT_AFTER_MS) this.#sources.delete(incarnation);
+    this.#byIncarnation.forEach(({ receivedAtMs }, incarnation) => {
+      if (nowMs - receivedAtMs > SILENT_AFTER_MS) this.#byIncarnation.delete(incarnation);
     });
   }
 
   /** @param scope - whose figures. @returns peers whose newest report has these */
-  listByScope(scope: ReportScope): ReportSource[] {
-    return [...this.#sources.values()].filter(({ report }) => report.scope === scope);
+  listByScope(scope: ReportScope): ReceivedReport[] {
+    return [...this.#byIncarnation.values()].filter(({ report }) => report.scope === scope);
   }
 
   /** @param origin - where the picture comes from. @returns the reports that count */
-  listCounted(origin: PictureOrigin): ReportSource[] {
-    return [...this.#sources.values()].filter((source) => isCounted(source, origin));
+  listCounted(origin: ViewOrigin): ReceivedReport[] {
+    return [...this.#byIncarnation.values()].filter((source) => isCounted(source, origin));
   }
 
   /**
@@ -72,9 +72,9 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns how many, this one left out
    */
-  countReached(origin: PictureOrigin, nowMs: number): number {
+  countReachable(origin: ViewOrigin, nowMs: number): number {
     return this.listCounted(origin)
-      .filter(({ heardAtMs }) => nowMs - heardAtMs <= REACH_SILENT_MS)
+      .filter(({ receivedAtMs }) => nowMs - receivedAtMs <= REACH_SILENT_MS)
       .reduce((sum, { report }) => sum + report.hostCount, 0);
   }
 }
@@ -89,9 +89,9 @@
  * @returns whether it counts
  */
 export function isCounted(
-  { identity, report }: ReportSource,
-  { isRelay, relay }: PictureOrigin,
+  { identity, report }: ReceivedReport,
+  { isRelay, relayIncarnation }: ViewOrigin,
 ): boolean {
   if (isRelay) return report.scope !== ReportScope.Fleet;
-  return report.scope === ReportScope.Fleet && identity.incarnation === relay;
+  return report.scope === ReportScope.Fleet && identity.incarnation === relayIncarnation;
 }
--- a/src/application/direct/_roster_log.ts
+++ b/src/application/direct/_roster_log.ts
@@ -17,17 +17,17 @@
   }
 
   /** @param identity - an entry host that is heard of */
-  noteSeen({ id, incarnation, peerUrl }: EntryHostIdentity): void {
+  logSeen({ id, incarnation, peerUrl }: EntryHostIdentity): void {
     this.#log.write(LogLevel.Info, 'entry_host_seen', { entryHost: id, incarnation, peerUrl });
   }
 
   /** @param identity - an entry host that nobody hears any more */
-  noteSilent({ id }: EntryHostIdentity): void {
+  logSilent({ id }: EntryHostIdentity): void {
     this.#log.write(LogLevel.Warn, 'entry_host_silent', { entryHost: id });
   }
 
   /** @param identity - an entry host that was silent for long */
-  noteForgotten({ id }: EntryHostIdentity): void {
+  logForgotten({ id }: EntryHostIdentity): void {
     this.#log.write(LogLevel.Info, 'entry_host_forgotten', { entryHost: id });
   }
 }
--- a/src/application/direct/_sent_reports.ts
+++ b/src/application/direct/_sent_reports.ts
@@ -7,7 +7,7 @@
 import type { Clock } from '../../ports/mod.js';
 
 /** Reports whose sending is remembered: what answers an older one is too old to be of use. */
-const REMEMBERED_REPORTS = 64;
+const MAX_REMEMBERED_REPORTS = 64;
 
 /** Numbers reports, and remembers the newest ones' moments. */
 export class SentReports {
@@ -28,15 +28,15 @@
   }
 
   /** Takes note that a new report is being sent. */
-  begin(): void {
+  beginReport(): void {
     this.#sequence += 1;
     const moment = { steadyMs: this.#clock.nowMs(), wallMs: this.#clock.wallMs() };
     this.#sentAt.set(this.#sequence, moment);
-    this.#sentAt.delete(this.#sequence - REMEMBERED_REPORTS);
+    this.#sentAt.delete(this.#sequence - MAX_REMEMBERED_REPORTS);
   }
 
   /** @param sequence - a report. @returns when it was sent, unless that is long ago */
-  find(sequence: number): Moment | undefined {
+  findSentAt(sequence: number): Moment | undefined {
     return this.#sentAt.get(sequence);
   }
 }
--- a/src/application/direct/feed_follower.ts
+++ b/src/application/direct/feed_follower.ts
@@ -41,7 +41,7 @@
  * Time after an outage in which missing entries may only have lapsed, in
  * milliseconds: they are written again within about two seconds of the return.
  */
-const SETTLE_MS = 2_000;
+const REREGISTRATION_MS = 2_000;
 
 /** When and under which circumstances an answer was asked for. */
 export interface FeedContext {
@@ -91,17 +91,17 @@
   #hasLostHistory = false;
 
   /** Keys that were there when last heard of. */
-  readonly #keys = new Set<string>();
+  readonly #presentKeys = new Set<string>();
 
   #firstReadAtMs = Infinity;
 
-  #failures = 0;
+  #failureCount = 0;
 
-  #settlesAtMs = Number.NEGATIVE_INFINITY;
+  #reregisteredAtMs = Number.NEGATIVE_INFINITY;
 
   #isRunning = false;
 
-  #endIdle: () => void = () => undefined;
+  #cancelIdleWait: () => void = () => undefined;
 
   /** @param options - what to follow */
   constructor(options: FeedFollowerOptions) {
@@ -110,7 +110,7 @@
 
   /** Whether the last read of its own reached the store. */
   get isInTouch(): boolean {
-    return this.#failures === 0;
+    return this.#failureCount === 0;
   }
 
   /** When it had read everything for the first time, on the monotonic clock; Infinity before. */
@@ -146,7 +146,7 @@
     if (this.#revision === undefined) return false;
     if (update.fromRevision > this.#revision) {
       this.#hasGap = true;
-      this.#endIdle();
+      this.#cancelIdleWait();
       return false;
     }
     this.#apply(update, context);
@@ -156,39 +156,39 @@
   *#run(): Step<void> {
     while (this.#isRunning) {
       try {
-        yield* this.#step();
+        yield* this.#runStep();
       } catch (error) {
         yield* this.#handleFailure(error);
       }
     }
   }
 
-  *#step(): Step<void> {
+  *#runStep(): Step<void> {
     const plan = this.#options.getReadPlan();
     const waitMs = this.#hasGap ? PROBE_WAIT_MS : plan.waitMs;
-    if (this.#revision === undefined || this.#hasLostHistory) yield* this.#readAll();
+    if (this.#revision === undefined || this.#hasLostHistory) yield* this.#readSnapshot();
     else if (waitMs === undefined) yield* settle(this.#waitIdle(plan.lookAfterMs));
     else yield* this.#readChanges(this.#revision, waitMs);
   }
 
-  *#readAll(): Step<void> {
+  *#readSnapshot(): Step<void> {
     const { feed, onAll, onRead } = this.#options;
     const askedAt = this.#readMoment();
     const { items, revision } = yield* settle(feed.readAll(''));
-    const isFilled = this.#revision !== undefined && !this.#hasLostHistory;
-    if (isFilled) {
+    const wasFilledByPeer = this.#revision !== undefined && !this.#hasLostHistory;
+    if (wasFilledByPeer) {
       // A peer has told the missing changes meanwhile, and maybe newer ones.
       this.#noteSuccess();
       return;
     }
-    const context = { askedAt, ageMs: 0, wasAway: this.#wasAway() };
+    const context = { askedAt, ageMs: 0, wasAway: this.#wasStoreAway() };
     const update = this.#buildCatchUp(items, revision);
     this.#revision = revision;
     this.#firstReadAtMs = Math.min(this.#firstReadAtMs, this.#options.clock.nowMs());
     this.#hasGap = false;
     this.#hasLostHistory = false;
-    this.#keys.clear();
-    items.forEach(({ key }) => this.#keys.add(key));
+    this.#presentKeys.clear();
+    items.forEach(({ key }) => this.#presentKeys.add(key));
     onAll(items, context);
     if (update) onRead(update, context);
     this.#noteSuccess();
@@ -202,11 +202,11 @@
   #buildCatchUp(items: readonly FeedItem[], toRevision: number): FeedUpdate | undefined {
     const fromRevision = this.#revision;
     if (fromRevision === undefined) return undefined;
-    const present = new Set(items.map(({ key }) => key));
-    const removed = [...this.#keys].filter((key) => !present.has(key));
+    const snapshotKeys = new Set(items.map(({ key }) => key));
+    const removedKeys = [...this.#presentKeys].filter((key) => !snapshotKeys.has(key));
     const changes = [
       ...items.filter(({ revision }) => revision > fromRevision),
-      ...removed.map((key) => ({ key, value: undefined, revision: toRevision })),
+      ...removedKeys.map((key) => ({ key, value: undefined, revision: toRevision })),
     ];
     return { fromRevision, toRevision: Math.max(fromRevision, toRevision), changes };
   }
@@ -215,10 +215,10 @@
     const { feed, onRead } = this.#options;
     const askedAt = this.#readMoment();
     // After a failure the first read doesn't wait: the store's return is known at once.
-    const longestMs = this.#failures > 0 ? PROBE_WAIT_MS : waitMs;
-    const { changes, revision } = yield* settle(feed.readChanges('', after, longestMs));
+    const maxWaitMs = this.#failureCount > 0 ? PROBE_WAIT_MS : waitMs;
+    const { changes, revision } = yield* settle(feed.readChanges('', after, maxWaitMs));
     const update = { fromRevision: after, toRevision: Math.max(after, revision), changes };
-    const context = { askedAt, ageMs: 0, wasAway: this.#wasAway() };
+    const context = { askedAt, ageMs: 0, wasAway: this.#wasStoreAway() };
     this.#hasGap = false;
     this.#apply(update, context);
     onRead(update, context);
@@ -230,16 +230,16 @@
    * way, are left out: an older one must not undo a newer one.
    */
   #apply({ toRevision, changes }: FeedUpdate, context: FeedContext): void {
-    const known = this.#revision ?? 0;
-    this.#revision = Math.max(known, toRevision);
+    const knownRevision = this.#revision ?? 0;
+    this.#revision = Math.max(knownRevision, toRevision);
     // What was missing came with this update: it begins at or before the known revision.
     this.#hasLostHistory = false;
-    const news = changes.filter(({ revision }) => revision > known);
-    news.forEach(({ key, value }) => {
-      if (value) this.#keys.add(key);
-      else this.#keys.delete(key);
+    const newChanges = changes.filter(({ revision }) => revision > knownRevision);
+    newChanges.forEach(({ key, value }) => {
+      if (value) this.#presentKeys.add(key);
+      else this.#presentKeys.delete(key);
     });
-    this.#options.onChanges(news, context);
+    this.#options.onChanges(newChanges, context);
   }
 
   *#handleFailure(error: unknown): Step<void> {
@@ -250,30 +250,30 @@
       this.#hasLostHistory = true;
       return;
     }
-    this.#failures += 1;
-    if (this.#failures === 1) {
+    this.#failureCount += 1;
+    if (this.#failureCount === 1) {
       const reason = formatReason(error);
       log.write(LogLevel.Warn, 'dependency_lost', { dependency: 'store', reason });
     }
     const { minMs, maxMs } = this.#options.getRetryPauses();
-    const longestMs = Math.min(maxMs, minMs * 2 ** (this.#failures - 1));
-    yield* settle(this.#wait(longestMs * (0.5 + this.#options.random.nextFraction() / 2)));
+    const maxDelayMs = Math.min(maxMs, minMs * 2 ** (this.#failureCount - 1));
+    yield* settle(this.#wait(maxDelayMs * (0.5 + this.#options.random.nextFraction() / 2)));
   }
 
   #noteSuccess(): void {
-    if (this.#failures === 0) return;
+    if (this.#failureCount === 0) return;
     const { log, clock } = this.#options;
     log.write(LogLevel.Info, 'dependency_regained', {
       dependency: 'store',
-      failedReads: this.#failures,
+      failedReads: this.#failureCount,
       revision: this.#revision,
     });
-    this.#failures = 0;
-    this.#settlesAtMs = clock.nowMs() + SETTLE_MS;
+    this.#failureCount = 0;
+    this.#reregisteredAtMs = clock.nowMs() + REREGISTRATION_MS;
   }
 
-  #wasAway(): boolean {
-    return this.#failures > 0 || this.#options.clock.nowMs() < this.#settlesAtMs;
+  #wasStoreAway(): boolean {
+    return this.#failureCount > 0 || this.#options.clock.nowMs() < this.#reregisteredAtMs;
   }
 
   #readMoment(): Moment {
@@ -285,7 +285,7 @@
   #waitIdle(delayMs: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = this.#options.clock.setTimer(delayMs, resolve);
-      this.#endIdle = () => {
+      this.#cancelIdleWait = () => {
         timer.cancel();
         resolve();
       };
--- a/src/application/direct/feed_follower_test.ts
+++ b/src/application/direct/feed_follower_test.ts
@@ -7,14 +7,14 @@
 import type { FeedContext, FeedUpdate } from './mod.js';
 
 /** What a follower was told, in order. */
-class Told {
+class FollowerHarness {
   readonly clock = new VirtualClock();
 
   readonly feed = new FakeFeed(this.clock);
 
   readonly log = new FakeLog();
 
-  readonly lines: string[] = [];
+  readonly calls: string[] = [];
 
   readonly contexts: FeedContext[] = [];
 
@@ -37,124 +37,127 @@
       random: new SeededRandom(),
       metrics: new FakeMetrics(),
       onAll: (items, context) => {
-        this.lines.push(`all ${items.map(({ key }) => key).join()}`);
+        this.calls.push(`all ${items.map(({ key }) => key).join()}`);
         this.contexts.push(context);
       },
       onChanges: (changes, context) => {
         const parts = changes.map(({ key, value }) => (value ? key : `-${key}`));
-        this.lines.push(`changes ${parts.join()}`);
+        this.calls.push(`changes ${parts.join()}`);
         this.contexts.push(context);
       },
     });
     t.teardown(() => this.follower.stop());
   }
 
-  countEvents(event: string): number {
+  countLogEvents(event: string): number {
     return this.log.lines.filter((line) => line.event === event).length;
   }
 }
 
 t.test('FeedFollower reads everything, then each change as it comes', async (t) => {
-  const told = new Told(t);
-  told.feed.put('p/a', 1);
-  told.follower.start();
+  const harness = new FollowerHarness(t);
+  harness.feed.put('p/a', 1);
+  harness.follower.start();
   await settle();
-  told.feed.put('p/c', 1);
+  harness.feed.put('p/c', 1);
   await settle();
-  told.feed.remove('p/a');
+  harness.feed.remove('p/a');
   await settle();
-  t.same(told.lines, ['all p/a', 'changes p/c', 'changes -p/a']);
+  t.same(harness.calls, ['all p/a', 'changes p/c', 'changes -p/a']);
 });
 
 t.test('FeedFollower tells that nothing changed, and when it asked', async (t) => {
-  const told = new Told(t);
-  told.follower.start();
+  const harness = new FollowerHarness(t);
+  harness.follower.start();
   await settle();
-  const askedAtMs = told.clock.nowMs();
-  await told.clock.advance(1_000);
-  t.equal(told.lines.at(-1), 'changes ');
-  t.equal(told.contexts.at(-1)?.askedAt.steadyMs, askedAtMs);
+  const askedAtMs = harness.clock.nowMs();
+  await harness.clock.advance(1_000);
+  t.equal(harness.calls.at(-1), 'changes ');
+  t.equal(harness.contexts.at(-1)?.askedAt.steadyMs, askedAtMs);
 });
 
 t.test('FeedFollower reads everything anew when changes were forgotten', async (t) => {
   // Symptom: a backend server that left is used for good.
   // Sequence: the store drops its history while a watch is cut; a server leaves in between.
   // Cause: the watch went on from the next change, and the one in the gap was never seen.
-  const told = new Told(t);
-  told.feed.put('p/a', 1);
-  told.follower.start();
+  const harness = new FollowerHarness(t);
+  harness.feed.put('p/a', 1);
+  harness.follower.start();
   await settle();
-  told.feed.isDown = true;
-  await told.clock.advance(1_000);
-  told.feed.remove('p/a');
-  told.feed.forgetHistory();
-  told.feed.isDown = false;
-  await told.clock.advance(1_000);
+  harness.feed.isDown = true;
+  await harness.clock.advance(1_000);
+  harness.feed.remove('p/a');
+  harness.feed.forgetHistory();
+  harness.feed.isDown = false;
+  await harness.clock.advance(1_000);
   t.match(
-    told.lines.filter((line) => line.startsWith('all')),
+    harness.calls.filter((line) => line.startsWith('all')),
     ['all p/a', 'all '],
   );
-  t.equal(told.countEvents('feed_history_lost'), 1);
+  t.equal(harness.countLogEvents('feed_history_lost'), 1);
 });
 
 t.test('FeedFollower keeps what a peer tells while it reads everything anew', async (t) => {
   // Symptom: a backend server that left is given work again.
   // Sequence: the history is gone; while everything is read, a peer tells a newer change.
   // Cause: what was read before that change took its place.
-  const told = new Told(t);
-  told.feed.put('p/a', 1);
-  told.follower.start();
+  const harness = new FollowerHarness(t);
+  harness.feed.put('p/a', 1);
+  harness.follower.start();
   await settle();
-  told.feed.forgetHistory();
-  const asked = told.feed.holdAll();
-  told.feed.put('p/b', 1);
-  await told.clock.advance(1_000);
-  told.follower.applyUpdate(
+  harness.feed.forgetHistory();
+  const asked = harness.feed.holdAll();
+  harness.feed.put('p/b', 1);
+  await harness.clock.advance(1_000);
+  harness.follower.applyUpdate(
     { fromRevision: 1, toRevision: 9, changes: [{ key: 'p/a', value: undefined, revision: 9 }] },
     { askedAt: { steadyMs: 0, wallMs: 0 }, ageMs: 0, wasAway: false },
   );
   asked.release();
   await settle();
-  t.equal(told.lines.filter((line) => line.startsWith('all')).length, 1);
-  t.equal(told.lines.includes('changes -p/a'), true);
+  t.equal(harness.calls.filter((line) => line.startsWith('all')).length, 1);
+  t.equal(harness.calls.includes('changes -p/a'), true);
 });
 
 t.test('FeedFollower says once that the store is lost, and once that it is back', async (t) => {
-  const told = new Told(t);
-  told.follower.start();
+  const harness = new FollowerHarness(t);
+  harness.follower.start();
   await settle();
-  told.feed.isDown = true;
-  await told.clock.advance(5_000);
-  told.feed.isDown = false;
-  await told.clock.advance(1_000);
-  t.equal(told.countEvents('dependency_lost'), 1);
-  t.equal(told.countEvents('dependency_regained'), 1);
+  harness.feed.isDown = true;
+  await harness.clock.advance(5_000);
+  harness.feed.isDown = false;
+  await harness.clock.advance(1_000);
+  t.equal(harness.countLogEvents('dependency_lost'), 1);
+  t.equal(harness.countLogEvents('dependency_regained'), 1);
 });
 
 t.test('FeedFollower asks a store that is down a few times a second, and not more', async (t) => {
-  const told = new Told(t);
-  told.feed.isDown = true;
-  told.follower.start();
-  await told.clock.advance(10_000);
-  t.ok(told.feed.readCount >= 20 && told.feed.readCount <= 60, String(told.feed.readCount));
+  const harness = new FollowerHarness(t);
+  harness.feed.isDown = true;
+  harness.follower.start();
+  await harness.clock.advance(10_000);
+  t.ok(
+    harness.feed.readCount >= 20 && harness.feed.readCount <= 60,
+    String(harness.feed.readCount),
+  );
 });
 
 t.test('FeedFollower tells for a while after an outage that entries may have lapsed', async (t) => {
-  const told = new Told(t);
-  told.follower.start();
+  const harness = new FollowerHarness(t);
+  harness.follower.start();
   await settle();
-  t.equal(told.contexts.at(-1)?.wasAway, false);
-  told.feed.isDown = true;
-  await told.clock.advance(2_000);
-  told.feed.isDown = false;
-  await told.clock.advance(500);
-  told.feed.put('p/a', 1);
+  t.equal(harness.contexts.at(-1)?.wasAway, false);
+  harness.feed.isDown = true;
+  await harness.clock.advance(2_000);
+  harness.feed.isDown = false;
+  await harness.clock.advance(500);
+  harness.feed.put('p/a', 1);
   await settle();
-  t.equal(told.contexts.at(-1)?.wasAway, true);
-  await told.clock.advance(2_500);
-  told.feed.put('p/b', 1);
+  t.equal(harness.contexts.at(-1)?.wasAway, true);
+  await harness.clock.advance(2_500);
+  harness.feed.put('p/b', 1);
   await settle();
-  t.equal(told.contexts.at(-1)?.wasAway, false);
+  t.equal(harness.contexts.at(-1)?.wasAway, false);
 });
 
 function buildUpdate(fromRevision: number, keys: readonly string[]): FeedUpdate {
@@ -173,42 +176,42 @@
 };
 
 t.test('FeedFollower reads nothing while peers read, and takes in what they tell', async (t) => {
-  const told = new Told(t);
-  told.feed.put('p/a', 1);
-  told.follower.start();
+  const harness = new FollowerHarness(t);
+  harness.feed.put('p/a', 1);
+  harness.follower.start();
   await settle();
-  told.waitMs = undefined;
-  await told.clock.advance(1_100);
-  const { readCount } = told.feed;
-  t.ok(told.follower.applyUpdate(buildUpdate(1, ['p/b', 'p/c']), FROM_PEER));
-  await told.clock.advance(3_000);
-  t.equal(told.feed.readCount, readCount);
-  t.equal(told.lines.at(-1), 'changes p/b,p/c');
+  harness.waitMs = undefined;
+  await harness.clock.advance(1_100);
+  const { readCount } = harness.feed;
+  t.ok(harness.follower.applyUpdate(buildUpdate(1, ['p/b', 'p/c']), FROM_PEER));
+  await harness.clock.advance(3_000);
+  t.equal(harness.feed.readCount, readCount);
+  t.equal(harness.calls.at(-1), 'changes p/b,p/c');
 });
 
 t.test('FeedFollower reads what lies between it and a peer from the store', async (t) => {
   // Symptom: one entry host sends work to a backend server that the others know to be gone.
   // Sequence: a peer's update is lost; the next one is taken in as if it followed.
   // Cause: a gap between two updates went unseen.
-  const told = new Told(t);
-  told.feed.put('p/a', 1);
-  told.follower.start();
+  const harness = new FollowerHarness(t);
+  harness.feed.put('p/a', 1);
+  harness.follower.start();
   await settle();
-  told.waitMs = undefined;
-  await told.clock.advance(1_100);
-  told.feed.put('p/b', 1);
-  told.feed.put('p/c', 1);
-  t.notOk(told.follower.applyUpdate(buildUpdate(2, ['p/c']), FROM_PEER));
-  await told.clock.advance(200);
-  t.equal(told.lines.at(-1), 'changes p/b,p/c');
+  harness.waitMs = undefined;
+  await harness.clock.advance(1_100);
+  harness.feed.put('p/b', 1);
+  harness.feed.put('p/c', 1);
+  t.notOk(harness.follower.applyUpdate(buildUpdate(2, ['p/c']), FROM_PEER));
+  await harness.clock.advance(200);
+  t.equal(harness.calls.at(-1), 'changes p/b,p/c');
 });
 
 t.test('FeedFollower lets no older change undo a newer one', async (t) => {
-  const told = new Told(t);
-  told.follower.start();
+  const harness = new FollowerHarness(t);
+  harness.follower.start();
   await settle();
-  told.feed.put('p/a', 1);
-  t.ok(told.follower.applyUpdate(buildUpdate(0, ['p/a', 'p/b']), FROM_PEER));
+  harness.feed.put('p/a', 1);
+  t.ok(harness.follower.applyUpdate(buildUpdate(0, ['p/a', 'p/b']), FROM_PEER));
   await settle();
-  t.same(told.lines, ['all ', 'changes p/a,p/b', 'changes ']);
+  t.same(harness.calls, ['all ', 'changes p/a,p/b', 'changes ']);
 });
--- a/src/application/direct/feed_sharing.ts
+++ b/src/application/direct/feed_sharing.ts
@@ -32,38 +32,38 @@
  * milliseconds: half as long again as the first reader's wait. A configuration must
  * be in force within two seconds, also when a reader has just died.
  */
-const TAKE_OVER_MS = 1_200;
+const TAKEOVER_AFTER_MS = 1_200;
 
 /**
  * Time over which the relays, and after them the members, take over one after the other, in
  * milliseconds. Whoever is first tells the others within some milliseconds. Twenty hosts that
  * took over at once made 18 calls, and 18 more when the store cut them off.
  */
-const RELAY_SPREAD_MS = 400;
-const MEMBER_SPREAD_MS = 800;
+const RELAY_STAGGER_MS = 400;
+const MEMBER_STAGGER_MS = 800;
 
 /**
  * Time after the start in which an entry host that has read everything reads no more unless
  * nothing is heard, in milliseconds. At first each knows nobody and takes itself for the reader.
  */
-const SETTLE_MS = 1_000;
+const STARTUP_READ_PAUSE_MS = 1_000;
 
 /** Entry hosts that ask a store that doesn't answer often; the others hear from them. */
-const LEADING_HOSTS = 4;
+const FAST_RETRY_HOSTS = 4;
 
 /** Their pauses: the store's return must not be noticed late. */
 export const LEADING_PAUSES: RetryPauses = { minMs: 50, maxMs: 400 };
 
 /** Pauses of the others. */
-const FOLLOWING_PAUSES: RetryPauses = { minMs: 400, maxMs: 2_000 };
+const SLOW_RETRY_BACKOFF: RetryPauses = { minMs: 400, maxMs: 2_000 };
 
 /**
  * Shortest and longest time between two looks at whether to read, in milliseconds. Word comes
  * every 0.8 s and is waited for; a host that has become a reader by another one's end notices
  * it after the longest one at the latest, well before anybody takes over.
  */
-const MIN_IDLE_MS = 100;
-const MAX_IDLE_MS = 500;
+const MIN_RECHECK_MS = 100;
+const MAX_RECHECK_MS = 500;
 
 /** Time between two tries of an entry host that can't reach the store itself while peers can, in milliseconds. */
 const PROBE_INTERVAL_MS = 2_000;
@@ -75,14 +75,14 @@
  * How much longer than a relay a member waits for word from a reader, in milliseconds:
  * when the readers go, relays read, and not all entry hosts at the same moment.
  */
-const MEMBER_PATIENCE_MS = 400;
+const MEMBER_TAKEOVER_DELAY_MS = 400;
 
 /** Where an entry host stands among those that may read. */
-interface ReaderOrder {
+interface ReaderRank {
   /** 0: it reads first. */
-  readonly place: number;
+  readonly rank: number;
   /** Part of its fellow relays, or fellow members, that go before it. */
-  readonly part: number;
+  readonly precedingFraction: number;
 }
 
 /** What the sharing needs. */
@@ -106,16 +106,16 @@
   readonly #options: FeedSharingOptions;
 
   /** Age of what was told to others last. */
-  readonly #toldAge = new ConfirmedAge();
+  readonly #sentAge = new ConfirmedAge();
 
   /** Newest revision that was told to others. */
-  #toldRevision = 0;
+  #sentRevision = 0;
 
-  #heardAtMs = Number.NEGATIVE_INFINITY;
+  #lastUpdateAtMs = Number.NEGATIVE_INFINITY;
 
-  #readAtMs = Number.NEGATIVE_INFINITY;
+  #lastReadAtMs = Number.NEGATIVE_INFINITY;
 
-  #probedAtMs = Number.NEGATIVE_INFINITY;
+  #lastProbeAtMs = Number.NEGATIVE_INFINITY;
 
   /** @param options - what the sharing needs */
   constructor(options: FeedSharingOptions) {
@@ -127,20 +127,23 @@
 
   /** @returns what the follower is to do next */
   getReadPlan(): ReadPlan {
-    const order = this.#computeReaderOrder();
+    const readerRank = this.#computeReaderRank();
     const nowMs = this.#options.clock.nowMs();
-    const lastWordMs = Math.max(this.#heardAtMs, this.#options.follower.firstReadAtMs);
-    const leftMs = lastWordMs + this.#computePatienceMs(order) - nowMs;
+    const lastNewsAtMs = Math.max(this.#lastUpdateAtMs, this.#options.follower.firstReadAtMs);
+    const remainingMs = lastNewsAtMs + this.#computeTakeoverDelayMs(readerRank) - nowMs;
     return {
-      waitMs: leftMs < 0 ? this.#computeTakeOverMs(nowMs) : this.#computeWaitMs(order, nowMs),
-      lookAfterMs: Math.min(MAX_IDLE_MS, Math.max(MIN_IDLE_MS, leftMs)),
+      waitMs:
+        remainingMs < 0
+          ? this.#computeTakeoverWaitMs(nowMs)
+          : this.#computeWaitMs(readerRank, nowMs),
+      lookAfterMs: Math.min(MAX_RECHECK_MS, Math.max(MIN_RECHECK_MS, remainingMs)),
     };
   }
 
   /** @returns pauses between two tries while the store doesn't answer */
   getRetryPauses(): RetryPauses {
-    const { place } = this.#computeOrder(this.#options.reports.listHeard());
-    return place < LEADING_HOSTS ? LEADING_PAUSES : FOLLOWING_PAUSES;
+    const { rank } = this.#computeRank(this.#options.reports.listHeard());
+    return rank < FAST_RETRY_HOSTS ? LEADING_PAUSES : SLOW_RETRY_BACKOFF;
   }
 
   /**
@@ -151,8 +154,8 @@
    */
   sendUpdate(update: FeedUpdate, context: FeedContext): void {
     const { reports, clock } = this.#options;
-    this.#readAtMs = clock.nowMs();
-    this.#noteTold(update, context);
+    this.#lastReadAtMs = clock.nowMs();
+    this.#recordSent(update, context);
     this.#sendTo(reports.listTargets(), update, context);
   }
 
@@ -177,44 +180,45 @@
   }
 
   /** The first read answers at once, so that all others hear. */
-  #computeTakeOverMs(nowMs: number): number | undefined {
-    return nowMs - this.#readAtMs > TAKE_OVER_MS ? PROBE_WAIT_MS : READER_WAITS_MS[0];
+  #computeTakeoverWaitMs(nowMs: number): number | undefined {
+    return nowMs - this.#lastReadAtMs > TAKEOVER_AFTER_MS ? PROBE_WAIT_MS : READER_WAITS_MS[0];
   }
 
-  #computeWaitMs({ place }: ReaderOrder, nowMs: number): number | undefined {
+  #computeWaitMs({ rank }: ReaderRank, nowMs: number): number | undefined {
     const { follower } = this.#options;
     if (follower.isInTouch) {
-      const isSettled = nowMs - follower.firstReadAtMs >= SETTLE_MS;
-      return isSettled ? READER_WAITS_MS[place] : undefined;
+      const isSettled = nowMs - follower.firstReadAtMs >= STARTUP_READ_PAUSE_MS;
+      return isSettled ? READER_WAITS_MS[rank] : undefined;
     }
-    if (nowMs - this.#probedAtMs < PROBE_INTERVAL_MS) return undefined;
-    this.#probedAtMs = nowMs;
+    if (nowMs - this.#lastProbeAtMs < PROBE_INTERVAL_MS) return undefined;
+    this.#lastProbeAtMs = nowMs;
     return READER_WAITS_MS[0];
   }
 
   /** Its place among those that reach the store. */
-  #computeReaderOrder(): ReaderOrder {
+  #computeReaderRank(): ReaderRank {
     const heard = this.#options.reports.listHeard();
-    return this.#computeOrder(heard.filter(({ isInTouch }) => isInTouch));
+    return this.#computeRank(heard.filter(({ isInTouch }) => isInTouch));
   }
 
   /** Relays go first: their word goes furthest. Among relays, and among members, names decide. */
-  #computeOrder(peers: readonly HostState[]): ReaderOrder {
+  #computeRank(peers: readonly HostState[]): ReaderRank {
     const { reports } = this.#options;
     const { id } = reports.self.identity;
     const isRelay = (peer: HostState): boolean => reports.isPlannedRelay(peer.identity.id);
     const relays = peers.filter(isRelay);
-    const fellows = reports.isRelay ? relays : peers.filter((peer) => !isRelay(peer));
-    const before = fellows.filter(({ identity }) => identity.id < id).length;
+    const sameRolePeers = reports.isRelay ? relays : peers.filter((peer) => !isRelay(peer));
+    const precedingCount = sameRolePeers.filter(({ identity }) => identity.id < id).length;
     return {
-      place: reports.isRelay ? before : relays.length + before,
-      part: before / (fellows.length + 1),
+      rank: reports.isRelay ? precedingCount : relays.length + precedingCount,
+      precedingFraction: precedingCount / (sameRolePeers.length + 1),
     };
   }
 
-  #computePatienceMs({ part }: ReaderOrder): number {
-    if (this.#options.reports.isRelay) return TAKE_OVER_MS + part * RELAY_SPREAD_MS;
-    return TAKE_OVER_MS + MEMBER_PATIENCE_MS + part * MEMBER_SPREAD_MS;
+  #computeTakeoverDelayMs({ precedingFraction }: ReaderRank): number {
+    if (this.#options.reports.isRelay)
+      return TAKEOVER_AFTER_MS + precedingFraction * RELAY_STAGGER_MS;
+    return TAKEOVER_AFTER_MS + MEMBER_TAKEOVER_DELAY_MS + precedingFraction * MEMBER_STAGGER_MS;
   }
 
   #handleUpdate(from: EntryHostIdentity, message: FeedUpdateMessage): void {
@@ -224,11 +228,11 @@
     if (!askedAt) return;
     const { ageMs, wasAway } = message;
     const context = { askedAt, ageMs, wasAway };
-    const isWhole = follower.applyUpdate(message, context);
-    metrics.count('feed_updates_total', { result: isWhole ? 'applied' : 'gap' });
-    if (!isWhole) return;
-    this.#heardAtMs = this.#options.clock.nowMs();
-    this.#passOn(from, message, context);
+    const isApplied = follower.applyUpdate(message, context);
+    metrics.count('feed_updates_total', { result: isApplied ? 'applied' : 'gap' });
+    if (!isApplied) return;
+    this.#lastUpdateAtMs = this.#options.clock.nowMs();
+    this.#forward(from, message, context);
   }
 
   /**
@@ -236,21 +240,21 @@
    * from a member. What brings nothing new ends here, or relays would tell each other
    * the same again and again.
    */
-  #passOn(from: EntryHostIdentity, update: FeedUpdate, context: FeedContext): void {
+  #forward(from: EntryHostIdentity, update: FeedUpdate, context: FeedContext): void {
     const { reports } = this.#options;
-    if (this.#noteTold(update, context)) {
+    if (this.#recordSent(update, context)) {
       this.#sendTo(reports.listFurther(from), update, context);
     }
   }
 
   /** @returns whether it brings changes, or a confirmation much fresher than the last that was told */
-  #noteTold({ toRevision }: FeedUpdate, { askedAt, ageMs }: FeedContext): boolean {
-    const hasChanges = toRevision > this.#toldRevision;
-    this.#toldRevision = Math.max(this.#toldRevision, toRevision);
+  #recordSent({ toRevision }: FeedUpdate, { askedAt, ageMs }: FeedContext): boolean {
+    const hasChanges = toRevision > this.#sentRevision;
+    this.#sentRevision = Math.max(this.#sentRevision, toRevision);
     const nowAt = this.#readMoment();
-    const gainMs = this.#toldAge.computeAgeMs(nowAt) - ageMs - computeElapsedMs(askedAt, nowAt);
-    if (gainMs < MIN_AGE_GAIN_MS) return hasChanges;
-    this.#toldAge.confirm(askedAt, nowAt, ageMs);
+    const ageGainMs = this.#sentAge.computeAgeMs(nowAt) - ageMs - computeElapsedMs(askedAt, nowAt);
+    if (ageGainMs < MIN_AGE_GAIN_MS) return hasChanges;
+    this.#sentAge.confirm(askedAt, nowAt, ageMs);
     return true;
   }
 
--- a/src/application/direct/feed_sharing_test.ts
+++ b/src/application/direct/feed_sharing_test.ts
@@ -13,7 +13,7 @@
 import type { FeedContext } from './mod.js';
 
 /** An entry host that follows the store, and knows how old its knowledge is. */
-class Host {
+class FollowerHost {
   readonly network: FakePeerNetwork;
 
   readonly follower: FeedFollower;
@@ -22,7 +22,7 @@
 
   readonly sharing: FeedSharing;
 
-  readonly age = new ConfirmedAge();
+  readonly knowledgeAge = new ConfirmedAge();
 
   readonly keys = new Set<string>();
 
@@ -78,7 +78,7 @@
   }
 
   get ageMs(): number {
-    return this.age.computeAgeMs(this.#now());
+    return this.knowledgeAge.computeAgeMs(this.#readMoment());
   }
 
   start(): void {
@@ -92,10 +92,10 @@
   }
 
   #confirm({ askedAt, ageMs }: FeedContext): void {
-    this.age.confirm(askedAt, this.#now(), ageMs);
+    this.knowledgeAge.confirm(askedAt, this.#readMoment(), ageMs);
   }
 
-  #now(): { readonly steadyMs: number; readonly wallMs: number } {
+  #readMoment(): { readonly steadyMs: number; readonly wallMs: number } {
     return { steadyMs: this.#clock.nowMs(), wallMs: this.#clock.wallMs() };
   }
 }
@@ -104,7 +104,7 @@
   readonly hub: FakePeerHub;
   readonly clock: VirtualClock;
   readonly feed: FakeFeed;
-  readonly hosts: readonly Host[];
+  readonly hosts: readonly FollowerHost[];
 }
 
 async function startFleet(t: Test, count: number): Promise<Fleet> {
@@ -114,7 +114,7 @@
   feed.put('a', 1);
   const hosts = Array.from(
     { length: count },
-    (_, index) => new Host(`h${index}`, hub, clock, feed),
+    (_, index) => new FollowerHost(`h${index}`, hub, clock, feed),
   );
   hosts.forEach((host) => host.start());
   t.teardown(() => hosts.forEach((host) => host.stop()));
@@ -202,7 +202,7 @@
   // Sequence: the entry hosts that read the store lose power; an operator publishes.
   // Cause: the others waited for word from them.
   const { hub, clock, feed, hosts } = await startFleet(t, 6);
-  const [first, second, ...others] = hosts as [Host, Host, ...Host[]];
+  const [first, second, ...others] = hosts as [FollowerHost, FollowerHost, ...FollowerHost[]];
   [first, second].forEach((reader) => {
     hosts.forEach((host) => {
       if (host !== reader) hub.silence(reader.network.identity.id, host.network.identity.id);
@@ -216,7 +216,7 @@
 
 t.test('an entry host that only its peers connect to the store stays fresh', async (t) => {
   const { hub, clock, feed, hosts } = await startFleet(t, 3);
-  const [, , cut] = hosts as [Host, Host, Host];
+  const [, , cut] = hosts as [FollowerHost, FollowerHost, FollowerHost];
   t.ok(hub.isOpen('h0', 'h2'));
   cut.follower.stop();
   await clock.advance(5_000);
@@ -232,12 +232,12 @@
   // ten seconds; it is handled after the wake, before anything newer.
   // Cause: the age was counted from the update's arrival.
   const { clock, hosts } = await startFleet(t, 3);
-  const [reader, , receiver] = hosts as [Host, Host, Host];
+  const [reader, , receiver] = hosts as [FollowerHost, FollowerHost, FollowerHost];
   const heard = reader.reports.findHeardSequence(receiver.network.identity.incarnation);
   const sentAt = receiver.reports.findSentAt(heard);
   t.ok(sentAt);
   clock.jump(10_000);
   const now = { steadyMs: clock.nowMs(), wallMs: clock.wallMs() };
-  if (sentAt) receiver.age.confirm(sentAt, now, 0);
+  if (sentAt) receiver.knowledgeAge.confirm(sentAt, now, 0);
   t.ok(receiver.ageMs >= 10_000);
 });
--- a/src/application/direct/host_reports.ts
+++ b/src/application/direct/host_reports.ts
@@ -11,16 +11,16 @@
 import type { HostState } from '../../domain/overlay/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
 import type { Clock, EventLog, HostReportMessage, PeerNetwork } from '../../ports/mod.js';
-import { CountedHosts } from './_counted_hosts.js';
+import { CountedPeers } from './_counted_hosts.js';
 import { PeerLinks } from './_peer_links.js';
 import { ReportBuilder } from './_report_builder.js';
 import type { CountedReport, FigureSources, ReportFigures } from './report_figures.js';
 import { ReportRole } from './_report_role.js';
 import { RosterLog } from './_roster_log.js';
-import { ReportRounds } from './_report_rounds.js';
+import { ReportScheduler } from './_report_rounds.js';
 import { hasSettled } from './_settling.js';
 import { SentReports } from './_sent_reports.js';
-import { isCounted, ReportSources } from './_report_sources.js';
+import { isCounted, ReceivedReports } from './_report_sources.js';
 
 /** What the reports need, and what they call. */
 export interface HostReportsOptions {
@@ -48,7 +48,7 @@
 
   readonly #roster: Roster;
 
-  readonly #sources = new ReportSources();
+  readonly #received = new ReceivedReports();
 
   readonly #role: ReportRole;
 
@@ -56,13 +56,13 @@
 
   readonly #builder: ReportBuilder;
 
-  readonly #counted = new CountedHosts();
+  readonly #countedPeers = new CountedPeers();
 
-  readonly #sent: SentReports;
+  readonly #sentReports: SentReports;
 
   readonly #startedAtMs: number;
 
-  readonly #rounds: ReportRounds;
+  readonly #scheduler: ReportScheduler;
 
   readonly #rosterLog: RosterLog;
 
@@ -71,7 +71,7 @@
     this.#options = options;
     this.#rosterLog = new RosterLog(options.log);
     const { peers, clock, log, self, cores, seedPeerUrls } = options;
-    this.#sent = new SentReports(clock);
+    this.#sentReports = new SentReports(clock);
     this.#startedAtMs = clock.nowMs();
     this.#roster = new Roster({
       identity: self,
@@ -82,36 +82,36 @@
       isInTouch: false,
       isLeaving: false,
     });
-    this.#role = new ReportRole({ roster: this.#roster, sources: this.#sources });
+    this.#role = new ReportRole({ roster: this.#roster, received: this.#received });
     this.#builder = new ReportBuilder({
       roster: this.#roster,
       role: this.#role,
-      sources: this.#sources,
+      received: this.#received,
       buildFigures: options.buildFigures,
     });
     this.#links = new PeerLinks({ peers, clock, log, selfUrl: self.peerUrl, seeds: seedPeerUrls });
-    this.#rounds = new ReportRounds({
+    this.#scheduler = new ReportScheduler({
       clock,
       isMember: () => this.#role.relayId !== undefined,
       onRound: () => this.#runRound(),
     });
-    peers.handle(PeerMessageType.HostReport, (from, report) => this.#handle(from, report));
+    peers.handle(PeerMessageType.HostReport, (from, report) => this.#handleReport(from, report));
   }
 
   /** Begins to report. */
   start(): void {
-    this.#rounds.start();
+    this.#scheduler.start();
   }
 
   /** Reports no more. */
   stop(): void {
-    this.#rounds.stop();
+    this.#scheduler.stop();
   }
 
   /** @param peerUrls - addresses that peers are looked for at, from now on */
   setSeeds(peerUrls: readonly string[]): void {
-    this.#links.setSeeds(peerUrls);
-    this.#update();
+    this.#links.setSeedUrls(peerUrls);
+    this.#updateRole();
   }
 
   /** Reports now, without waiting for the next round. */
@@ -158,7 +158,7 @@
 
   /** @param id - an entry host's name. @returns whether it passes reports on, by the present plan */
   isPlannedRelay(id: string): boolean {
-    return this.#role.isPlanned(id);
+    return this.#role.isPlannedRelay(id);
   }
 
   /** @param incarnation - a peer's process. @returns whether it is a member of this relay */
@@ -189,20 +189,20 @@
 
   /** @param incarnation - a peer's process. @returns its newest report's number; 0: none */
   findHeardSequence(incarnation: string): number {
-    return this.#sources.find(incarnation)?.report.sequence ?? 0;
+    return this.#received.find(incarnation)?.report.sequence ?? 0;
   }
 
   /** @param sequence - a report of this process. @returns when it was sent, unless that is long ago */
   findSentAt(sequence: number): Moment | undefined {
-    return this.#sent.find(sequence);
+    return this.#sentReports.findSentAt(sequence);
   }
 
   #runRound(): void {
     const { clock, onReach } = this.#options;
     this.#expire();
-    this.#update();
-    const reached = this.#sources.countReached(this.#role.origin, clock.nowMs());
-    onReach(Math.min(1, (reached + 1) / this.knownCount));
+    this.#updateRole();
+    const reachableCount = this.#received.countReachable(this.#role.origin, clock.nowMs());
+    onReach(Math.min(1, (reachableCount + 1) / this.knownCount));
     this.#roster.updateSelf(this.#options.getState());
     this.#sendRound();
   }
@@ -215,17 +215,17 @@
       return;
     }
     this.#sendTo(members);
-    this.#rounds.scheduleFellows(() => {
+    this.#scheduler.scheduleRelaySend(() => {
       this.#sendTo(this.listTargets().filter(({ incarnation }) => !this.hasMember(incarnation)));
     });
   }
 
   #sendTo(peers: readonly EntryHostIdentity[]): void {
-    this.#sent.begin();
-    peers.forEach((peer) => this.#send(peer));
+    this.#sentReports.beginReport();
+    peers.forEach((peer) => this.#sendReport(peer));
   }
 
-  #update(): void {
+  #updateRole(): void {
     const { log, clock } = this.#options;
     if (this.#role.update(clock.nowMs())) {
       log.write(LogLevel.Info, 'report_role_changed', {
@@ -236,62 +236,62 @@
       });
     }
     this.#links.update({
-      wanted: this.#role.listWanted().map(({ identity }) => identity.peerUrl),
-      heard: this.#roster.listHeard(),
-      isUsed: (peer) => this.#sources.find(peer.incarnation) !== undefined,
+      wantedUrls: this.#role.listLinkTargets().map(({ identity }) => identity.peerUrl),
+      heardPeers: this.#roster.listHeard(),
+      isUsed: (peer) => this.#received.find(peer.incarnation) !== undefined,
     });
-    this.#dropUncounted();
+    this.#notifyUncounted();
   }
 
-  #dropUncounted(): void {
-    const counted = this.#sources.listCounted(this.#role.origin).map(({ identity }) => identity);
-    this.#counted.dropOthers(counted).forEach((identity) => this.#options.onSilent(identity));
+  #notifyUncounted(): void {
+    const counted = this.#received.listCounted(this.#role.origin).map(({ identity }) => identity);
+    this.#countedPeers.retainOnly(counted).forEach((identity) => this.#options.onSilent(identity));
   }
 
-  #handle(identity: EntryHostIdentity, report: HostReportMessage): void {
+  #handleReport(identity: EntryHostIdentity, report: HostReportMessage): void {
     const nowMs = this.#options.clock.nowMs();
     const { incarnation } = identity;
     const wasKnown = this.#roster.knowsProcess(identity);
-    const isFirst = this.#sources.find(incarnation) === undefined;
-    const source = { identity, report, heardAtMs: nowMs };
-    this.#sources.put(source);
+    const isFirstReport = this.#received.find(incarnation) === undefined;
+    const received = { identity, report, receivedAtMs: nowMs };
+    this.#received.put(received);
     this.#roster.noteHeard(incarnation, nowMs);
     report.roster.forEach((entry) => {
       if (this.#roster.apply(incarnation, entry, nowMs))
-        this.#rosterLog.noteSeen(entry.state.identity);
+        this.#rosterLog.logSeen(entry.state.identity);
     });
     if (report.scope === ReportScope.Member) this.#roster.addMember(identity);
-    this.#role.noteReport(source);
-    if (isFirst) this.#update();
-    if (isCounted(source, this.#role.origin)) {
-      this.#count({ identity, report, isNewProcess: !wasKnown && report.hostCount === 1 });
+    this.#role.noteReport(received);
+    if (isFirstReport) this.#updateRole();
+    if (isCounted(received, this.#role.origin)) {
+      this.#notifyCounted({ identity, report, isNewProcess: !wasKnown && report.hostCount === 1 });
     }
-    if (isFirst && this.hasMember(incarnation)) {
+    if (isFirstReport && this.hasMember(incarnation)) {
       // A new member knows nobody until its relay answers.
       this.#sendTo([identity]);
     }
     const isFromRelay = report.scope === ReportScope.Fleet && identity.id === this.#role.relayId;
-    if (isFromRelay) this.#rounds.noteRelayReport();
+    if (isFromRelay) this.#scheduler.noteRelayReport();
   }
 
-  #count(counted: CountedReport): void {
+  #notifyCounted(counted: CountedReport): void {
     if (counted.report.hostCount === 0) return;
-    this.#counted.add(counted.identity);
+    this.#countedPeers.add(counted.identity);
     this.#options.onReport(counted);
   }
 
-  #send(peer: EntryHostIdentity): void {
+  #sendReport(peer: EntryHostIdentity): void {
     const scope = this.#role.pickScope(peer);
     if (scope === undefined) return;
-    const report = this.#builder.build(peer, scope, this.#sent.sequence);
+    const report = this.#builder.build(peer, scope, this.#sentReports.sequence);
     this.#options.peers.send(peer.incarnation, report);
   }
 
   #expire(): void {
     const nowMs = this.#options.clock.nowMs();
-    this.#sources.dropSilent(nowMs);
+    this.#received.dropSilent(nowMs);
     const { silent, forgotten } = this.#roster.expire(nowMs);
-    silent.forEach(({ identity }) => this.#rosterLog.noteSilent(identity));
-    forgotten.forEach(({ identity }) => this.#rosterLog.noteForgotten(identity));
+    silent.forEach(({ identity }) => this.#rosterLog.logSilent(identity));
+    forgotten.forEach(({ identity }) => this.#rosterLog.logForgotten(identity));
   }
 }
--- a/src/application/direct/report_figures.ts
+++ b/src/application/direct/report_figures.ts
@@ -64,7 +64,7 @@
   return {
     inFlight: servers.countInFlight(incarnations),
     waitingCalls: servers.peers.sum('waitingCalls', gateway.countWaiting(), incarnations),
-    firstWaiting: servers.peers.listFirstWaiting(incarnations, gateway.listFirstWaiting()),
+    firstWaiting: servers.peers.mergeFirstWaiting(incarnations, gateway.listFirstWaiting()),
     avoidedBy: servers.countAvoiding(incarnations),
     spentUnits: spending.listTotals(scope, receiver),
     endedServers: servers.listEnded(),
--- a/src/application/direct/report_relays_test.ts
+++ b/src/application/direct/report_relays_test.ts
@@ -6,7 +6,7 @@
 import { PeerMessageType } from '../../ports/mod.js';
 
 const ZONES = ['hall-a', 'hall-b', 'hall-c'];
-const STRONG_PER_ZONE = 2;
+const STRONG_HOSTS_PER_ZONE = 2;
 
 interface Fleet {
   readonly hub: FakePeerHub;
@@ -17,14 +17,14 @@
 }
 
 /** Starts entry hosts in three availability zones, two strong ones in each. */
-async function startFleet(t: Test, perZone: number, seedIndex = 1): Promise<Fleet> {
+async function startFleet(t: Test, hostsPerZone: number, seedIndex = 1): Promise<Fleet> {
   const hub = new FakePeerHub(true);
   const clock = new VirtualClock();
   const seeds = ZONES.map((zone) => `ws://${zone}-${seedIndex}.test`);
   const hosts = ZONES.flatMap((zone) =>
-    Array.from({ length: perZone }, (_, index) => {
+    Array.from({ length: hostsPerZone }, (_, index) => {
       const identity = { ...buildIdentity(`${zone}-${index + 1}`), availabilityZone: zone };
-      const cores = index < STRONG_PER_ZONE ? 1.35 : 0.32;
+      const cores = index < STRONG_HOSTS_PER_ZONE ? 1.35 : 0.32;
       return new ReportHost(hub, clock, identity, { seeds, cores });
     }),
   );
@@ -38,7 +38,7 @@
 }
 
 /** Cuts an entry host off from all others without anybody being told. */
-function silence(hub: FakePeerHub, host: ReportHost, others: readonly ReportHost[]): void {
+function isolateSilently(hub: FakePeerHub, host: ReportHost, others: readonly ReportHost[]): void {
   others
     .filter((other) => other !== host)
     .forEach((other) => hub.silence(host.identity.id, other.identity.id));
@@ -125,7 +125,7 @@
   // Cause: a member that stays with a silent relay is heard by nobody.
   const { hub, clock, hosts, relays } = await startFleet(t, 20);
   const [lost] = relays as [ReportHost];
-  silence(hub, lost, hosts);
+  isolateSilently(hub, lost, hosts);
   lost.reports.stop();
   await clock.advance(1_300);
   hosts
@@ -141,7 +141,7 @@
   async (t) => {
     const { hub, clock, hosts, members } = await startFleet(t, 20);
     const [cut] = members as [ReportHost];
-    silence(hub, cut, hosts);
+    isolateSilently(hub, cut, hosts);
     await clock.advance(900);
     t.ok(cut.reach <= 1 / 60, String(cut.reach));
     await clock.advance(500);
--- a/src/application/direct/server_keeper.ts
+++ b/src/application/direct/server_keeper.ts
@@ -9,16 +9,16 @@
 import type { FeedChange, FeedItem } from '../../ports/mod.js';
 import type { FeedContext } from './feed_follower.js';
 import { CandidateLists } from './_candidate_lists.js';
-import { EndedLives } from './_ended_lives.js';
-import { EntryReader } from './_entry_reader.js';
-import type { EntryReaderOptions } from './_entry_reader.js';
+import { EndedIncarnations } from './_ended_lives.js';
+import { EntryDecoder } from './_entry_reader.js';
+import type { EntryDecoderOptions } from './_entry_reader.js';
 import { WarmupGuard } from './_warmup_guard.js';
 import type { WarmupGuardOptions } from './_warmup_guard.js';
-import { PeerFigureTable } from './_peer_figures.js';
-import type { PeerFigures } from './_peer_figures.js';
+import { PeerStatsTable } from './_peer_figures.js';
+import type { PeerStats } from './_peer_figures.js';
 
 /** What the keeper needs. */
-export interface ServerKeeperOptions extends EntryReaderOptions, WarmupGuardOptions {
+export interface ServerKeeperOptions extends EntryDecoderOptions, WarmupGuardOptions {
   /** @returns entry hosts that serve callers, this one included */
   readonly countServing: () => number;
   /** @returns whether a service's backend servers are model engines */
@@ -31,20 +31,20 @@
 export class ServerKeeper {
   readonly #options: ServerKeeperOptions;
 
-  readonly #reader: EntryReader;
+  readonly #decoder: EntryDecoder;
 
   readonly #directory = new ServerDirectory();
 
   readonly #loads = new Map<string, ServerLoad>();
 
   /** What peers report. */
-  readonly peers = new PeerFigureTable();
+  readonly peers = new PeerStatsTable();
 
-  readonly #ended = new EndedLives();
+  readonly #endedIncarnations = new EndedIncarnations();
 
-  readonly #warmups: WarmupGuard;
+  readonly #warmupGuard: WarmupGuard;
 
-  readonly #candidates: CandidateLists;
+  readonly #candidateLists: CandidateLists;
 
   readonly #changeHandlers: (() => void)[] = [];
 
@@ -53,14 +53,14 @@
   /** @param options - what the keeper needs */
   constructor(options: ServerKeeperOptions) {
     this.#options = options;
-    this.#reader = new EntryReader(options);
-    this.#warmups = new WarmupGuard(options);
-    this.#candidates = new CandidateLists(options.clock, (id) => this.#buildCandidates(id));
+    this.#decoder = new EntryDecoder(options);
+    this.#warmupGuard = new WarmupGuard(options);
+    this.#candidateLists = new CandidateLists(options.clock, (id) => this.#buildCandidates(id));
   }
 
   /** Backend servers that warm up. */
   get coldCount(): number {
-    return this.#directory.list().filter((entry) => this.#warmups.isCold(entry)).length;
+    return this.#directory.list().filter((entry) => this.#warmupGuard.isCold(entry)).length;
   }
 
   /** @param handler - called when another set of backend servers may be given work */
@@ -75,7 +75,7 @@
 
   /** @param serviceId - which service. @returns who may be given work */
   listCandidates(serviceId: string): readonly Candidate[] {
-    return this.#candidates.take(serviceId);
+    return this.#candidateLists.take(serviceId);
   }
 
   #buildCandidates(serviceId: string): readonly Candidate[] {
@@ -84,8 +84,8 @@
       .listUsable(serviceId, clock.nowMs())
       .filter(({ availabilityZone }) => !places.isClosed(availabilityZone))
       .map((entry) => {
-        const load = this.#takeLoad(entry.id);
-        this.#warmups.update(entry, load);
+        const load = this.#getOrCreateLoad(entry.id);
+        this.#warmupGuard.update(entry, load);
         return { id: entry.id, load, region: findRegion(entry.availabilityZone) };
       });
   }
@@ -104,10 +104,10 @@
   /** @param id - a life. @returns whether it may be given work at this moment */
   isUsable(id: string): boolean {
     const zone = this.find(id)?.availabilityZone;
-    return zone !== undefined && !this.#options.places.isClosed(zone) && this.#isAlive(id);
+    return zone !== undefined && !this.#options.places.isClosed(zone) && this.#isRunning(id);
   }
 
-  #isAlive(id: string): boolean {
+  #isRunning(id: string): boolean {
     return this.#directory.isUsable(id, this.#options.clock.nowMs());
   }
 
@@ -123,8 +123,8 @@
    * @returns the counts, by backend server
    */
   countInFlight(sources: readonly string[] = []): Record<string, number> {
-    const busy = [...this.#loads].filter(([, { ownInFlight }]) => ownInFlight > 0);
-    const counts = Object.fromEntries(busy.map(([id, { ownInFlight }]) => [id, ownInFlight]));
+    const busyLoads = [...this.#loads].filter(([, { ownInFlight }]) => ownInFlight > 0);
+    const counts = Object.fromEntries(busyLoads.map(([id, { ownInFlight }]) => [id, ownInFlight]));
     return this.peers.sum('inFlight', counts, sources);
   }
 
@@ -136,8 +136,8 @@
    */
   countAvoiding(sources: readonly string[] = []): Record<string, number> {
     const nowMs = this.#options.clock.nowMs();
-    const avoided = [...this.#loads].filter(([, load]) => load.hasFailed(nowMs));
-    const counts = Object.fromEntries(avoided.map(([id]) => [id, 1]));
+    const avoidedLoads = [...this.#loads].filter(([, load]) => load.hasFailed(nowMs));
+    const counts = Object.fromEntries(avoidedLoads.map(([id]) => [id, 1]));
     return this.peers.sum('avoidedBy', counts, sources);
   }
 
@@ -148,23 +148,23 @@
 
   /** @returns lives that are over though entries may not say so */
   listEnded(): readonly string[] {
-    return this.#ended.list();
+    return this.#endedIncarnations.list();
   }
 
   /**
    * Takes a peer's report.
    *
    * @param source - incarnation of the peer's process
-   * @param figures - what it reports; undefined when it is gone
+   * @param stats - what it reports; undefined when it is gone
    */
-  applyPeer(source: string, figures: PeerFigures | undefined): void {
-    this.peers.put(source, figures);
+  applyPeer(source: string, stats: PeerStats | undefined): void {
+    this.peers.set(source, stats);
     const hostCount = this.#options.countServing();
     this.#loads.forEach((load, id) => {
       load.setPeersInFlight(this.peers.getTotal('inFlight', id));
       load.setAvoidingHosts(this.peers.getTotal('avoidedBy', id), hostCount);
     });
-    figures?.endedServers.forEach((id) => this.noteEnded(id));
+    stats?.endedServers.forEach((id) => this.noteEnded(id));
   }
 
   /** @param id - a life. @returns its load, where it was ever listed for work */
@@ -174,18 +174,18 @@
 
   /** @param id - a life whose address has answered as another */
   noteEnded(id: string): void {
-    if (this.#directory.find(id)) this.#ended.add(id);
-    if (this.#directory.noteEnded(id)) this.#logEnded(id);
+    if (this.#directory.find(id)) this.#endedIncarnations.add(id);
+    if (this.#directory.noteEnded(id)) this.#handleEnded(id);
   }
 
-  #logEnded(id: string): void {
-    this.#candidates.clear();
+  #handleEnded(id: string): void {
+    this.#candidateLists.clear();
     this.#options.log.write(LogLevel.Info, 'backend_server_ended', { backendServer: id });
   }
 
-  #takeLoad(id: string): ServerLoad {
-    const found = this.#loads.get(id);
-    if (found) return found;
+  #getOrCreateLoad(id: string): ServerLoad {
+    const existing = this.#loads.get(id);
+    if (existing) return existing;
     const entry = this.#directory.find(id);
     const isEngine = entry !== undefined && this.#options.isEngine(entry.serviceId);
     const load = new ServerLoad(entry?.slots ?? 1, isEngine);
@@ -200,21 +200,23 @@
    * @param context - under which circumstances
    */
   applyAll(items: readonly FeedItem[], { wasAway }: FeedContext): void {
-    const own = items.filter(({ key }) => key.startsWith(this.#options.prefix));
-    const entries = own.flatMap(({ key, value }) => this.#reader.read(key, value) ?? []);
-    const names = new Set(own.map(({ key }) => this.#reader.readName(key)));
+    const serverItems = items.filter(({ key }) => key.startsWith(this.#options.prefix));
+    const entries = serverItems.flatMap(
+      ({ key, value }) => this.#decoder.tryDecode(key, value) ?? [],
+    );
+    const presentIds = new Set(serverItems.map(({ key }) => this.#decoder.getServerId(key)));
     const nowMs = this.#options.clock.nowMs();
     // A name that stands there without an entry that can be read was overwritten.
-    const mayBeBack = (serverId: string): boolean => wasAway || names.has(serverId);
-    const endedIds = this.#directory.applyAll(entries, nowMs, mayBeBack);
+    const mayReturn = (serverId: string): boolean => wasAway || presentIds.has(serverId);
+    const endedIds = this.#directory.applyAll(entries, nowMs, mayReturn);
     this.#options.log.write(LogLevel.Info, 'backend_servers_read', { count: entries.length });
-    this.#ended.clearListed();
+    this.#endedIncarnations.clearEntries();
     entries.forEach((entry) => {
-      this.#ended.noteListed(entry, this.#isAlive(entry.id));
-      this.#warmups.noteEntry(entry);
+      this.#endedIncarnations.noteEntry(entry, this.#isRunning(entry.id));
+      this.#warmupGuard.noteEntry(entry);
     });
-    endedIds.forEach((id) => this.#noteRestart(id));
-    this.#update();
+    endedIds.forEach((id) => this.#handleRestart(id));
+    this.#refresh();
   }
 
   /**
@@ -227,14 +229,14 @@
     changes
       .filter(({ key }) => key.startsWith(this.#options.prefix))
       .forEach(({ key, value }) => {
-        if (value === undefined) this.#applyRemoval(this.#reader.readName(key), wasAway);
+        if (value === undefined) this.#applyRemoval(this.#decoder.getServerId(key), wasAway);
         else this.#applyValue(key, value);
       });
-    this.#update();
+    this.#refresh();
   }
 
   #applyRemoval(serverId: string, wasAway: boolean): void {
-    this.#ended.noteUnlisted(serverId);
+    this.#endedIncarnations.noteEntryRemoved(serverId);
     this.#directory.applyRemoval(serverId, this.#options.clock.nowMs(), wasAway);
     this.#options.log.write(LogLevel.Info, 'backend_server_removed', {
       backendServer: serverId,
@@ -250,22 +252,23 @@
    */
   #applyValue(key: string, value: Uint8Array): void {
     const nowMs = this.#options.clock.nowMs();
-    const entry = this.#reader.read(key, value);
+    const entry = this.#decoder.tryDecode(key, value);
     if (!entry) {
-      this.#ended.noteUnlisted(this.#reader.readName(key));
-      this.#directory.applyRemoval(this.#reader.readName(key), nowMs, true);
+      this.#endedIncarnations.noteEntryRemoved(this.#decoder.getServerId(key));
+      this.#directory.applyRemoval(this.#decoder.getServerId(key), nowMs, true);
       return;
     }
     const { effect, endedId } = this.#directory.applyEntry(entry, nowMs);
     if (effect !== EntryEffect.None) this.#logEntry(entry, effect);
-    if (effect !== EntryEffect.Outdated) this.#warmups.noteEntry(entry);
-    this.#ended.noteListed(entry, this.#isAlive(entry.id));
-    if (endedId !== undefined) this.#noteRestart(endedId);
+    if (effect !== EntryEffect.Outdated) this.#warmupGuard.noteEntry(entry);
+    this.#endedIncarnations.noteEntry(entry, this.#isRunning(entry.id));
+    if (endedId !== undefined) this.#handleRestart(endedId);
   }
 
   #logEntry({ id, serviceId, isLeaving }: BackendServerEntry, effect: EntryEffect): void {
-    const word = isLeaving ? 'backend_server_leaving' : 'backend_server_ready';
-    const event = effect === EntryEffect.Outdated ? 'backend_server_entry_outdated' : word;
+    const readinessEvent = isLeaving ? 'backend_server_leaving' : 'backend_server_ready';
+    const event =
+      effect === EntryEffect.Outdated ? 'backend_server_entry_outdated' : readinessEvent;
     this.#options.log.write(LogLevel.Info, event, { backendServer: id, service: serviceId });
   }
 
@@ -273,20 +276,20 @@
    * Whatever a former life was given ended with it. Its connections may stay silent for
    * long, so the requests that wait there are told.
    */
-  #noteRestart(endedId: string): void {
-    this.#ended.add(endedId);
-    this.#logEnded(endedId);
+  #handleRestart(endedId: string): void {
+    this.#endedIncarnations.add(endedId);
+    this.#handleEnded(endedId);
     this.#restartHandlers.forEach((handler) => handler(endedId));
   }
 
-  #update(): void {
-    this.#candidates.clear();
+  #refresh(): void {
+    this.#candidateLists.clear();
     const expired = this.#directory.expire(this.#options.clock.nowMs());
     expired.forEach((id) => {
       this.#loads.delete(id);
-      this.#warmups.forget(id);
+      this.#warmupGuard.forget(id);
     });
-    this.#ended.forget(expired);
+    this.#endedIncarnations.forget(expired);
     this.#changeHandlers.forEach((handler) => handler());
   }
 }
--- a/src/application/direct/server_lives_test.ts
+++ b/src/application/direct/server_lives_test.ts
@@ -13,8 +13,8 @@
 import type { ServerKeeper } from './server_keeper.js';
 
 const SEED = 31;
-const NAMES = ['a', 'b'];
-const HOSTS = 3;
+const SERVER_IDS = ['a', 'b'];
+const HOST_COUNT = 3;
 /** A store, and entry hosts that read it at different moments. */
 class Fleet {
   readonly clock = new VirtualClock();
@@ -22,9 +22,9 @@
   readonly #changes: FeedChange[] = [];
 
   /** Newest life that each live server has written; each writes its own entry again and again. */
-  readonly #live = new Map<string, { readonly life: number; readonly entry: object }>();
+  readonly #liveServers = new Map<string, { readonly life: number; readonly entry: object }>();
 
-  #hosts = Array.from({ length: HOSTS }, () => this.#startHost());
+  #hosts = Array.from({ length: HOST_COUNT }, () => this.#startHost());
 
   write(name: string, value: object | string | undefined): void {
     const bytes = value === undefined ? undefined : Buffer.from(JSON.stringify(value));
@@ -35,72 +35,78 @@
   register(name: string, life: number, isLeaving: boolean): void {
     const id = formatLife(name, life);
     const entry = buildServer(id, { serverId: name, bornAtMs: life, isLeaving });
-    if (life >= (this.#live.get(name)?.life ?? 0)) this.#live.set(name, { life, entry });
+    if (life >= (this.#liveServers.get(name)?.life ?? 0))
+      this.#liveServers.set(name, { life, entry });
     this.write(name, entry);
   }
 
   remove(name: string): void {
-    this.#live.delete(name);
+    this.#liveServers.delete(name);
     this.write(name, undefined);
   }
 
   /** Each live server writes once more. */
-  writeLive(): void {
-    this.#live.forEach(({ entry }, name) => this.write(name, entry));
+  rewriteLiveEntries(): void {
+    this.#liveServers.forEach(({ entry }, name) => this.write(name, entry));
   }
 
   /** A host reads what has changed since it read last. */
-  follow(index: number): void {
-    const host = this.#take(index);
+  readChanges(index: number): void {
+    const host = this.#getHost(index);
     host.keeper.applyChanges(this.#changes.slice(host.read), CALM_CONTEXT);
     host.read = this.#changes.length;
   }
 
   /** A host starts anew, or has lost the history: it reads what stands now. */
-  readAll(index: number, isNew: boolean): void {
+  readSnapshot(index: number, isNew: boolean): void {
     if (isNew) this.#hosts[index] = this.#startHost();
-    const { keeper } = this.#take(index);
+    const { keeper } = this.#getHost(index);
     const standing = new Map(this.#changes.map((change) => [change.key, change]));
     const items = [...standing.values()].flatMap(({ key, value, revision }) =>
       value === undefined ? [] : [{ key, value, revision }],
     );
     keeper.applyAll(items, CALM_CONTEXT);
-    this.#take(index).read = this.#changes.length;
+    this.#getHost(index).read = this.#changes.length;
   }
 
   /** A host hears another one's report. */
-  report(from: number, to: number): void {
-    const endedServers = this.#take(from).keeper.listEnded();
-    this.#take(to).keeper.applyPeer(`peer-${from}`, { ...NO_FIGURES, endedServers });
+  deliverReport(from: number, to: number): void {
+    const endedServers = this.#getHost(from).keeper.listEnded();
+    this.#getHost(to).keeper.applyPeer(`peer-${from}`, { ...NO_FIGURES, endedServers });
   }
 
   listUsable(index: number): string[] {
-    const candidates = this.#take(index).keeper.listCandidates('engines');
+    const candidates = this.#getHost(index).keeper.listCandidates('engines');
     return candidates.map(({ id }) => id).sort();
   }
 
-  #take(index: number): { readonly keeper: ServerKeeper; read: number } {
+  #getHost(index: number): { readonly keeper: ServerKeeper; read: number } {
     return this.#hosts[index] as { readonly keeper: ServerKeeper; read: number };
   }
 
   #startHost(): { readonly keeper: ServerKeeper; read: number } {
-    const keeper = createServerKeeper(this.clock, HOSTS);
+    const keeper = createServerKeeper(this.clock, HOST_COUNT);
     return { keeper, read: 0 };
   }
 }
 
-const name = fc.constantFrom(...NAMES);
-const host = fc.nat(HOSTS - 1);
+const serverName = fc.constantFrom(...SERVER_IDS);
+const hostIndex = fc.nat(HOST_COUNT - 1);
 const step = fc.oneof(
-  fc.record({ kind: fc.constant('write'), name, life: fc.nat(3), isLeaving: fc.boolean() }),
-  fc.record({ kind: fc.constantFrom('remove', 'spoil'), name }),
-  fc.record({ kind: fc.constantFrom('follow', 'read', 'restart'), host }),
-  fc.record({ kind: fc.constant('report'), host, to: host }),
+  fc.record({
+    kind: fc.constant('write'),
+    name: serverName,
+    life: fc.nat(3),
+    isLeaving: fc.boolean(),
+  }),
+  fc.record({ kind: fc.constantFrom('remove', 'spoil'), name: serverName }),
+  fc.record({ kind: fc.constantFrom('follow', 'read', 'restart'), host: hostIndex }),
+  fc.record({ kind: fc.constant('report'), host: hostIndex, to: hostIndex }),
   fc.record({ kind: fc.constant('wait'), ms: fc.integer({ min: 1, max: 2_000 }) }),
 ) as fc.Arbitrary<Partial<StepFields> & { readonly kind: string }>;
 
 /** Long enough for a restart, a late entry and a host that starts in between. */
-const history = fc.array(step, { minLength: 10, maxLength: 60, size: 'max' });
+const stepSequence = fc.array(step, { minLength: 10, maxLength: 60, size: 'max' });
 
 interface StepFields {
   readonly name: string;
@@ -111,23 +117,23 @@
   readonly ms: number;
 }
 
-async function play(fleet: Fleet, { kind, ...fields }: Partial<StepFields> & { kind: string }) {
+async function runStep(fleet: Fleet, { kind, ...fields }: Partial<StepFields> & { kind: string }) {
   const { name: serverId = 'a', life = 0, isLeaving = false, host: index = 0, to = 0 } = fields;
   if (kind === 'write') fleet.register(serverId, life, isLeaving);
   else if (kind === 'remove') fleet.remove(serverId);
   else if (kind === 'spoil') fleet.write(serverId, 'no entry');
-  else if (kind === 'follow') fleet.follow(index);
-  else if (kind === 'read' || kind === 'restart') fleet.readAll(index, kind === 'restart');
-  else if (kind === 'report') fleet.report(index, to);
+  else if (kind === 'follow') fleet.readChanges(index);
+  else if (kind === 'read' || kind === 'restart') fleet.readSnapshot(index, kind === 'restart');
+  else if (kind === 'report') fleet.deliverReport(index, to);
   else await fleet.clock.advance(fields.ms ?? 0);
 }
 
-async function settleAll(fleet: Fleet): Promise<void> {
-  const hosts = Array.from({ length: HOSTS }, (_value, index) => index);
-  fleet.writeLive();
-  hosts.forEach((index) => fleet.follow(index));
-  hosts.forEach((from) => hosts.forEach((to) => fleet.report(from, to)));
-  hosts.forEach((from) => hosts.forEach((to) => fleet.report(from, to)));
+async function synchronizeHosts(fleet: Fleet): Promise<void> {
+  const hosts = Array.from({ length: HOST_COUNT }, (_value, index) => index);
+  fleet.rewriteLiveEntries();
+  hosts.forEach((index) => fleet.readChanges(index));
+  hosts.forEach((from) => hosts.forEach((to) => fleet.deliverReport(from, to)));
+  hosts.forEach((from) => hosts.forEach((to) => fleet.deliverReport(from, to)));
   await fleet.clock.advance(2 * LAPSED_GRACE_MS);
 }
 
@@ -137,10 +143,10 @@
   // that start while an entry stands that tells of an older life.
   // Cause: what contradicts a standing entry is known only to those that saw it happen.
   await fc.assert(
-    fc.asyncProperty(history, async (steps) => {
+    fc.asyncProperty(stepSequence, async (steps) => {
       const fleet = new Fleet();
-      for (const one of steps) await play(fleet, one);
-      await settleAll(fleet);
+      for (const nextStep of steps) await runStep(fleet, nextStep);
+      await synchronizeHosts(fleet);
       deepEqual(fleet.listUsable(1), fleet.listUsable(0));
       deepEqual(fleet.listUsable(2), fleet.listUsable(0));
     }),
@@ -150,12 +156,12 @@
 
 t.test('no life is usable at a host that has seen a newer one', async () => {
   await fc.assert(
-    fc.asyncProperty(history, async (steps) => {
+    fc.asyncProperty(stepSequence, async (steps) => {
       const fleet = new Fleet();
       const newest = new Map<string, number>();
-      for (const one of steps) {
-        await play(fleet, one);
-        if (one.kind === 'restart' && one.host === 0) newest.clear();
+      for (const nextStep of steps) {
+        await runStep(fleet, nextStep);
+        if (nextStep.kind === 'restart' && nextStep.host === 0) newest.clear();
         fleet.listUsable(0).forEach((id) => {
           const [serverId = '', bornAtMs = '0'] = id.split('@');
           ok(Number(bornAtMs) >= (newest.get(serverId) ?? 0), id);
