--- a/src/application/direct/_counted_hosts.ts
+++ b/src/application/direct/_counted_hosts.ts
@@ -1,13 +1,13 @@
 /**
- * Peers whose reports count.
+ * Tracks the peers whose reports are included in this entry host's totals.
  *
  * @module
  */
 import type { EntryHostIdentity } from '../../domain/membership/mod.js';
 
-/** Remembers them until they are looked at next. */
+/** Keeps the peers whose reports count until they are checked against the current ones. */
 export class CountedPeers {
-  /** By incarnation. */
+  /** Identities by process incarnation. */
   readonly #byIncarnation = new Map<string, EntryHostIdentity>();
 
   /** @param identity - a peer whose report counts */
@@ -16,10 +16,11 @@
   }
 
   /**
-   * Drops those that count no more: their reports must not stand for ever.
+   * Drops the peers whose reports no longer count, so that stale reports don't stay in the
+   * totals forever.
    *
-   * @param counted - peers whose reports count now
-   * @returns those that were dropped
+   * @param counted - peers whose reports count at present
+   * @returns the dropped peers
    */
   retainOnly(counted: readonly EntryHostIdentity[]): readonly EntryHostIdentity[] {
     const retainedIncarnations = new Set(counted.map(({ incarnation }) => incarnation));
--- a/src/application/direct/_ended_lives.ts
+++ b/src/application/direct/_ended_lives.ts
@@ -1,51 +1,55 @@
 /**
- * Lives of backend servers that are over though their entries may stand.
+ * Tracks the backend server incarnations that have ended although an entry may still list them.
  *
  * @module
  */
 import type { BackendServerEntry } from '../../domain/backend_servers/mod.js';
 
 /**
- * Keeps what other entry hosts are to be told: they may have read an entry that this one
- * knows to be wrong, from a request or from what was written before they started.
+ * Collects the ended incarnations that are reported to other entry hosts. Those may have read an
+ * entry that this entry host knows to be wrong, either from a request or from writes that came
+ * before they started.
  */
 export class EndedIncarnations {
-  /** Lives that requests, peers or restarts have shown to be over. */
+  /** IDs of incarnations that requests, peers or restarts have shown to have ended. */
   readonly #confirmedIds = new Set<string>();
 
   /**
-   * Lives that are over although their entry stands: it was written late, or by a life
-   * that had said that it leaves. By the name that it stands under.
+   * IDs of ended incarnations whose entry still stands, by server ID. The entry was written
+   * late, or by an incarnation that had already announced that it leaves.
    */
   readonly #unusableIds = new Map<string, string>();
 
-  /** @param id - a life that is over */
+  /** @param id - an incarnation that has ended */
   add(id: string): void {
     this.#confirmedIds.add(id);
   }
 
-  /** @param ids - lives whose entries are gone for long enough that nobody uses them */
+  /** @param ids - incarnations whose entries were removed so long ago that nobody uses them */
   forget(ids: readonly string[]): void {
     ids.forEach((id) => this.#confirmedIds.delete(id));
   }
 
-  /** @param entry - an entry that stands now. @param isUsable - whether its life may be used */
+  /**
+   * @param entry - an entry that stands at present. @param isUsable - whether its incarnation
+   *   may be used
+   */
   noteEntry({ id, serverId, isLeaving }: BackendServerEntry, isUsable: boolean): void {
     if (isLeaving || isUsable) this.#unusableIds.delete(serverId);
     else this.#unusableIds.set(serverId, id);
   }
 
-  /** @param serverId - a name under which no entry stands any more */
+  /** @param serverId - a server that no longer has an entry */
   noteEntryRemoved(serverId: string): void {
     this.#unusableIds.delete(serverId);
   }
 
-  /** Takes note that all entries are being read anew. */
+  /** Forgets the entries that stood before a full read of the store. */
   clearEntries(): void {
     this.#unusableIds.clear();
   }
 
-  /** @returns all of them */
+  /** @returns the IDs of all ended incarnations */
   list(): readonly string[] {
     return [...new Set([...this.#confirmedIds, ...this.#unusableIds.values()])];
   }
--- a/src/application/direct/_entry_reader.ts
+++ b/src/application/direct/_entry_reader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads backend servers' entries out of the store's keys and values.
+ * Decodes backend server entries from the store's keys and values.
  *
  * @module
  */
@@ -7,36 +7,39 @@
 import { formatReason, LogLevel } from '../../domain/errors/mod.js';
 import type { EventLog, Metrics } from '../../ports/mod.js';
 
-/** What the reader needs. */
-export interface EntryDecoderOptions {
-  /** Start of the keys under which backend servers are registered. */
+/** Dependencies and settings of an {@link EntryDecoder}. */
+export interface EntryReaderOptions {
+  /** Prefix of the keys under which backend servers are registered. */
   readonly prefix: string;
   readonly log: EventLog;
   readonly metrics: Metrics;
   /**
    * Decodes a registration.
    *
-   * @throws Error for one that can't be used
+   * @throws Error when the registration can't be used
    */
   readonly decode: (key: string, value: Uint8Array) => BackendServerEntry;
 }
 
-/** Decodes entries, and tells of those that can't be read. */
-export class EntryDecoder {
-  readonly #options: EntryDecoderOptions;
+/** Decodes entries, and logs and counts those that can't be decoded. */
+export class EntryReader {
+  readonly #options: EntryReaderOptions;
 
-  /** @param options - what the reader needs */
-  constructor(options: EntryDecoderOptions) {
+  /** @param options - dependencies and settings */
+  constructor(options: EntryReaderOptions) {
     this.#options = options;
   }
 
-  /** @param key - key of an entry. @returns the name that it stands under */
+  /** @param key - key of an entry. @returns ID of the server that it registers */
   getServerId(key: string): string {
     return key.slice(this.#options.prefix.length);
   }
 
-  /** @param key - key of an entry. @param value - what is written. @returns undefined for what can't be read */
-  tryDecode(key: string, value: Uint8Array): BackendServerEntry | undefined {
+  /**
+   * @param key - key of an entry. @param value - its value. @returns the entry; undefined if it
+   *   can't be decoded
+   */
+  read(key: string, value: Uint8Array): BackendServerEntry | undefined {
     const { decode, log, metrics } = this.#options;
     try {
       return decode(key, value);
--- a/src/application/direct/_kept_by_key.ts
+++ b/src/application/direct/_kept_by_key.ts
@@ -1,21 +1,21 @@
 /**
- * One object for each key, made when it is first asked for.
+ * A map that creates each missing value on first access.
  *
  * @module
  */
 
-/** A map that fills itself. */
+/** Holds one value for each key, created when it is first requested. */
 export class KeptByKey<T> {
   readonly #values = new Map<string, T>();
 
   readonly #create: (key: string) => T;
 
-  /** @param create - makes the object of a key */
+  /** @param create - creates the value for a key */
   constructor(create: (key: string) => T) {
     this.#create = create;
   }
 
-  /** @param key - a key. @returns its object */
+  /** @param key - a key. @returns its value, created if it is missing */
   take(key: string): T {
     const existing = this.#values.get(key);
     if (existing !== undefined) return existing;
@@ -24,12 +24,12 @@
     return created;
   }
 
-  /** @param key - a key. @returns its object, if it was ever asked for */
+  /** @param key - a key. @returns its value; undefined if it was never created */
   find(key: string): T | undefined {
     return this.#values.get(key);
   }
 
-  /** @returns keys and objects */
+  /** @returns all keys with their values */
   list(): readonly (readonly [string, T])[] {
     return [...this.#values];
   }
--- a/src/application/direct/_peer_figures.ts
+++ b/src/application/direct/_peer_figures.ts
@@ -1,11 +1,11 @@
 /**
- * What peers report of backend servers, and its sums.
+ * Stats that peers report about backend servers and services, and their sums.
  *
  * @module
  */
 import type { HostReportMessage, WaitingNoticeMessage } from '../../ports/mod.js';
 
-/** What a peer reports of backend servers. */
+/** Part of a peer's report that describes backend servers and the calls that wait for them. */
 export type PeerStats = Pick<
   HostReportMessage,
   'inFlight' | 'waitingCalls' | 'firstWaiting' | 'avoidedBy' | 'endedServers'
@@ -13,25 +13,25 @@
 
 const SUMMED_FIELDS = ['avoidedBy', 'inFlight', 'waitingCalls'] as const;
 
-/** Figures that are added up. */
+/** Report fields that are summed over peers. */
 export type SummedField = (typeof SUMMED_FIELDS)[number];
 
 type Counts = Readonly<Record<string, number>>;
 
-/** A peer whose call goes before those of all others. */
+/** The peer whose waiting call goes first. */
 export interface FirstWaiting {
   /** Incarnation of the peer's process. */
   readonly source: string;
-  /** 0 is the most urgent. */
+  /** Urgency of the call; 0 is the most urgent. */
   readonly urgency: number;
 }
 
 /**
- * Keeps the newest figures of each peer's process, and their sums.
+ * Keeps the newest stats of each peer process and their sums.
  *
- * A relay of 195 entry hosts hears some 170 reports a second with sums of 60 backend servers
- * each. Sums are kept up with each report, as adding all reports up anew for each one was
- * most of a relay's work.
+ * A relay of 195 entry hosts receives about 170 reports a second, each with sums for 60 backend
+ * servers. The sums are therefore updated with each report: recomputing them from all reports
+ * took most of a relay's processor time.
  */
 export class PeerStatsTable {
   readonly #stats = new Map<string, PeerStats>();
@@ -43,8 +43,10 @@
   };
 
   /**
+   * Replaces the stats of a peer process.
+   *
    * @param source - incarnation of the peer's process
-   * @param stats - what it reports; undefined when it is gone
+   * @param stats - its newest stats; undefined when the process is gone
    */
   set(source: string, stats: PeerStats | undefined): void {
     const previous = this.#stats.get(source);
@@ -58,21 +60,21 @@
   }
 
   /**
-   * @param field - which figure
-   * @param id - of a backend server, or a service
-   * @returns its sum over all peers
+   * @param field - which field
+   * @param id - ID of a backend server incarnation or of a service
+   * @returns the field's sum over all peers
    */
   getTotal(field: SummedField, id: string): number {
     return this.#totals[field].get(id) ?? 0;
   }
 
   /**
-   * Adds up what peers report.
+   * Adds up a field over some peers and this entry host.
    *
-   * @param field - which figures
-   * @param ownCounts - counts of this entry host, which are added
-   * @param sources - peers' processes
-   * @returns the counts
+   * @param field - which field
+   * @param ownCounts - counts of this entry host
+   * @param sources - incarnations of the peer processes to include
+   * @returns the sums by ID
    */
   sum(field: SummedField, ownCounts: Counts, sources: readonly string[]): Record<string, number> {
     const sums = new Map(Object.entries(ownCounts));
@@ -82,7 +84,10 @@
     return Object.fromEntries(sums);
   }
 
-  /** What few leave out is taken off the sums of all. */
+  /**
+   * Adds the totals of all peers and subtracts the peers that are not in `sources`, which takes
+   * fewer steps when `sources` holds most of them.
+   */
   #addTotalsOf(sums: Map<string, number>, field: SummedField, sources: readonly string[]): void {
     this.#totals[field].forEach((count, id) => addCount(sums, id, count));
     const included = new Set(sources);
@@ -92,11 +97,11 @@
   }
 
   /**
-   * Lists how urgent the first waiting calls are.
+   * Computes the urgency of the first waiting call of each service.
    *
-   * @param sources - peers' processes that are counted
-   * @param ownUrgencies - urgency of the first that waits here, by service
-   * @returns urgency by service
+   * @param sources - incarnations of the peer processes to include
+   * @param ownUrgencies - urgency of the first call that waits at this entry host, by service
+   * @returns the most urgent value, by service
    */
   mergeFirstWaiting(sources: readonly string[], ownUrgencies: Counts): Record<string, number> {
     const urgencies = { ...ownUrgencies };
@@ -111,9 +116,9 @@
   /**
    * Finds the peer with the most urgent waiting call.
    *
-   * @param serviceId - which service it waits for
-   * @param excluded - incarnation of a peer that is left out
-   * @returns the peer; undefined when nobody waits
+   * @param serviceId - service that the call waits for
+   * @param excluded - incarnation of a peer to leave out
+   * @returns the peer; undefined when no call waits
    */
   findFirstWaiting(serviceId: string, excluded?: string): FirstWaiting | undefined {
     let first: FirstWaiting | undefined;
@@ -127,11 +132,11 @@
   }
 
   /**
-   * Takes note, until a peer's next report, that it has taken a slot or given one back.
+   * Adjusts a peer's slot count until its next report, after it has taken or freed slots.
    *
    * @param source - incarnation of the peer's process
-   * @param serverId - life of the backend server
-   * @param change - slots that it has taken
+   * @param serverId - incarnation of the backend server
+   * @param change - number of slots taken; negative for freed slots
    */
   adjust(source: string, serverId: string, change: number): void {
     this.#update(source, ({ inFlight }) => {
@@ -141,10 +146,10 @@
   }
 
   /**
-   * Takes in what a peer has told of its waiting calls between two reports.
+   * Applies what a peer announces about its waiting calls between two reports.
    *
    * @param source - incarnation of the peer's process
-   * @param notice - what it told
+   * @param notice - the announcement
    */
   applyNotice(source: string, { serviceId, calls, firstUrgency }: WaitingNoticeMessage): void {
     this.#update(source, ({ waitingCalls, firstWaiting }) => ({
@@ -154,10 +159,10 @@
   }
 
   /**
-   * Takes note, until a peer's next report, that one of its calls waits no more.
+   * Counts one waiting call of a peer less until the peer's next report.
    *
    * @param source - incarnation of the peer's process
-   * @param serviceId - service that it waited for
+   * @param serviceId - service that the call waited for
    */
   noteServed(source: string, serviceId: string): void {
     this.#update(source, ({ waitingCalls }) => {
@@ -166,7 +171,7 @@
     });
   }
 
-  /** What a peer has reported stays as it came; a changed copy takes its place. */
+  /** Replaces a peer's stats by a changed copy; the reported object itself is never modified. */
   #update(source: string, buildChanges: (stats: PeerStats) => Partial<PeerStats>): void {
     const figures = this.#stats.get(source);
     if (figures) this.set(source, { ...figures, ...buildChanges(figures) });
--- a/src/application/direct/_peer_links.ts
+++ b/src/application/direct/_peer_links.ts
@@ -1,5 +1,5 @@
 /**
- * Which peers this entry host keeps links to.
+ * Decides which peers this entry host keeps links to.
  *
  * @module
  */
@@ -9,35 +9,35 @@
 import type { Clock, EventLog, PeerNetwork } from '../../ports/mod.js';
 
 /**
- * Time for which a link may stand without a report, in milliseconds: two peers that
- * have just found each other settle within some rounds of reports.
+ * Age from which a link without reports is dropped, in milliseconds. Two peers that have just
+ * discovered each other need a few report rounds to agree on their roles.
  */
 const UNUSED_LINK_TIMEOUT_MS = 5_000;
 
-/** What the links need. */
+/** Dependencies and settings of {@link PeerLinks}. */
 export interface PeerLinksOptions {
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly selfUrl: string;
-  /** Addresses that peers are looked for at. */
+  /** URLs of the seed peers, where discovery starts. */
   readonly seeds: readonly string[];
 }
 
-/** What the links depend on. */
+/** Inputs of one update of the links. */
 export interface LinkInputs {
-  /** Peers' addresses that links are kept to. */
+  /** URLs of the peers to keep links to. */
   readonly wantedUrls: readonly string[];
-  /** Peers that are heard, with or without a link. */
-  readonly heardPeers: readonly HostState[];
+  /** Peers that are heard from, directly or through a relay. */
+  readonly heard: readonly HostState[];
   /** @returns whether a linked peer reports to this entry host */
   readonly isUsed: (peer: EntryHostIdentity) => boolean;
 }
 
 /**
- * Dials peers that are wanted and seeds that nobody has heard of, and gives up links
- * that neither end uses. Each idle link costs pings at both ends, and everybody begins
- * at the same few seeds.
+ * Dials the wanted peers and those seeds that are not heard from, and drops links that neither
+ * end uses. Each idle link costs pings at both ends, and all entry hosts start at the same few
+ * seeds.
  */
 export class PeerLinks {
   readonly #options: PeerLinksOptions;
@@ -48,20 +48,20 @@
 
   #lastAddresses = '';
 
-  /** @param options - what the links need */
+  /** @param options - dependencies and settings */
   constructor(options: PeerLinksOptions) {
     this.#options = options;
     this.#seedUrls = options.seeds;
     options.peers.onLink(({ peer, up }) => this.#handleLink(peer, up));
   }
 
-  /** @param peerUrls - addresses that peers are looked for at, from now on */
+  /** @param peerUrls - URLs of the seed peers from now on */
   setSeedUrls(peerUrls: readonly string[]): void {
     this.#seedUrls = peerUrls;
   }
 
-  /** @param links - what is wanted now */
-  update({ wantedUrls, heardPeers, isUsed }: LinkInputs): void {
+  /** @param links - the present inputs */
+  update({ wantedUrls, heard: heardPeers, isUsed }: LinkInputs): void {
     const isHeard = (url: string): boolean =>
       heardPeers.some(({ identity }) => identity.peerUrl === url);
     const urls = new Set([...wantedUrls, ...this.#seedUrls.filter((url) => !isHeard(url))]);
--- a/src/application/direct/_relay_choice.ts
+++ b/src/application/direct/_relay_choice.ts
@@ -1,5 +1,5 @@
 /**
- * Which relay an entry host is a member of.
+ * Selects the relay that an entry host is a member of.
  *
  * @module
  */
@@ -7,31 +7,31 @@
 import type { HostState, PlannedHost } from '../../domain/overlay/mod.js';
 
 /**
- * Time that a relay has to send its report of all others, in milliseconds: a new link
- * takes some milliseconds, and four reports may be missing before another is asked.
+ * Time within which a relay must send its fleet report, in milliseconds. A new link takes a few
+ * milliseconds, and four reports may be lost before the member turns to another relay.
  */
 const RELAY_TIMEOUT_MS = 600;
 
 /**
- * Time for which a relay may know less than half of all entry hosts, in milliseconds.
- * One that is cut off from the others leaves its members cut off as well.
+ * Time for which a relay may know less than half of all entry hosts, in milliseconds. A relay
+ * that is partitioned from the other entry hosts cuts its members off as well.
  */
 const PARTIAL_VIEW_TIMEOUT_MS = 1_500;
 
-/** Part of all known entry hosts below which a relay knows too few. */
+/** Fraction of the known entry hosts that a relay's fleet report must cover. */
 const MIN_VIEW_FRACTION = 0.5;
 
-/** What a choice depends on. */
+/** Inputs of a selection. */
 export interface RelaySelectionInputs {
   readonly self: PlannedHost;
-  /** Relays that are heard, and those that others have told of. */
+  /** Planned relays that are heard from, or that peers have named and that never fell silent. */
   readonly relays: readonly HostState[];
-  /** Entry hosts that are known, heard or not. */
+  /** Number of known entry hosts, including silent ones. */
   readonly knownCount: number;
   readonly nowMs: number;
 }
 
-/** Stays with a relay while it serves, and goes on to the next when it doesn't. */
+/** Keeps a relay while it works, and moves to the next one in the ranking when it fails. */
 export class RelaySelector {
   #id: string | undefined;
 
@@ -39,16 +39,17 @@
 
   #lastBroadReportAtMs = 0;
 
-  /** Name of the relay; undefined where there is none. */
+  /** ID of the selected relay; undefined when there is none. */
   get id(): string | undefined {
     return this.#id;
   }
 
   /**
-   * Notes a report of all others from the relay.
+   * Records a fleet report from the selected relay.
    *
-   * @param hostCount - entry hosts that it contains
-   * @param circumstances - the present ones
+   * @param hostCount - number of entry hosts that the report covers
+   * @param circumstances - the number of known entry hosts, and the monotonic time in
+   *   milliseconds
    */
   noteFleetReport(
     hostCount: number,
@@ -58,7 +59,7 @@
     if (hostCount >= knownCount * MIN_VIEW_FRACTION) this.#lastBroadReportAtMs = nowMs;
   }
 
-  /** Stays, or goes on to the next. @param inputs - the present circumstances */
+  /** Keeps the relay or moves to the next one. @param inputs - the present inputs */
   update({ nowMs, relays, self }: RelaySelectionInputs): void {
     const isServing =
       nowMs - this.#lastReportAtMs <= RELAY_TIMEOUT_MS &&
--- a/src/application/direct/_report_builder.ts
+++ b/src/application/direct/_report_builder.ts
@@ -1,5 +1,5 @@
 /**
- * Builds the report that one peer is to get.
+ * Builds the report for one peer.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 import type { ReportRole } from './_report_role.js';
 import type { ReceivedReports } from './_report_sources.js';
 
-/** What reports are built from. */
+/** Sources of a report's content. */
 export interface ReportBuilderOptions {
   readonly roster: Roster;
   readonly role: ReportRole;
@@ -21,19 +21,19 @@
   readonly buildFigures: (sources: FigureSources) => ReportFigures;
 }
 
-/** Joins figures and roster to a report. */
+/** Combines stats and roster entries into a report. */
 export class ReportBuilder {
   readonly #options: ReportBuilderOptions;
 
-  /** @param options - what reports are built from */
+  /** @param options - sources of the content */
   constructor(options: ReportBuilderOptions) {
     this.#options = options;
   }
 
   /**
-   * @param peer - who is told
-   * @param scope - whose figures
-   * @param sequence - the report's number
+   * @param peer - receiver of the report
+   * @param scope - which entry hosts' stats the report contains
+   * @param sequence - the report's sequence number
    * @returns the report
    */
   build(peer: EntryHostIdentity, scope: ReportScope, sequence: number): HostReportMessage {
@@ -43,12 +43,14 @@
     const addedReports = role.listAddedReports(scope, incarnation);
     const incarnations = addedReports.map(({ identity }) => identity.incarnation);
     const hostCount = addedReports.reduce((sum, { report }) => sum + report.hostCount, 1);
-    // A member that strangers take for a relay only helps them to find one.
+    // When peers that are not in its roster take a member for a relay, the member only helps
+    // them to find a relay and reports no stats of its own.
     const hasStats = scope === ReportScope.Member || role.isRelay;
     const stats = hasStats
       ? buildFigures({ incarnations, scope, receiver: incarnation })
       : NO_FIGURES;
-    // What another scope left out was never told.
+    // A report of another scope may have left roster entries out, so its acknowledgement doesn't
+    // count.
     const ackedRevision = lastReport?.heardScope === scope ? lastReport.heardRosterRevision : 0;
     return {
       type: PeerMessageType.HostReport,
--- a/src/application/direct/_report_role.ts
+++ b/src/application/direct/_report_role.ts
@@ -1,5 +1,5 @@
 /**
- * Whether this entry host passes reports on, and what it tells whom.
+ * Determines whether this entry host is a relay, and which stats it reports to which peer.
  *
  * @module
  */
@@ -10,13 +10,13 @@
 import type { RelaySelectionInputs } from './_relay_choice.js';
 import type { ViewOrigin, ReceivedReport, ReceivedReports } from './_report_sources.js';
 
-/** What a role follows from. */
+/** Inputs of a {@link ReportRole}. */
 export interface ReportRoleOptions {
   readonly roster: Roster;
   readonly received: ReceivedReports;
 }
 
-/** Follows the plan of relays as entry hosts come and go. */
+/** Keeps the relay plan up to date as entry hosts join and leave. */
 export class ReportRole {
   readonly #roster: Roster;
 
@@ -24,44 +24,44 @@
 
   readonly #relaySelector = new RelaySelector();
 
-  /** Names of the relays by the present plan. */
+  /** IDs of the relays in the present plan. */
   #relayIds: ReadonlySet<string> = new Set();
 
   #plannedRevision = 0;
 
-  /** States of the relays by the plan, and of those that links are kept to by a relay. */
+  /** States of the planned relays, and below them of the entry hosts that a relay links to. */
   #relayStates: readonly HostState[] = [];
 
   #relayLinkTargets: readonly HostState[] = [];
 
-  /** @param options - what the role follows from */
+  /** @param options - roster and received reports */
   constructor({ roster, received }: ReportRoleOptions) {
     this.#roster = roster;
     this.#received = received;
   }
 
-  /** Whether this entry host passes reports on. */
+  /** Whether this entry host is a relay, which forwards reports. */
   get isRelay(): boolean {
     return this.#relayIds.has(this.#roster.self.identity.id);
   }
 
-  /** Name of the relay that it is a member of; undefined for a relay. */
+  /** ID of the relay that this entry host is a member of; undefined for a relay. */
   get relayId(): string | undefined {
     return this.isRelay ? undefined : this.#relaySelector.id;
   }
 
-  /** How many relays there are by the plan. */
+  /** Number of relays in the plan. */
   get relayCount(): number {
     return this.#relayIds.size;
   }
 
-  /** Where its picture of all others comes from. */
+  /** Which reports form this entry host's view of the fleet. */
   get origin(): ViewOrigin {
     const relay = this.relayId === undefined ? undefined : this.#roster.find(this.relayId);
     return { isRelay: this.isRelay, relayIncarnation: relay?.identity.incarnation };
   }
 
-  /** @param id - an entry host's name. @returns whether it passes reports on, by the plan */
+  /** @param id - an entry host's ID. @returns whether it is a relay in the present plan */
   isPlannedRelay(id: string): boolean {
     return this.#relayIds.has(id);
   }
@@ -71,7 +71,10 @@
     return this.isRelay && this.#received.find(incarnation)?.report.scope === ReportScope.Member;
   }
 
-  /** @param nowMs - monotonic time. @returns whether the role or the relay is another one now */
+  /**
+   * @param nowMs - monotonic time in milliseconds. @returns whether the role or the relay has
+   *   changed
+   */
   update(nowMs: number): boolean {
     const previousRelayId = this.relayId;
     const wasRelay = this.isRelay;
@@ -80,7 +83,7 @@
     return wasRelay !== this.isRelay || previousRelayId !== this.relayId;
   }
 
-  /** @param source - a peer's report that was just heard */
+  /** @param received - a peer's report that has just arrived */
   noteReport({ identity, report, receivedAtMs }: ReceivedReport): void {
     const isFromOwnRelay = report.scope === ReportScope.Fleet && identity.id === this.relayId;
     if (!isFromOwnRelay) return;
@@ -89,9 +92,9 @@
   }
 
   /**
-   * Lists whom links are kept to. A relay looks for all that would be relays if they
-   * were heard, so that two sides of a cut find each other again; a member keeps to its
-   * relay.
+   * Lists the peers to keep links to. A member links to its relay. A relay also links to the
+   * known peers that would be relays if every known entry host were heard from, so that the two
+   * sides of a partition find each other again.
    *
    * @returns the peers
    */
@@ -100,7 +103,10 @@
     return this.#relayStates.filter(({ identity }) => identity.id === this.relayId);
   }
 
-  /** @param peer - a linked peer. @returns whose figures it is to be told; undefined: nothing */
+  /**
+   * @param peer - a linked peer. @returns scope of the stats to report to it; undefined: no
+   *   report
+   */
   pickScope(peer: EntryHostIdentity): ReportScope | undefined {
     if (this.hasMember(peer.incarnation)) return ReportScope.Fleet;
     if (!this.isRelay && peer.id === this.relayId) return ReportScope.Member;
@@ -111,37 +117,40 @@
   }
 
   /**
-   * A stranger's question is a report like its answer. Two members that met at a seed would
-   * answer each other's answers for good, so a question counts as answered once the asker
-   * has heard this process. Relays, and who takes itself for one, need the figures of each
-   * round.
+   * Returns whether a group report from a peer needs an answer.
+   *
+   * An unknown peer's request has the same form as an answer to it. Two members that met at a
+   * seed would answer each other's answers forever, so a request counts as answered once the
+   * peer has received a report from this process. Relays, and entry hosts that take themselves
+   * for one, need the stats of each round.
    */
   #mustAnswer({ id, incarnation }: EntryHostIdentity): boolean {
     const request = this.#received.find(incarnation)?.report;
     if (request?.scope !== ReportScope.Group) return false;
-    // A member leaves it to its own relay to answer other relays, or it would count twice.
+    // The member's own relay answers other relays; with another answer the member would count
+    // twice.
     if (!this.isRelay && this.#relayIds.has(id)) return false;
     return request.hostCount > 0 || request.heardSequence === 0;
   }
 
   /**
-   * Lists the relays that a stranger is told of with each report. What it was told first
-   * may date from a moment when this process knew hardly anybody, and later reports name
-   * only what has changed among members: two entry hosts of sixty stayed apart for good,
-   * each a relay by what it knew.
+   * Lists the relays that each report to an unknown peer names. The first report may date from a
+   * moment when this process knew almost no entry hosts, and later reports contain only changes
+   * among members. Without this list, two of sixty entry hosts stayed separated forever, each of
+   * them a relay by its own view.
    *
-   * @param peer - who is told
-   * @returns the relays' states; none for a relay of the plan, which links to all others
+   * @param peer - receiver of the report
+   * @returns states of the relays; empty for a planned relay, which links to all other relays
    */
   listRelaysFor({ id }: EntryHostIdentity): readonly HostState[] {
     return this.#relayIds.has(id) ? [] : this.#relayStates;
   }
 
   /**
-   * Lists the reports whose figures are added to this entry host's own.
+   * Lists the received reports whose stats are added to this entry host's own.
    *
-   * @param scope - what is told
-   * @param receiver - incarnation of whom it is told to
+   * @param scope - scope of the report to be built
+   * @param receiver - incarnation of the report's receiver
    * @returns the reports
    */
   listAddedReports(scope: ReportScope, receiver: string): ReceivedReport[] {
--- a/src/application/direct/_report_rounds.ts
+++ b/src/application/direct/_report_rounds.ts
@@ -1,45 +1,47 @@
 /**
- * When an entry host reports.
+ * Schedules the reports of an entry host.
  *
  * @module
  */
 import type { Clock, Timer } from '../../ports/mod.js';
 
 /**
- * Time between two reports, in milliseconds. Requests hold a slot for some hundred
- * milliseconds and more, so counts of this age are still mostly right. A report costs
- * about half a millisecond of processor a peer, sending and receiving together
- * (0.023 cores at six peers).
+ * Interval between two reports, in milliseconds. Requests hold a slot for some hundred
+ * milliseconds or longer, so counts of this age are still mostly accurate. A report costs about
+ * half a millisecond of processor time per peer, for sending and receiving together (0.023 cores
+ * with six peers).
  */
 export const REPORT_INTERVAL_MS = 150;
 
 /**
- * Time for which a member waits for its relay's report beyond the interval, in milliseconds,
- * before it reports unasked. Its report is an answer to its relay's otherwise, so that a process
- * at rest wakes once for both. At twenty hosts the processor time of start and rest fell by a
- * twentieth (two runs each, together with fewer looks at whether to read the store).
+ * Time beyond the interval that a member waits for its relay's report before it reports on its
+ * own, in milliseconds. Normally its report answers the relay's, so that an idle process wakes
+ * once for both. Together with fewer checks of whether to read the store, this lowered the
+ * processor time of start and idling by a twentieth at twenty hosts, in two runs each.
  */
 const MEMBER_GRACE_MS = 60;
 
-/** Shortest time between two reports of a member to its relay, in milliseconds: half an interval. */
+/**
+ * Shortest time between two reports of a member to its relay, in milliseconds: half an interval.
+ */
 const MIN_MEMBER_INTERVAL_MS = 75;
 
 /**
- * Time from a relay's reports to its members until those to other relays, in milliseconds: its
- * members have answered by then, and the others pass their figures on with their next round.
+ * Delay between a relay's reports to its members and those to other relays, in milliseconds. By
+ * then the members have answered, and the other relays forward their stats in their next round.
  */
 const RELAY_SEND_DELAY_MS = 75;
 
-/** What the rounds need, and what they call. */
+/** Dependencies and callbacks of a {@link ReportScheduler}. */
 export interface ReportSchedulerOptions {
   readonly clock: Clock;
-  /** @returns whether a relay's reports set the pace */
+  /** @returns whether this entry host is a member, so that its relay's reports set the pace */
   readonly isMember: () => boolean;
-  /** Called for each round. */
+  /** Called to send the reports of a round. */
   readonly onRound: () => void;
 }
 
-/** Calls for reports again and again. */
+/** Starts a report round at each interval. */
 export class ReportScheduler {
   readonly #options: ReportSchedulerOptions;
 
@@ -51,30 +53,30 @@
 
   #isRunning = false;
 
-  /** @param options - what the rounds need */
+  /** @param options - dependencies and callbacks */
   constructor(options: ReportSchedulerOptions) {
     this.#options = options;
   }
 
-  /** Begins with a round now. */
+  /** Starts with a round at once. */
   start(): void {
     this.#isRunning = true;
     this.#runRound();
   }
 
-  /** Takes note of a report of the relay: it is answered now, unless another one just was. */
+  /** Answers the relay's report with a round, unless one has just run. */
   noteRelayReport(): void {
     const elapsedMs = this.#options.clock.nowMs() - this.#lastRoundAtMs;
     if (this.#isRunning && elapsedMs >= MIN_MEMBER_INTERVAL_MS) this.#runRound();
   }
 
-  /** @param send - called when the members have answered this round */
+  /** @param send - called when the members have had time to answer this round */
   scheduleRelaySend(send: () => void): void {
     this.#relaySendTimer?.cancel();
     this.#relaySendTimer = this.#options.clock.setTimer(RELAY_SEND_DELAY_MS, send);
   }
 
-  /** Calls no more. */
+  /** Stops all rounds. */
   stop(): void {
     this.#isRunning = false;
     this.#roundTimer?.cancel();
--- a/src/application/direct/_report_sources.ts
+++ b/src/application/direct/_report_sources.ts
@@ -1,5 +1,5 @@
 /**
- * The newest report of each peer that reports to this entry host.
+ * Keeps the newest report of each peer that reports to this entry host.
  *
  * @module
  */
@@ -8,31 +8,35 @@
 import type { HostReportMessage } from '../../ports/mod.js';
 
 /**
- * Silence after which a peer counts as out of reach for limits that all share, in
- * milliseconds: three reports. Until then both sides of a partition spend the whole.
+ * Age of the newest report from which a peer counts as unreachable for shared limits, in
+ * milliseconds: three report intervals. Until then, both sides of a partition may spend the
+ * whole limit.
  */
 export const REACH_SILENT_MS = 450;
 
-/** A peer's newest report. */
+/** A peer's newest report and when it arrived. */
 export interface ReceivedReport {
   readonly identity: EntryHostIdentity;
   readonly report: HostReportMessage;
   readonly receivedAtMs: number;
 }
 
-/** Where this entry host's picture of all others comes from. */
+/** Which received reports form this entry host's view of the fleet. */
 export interface ViewOrigin {
-  /** Whether it passes reports on for others. */
+  /** Whether this entry host is a relay. */
   readonly isRelay: boolean;
-  /** Incarnation of the relay that it is a member of. */
+  /** Incarnation of the relay that this entry host is a member of. */
   readonly relayIncarnation: string | undefined;
 }
 
-/** Keeps reports, and tells which of them count. */
+/** Stores reports and determines which of them count. */
 export class ReceivedReports {
   readonly #byIncarnation = new Map<string, ReceivedReport>();
 
-  /** @param received - a peer and its newest report; a former process of the same host counts no more */
+  /**
+   * @param received - a peer's newest report; it replaces the report of the host's former
+   *   process
+   */
   put(received: ReceivedReport): void {
     const { id, incarnation } = received.identity;
     if (!this.#byIncarnation.has(incarnation)) {
@@ -48,29 +52,32 @@
     return this.#byIncarnation.get(incarnation);
   }
 
-  /** Forgets peers that were silent for too long. @param nowMs - monotonic time in milliseconds */
+  /**
+   * Drops peers that have been silent for too long. @param nowMs - monotonic time in
+   * milliseconds
+   */
   dropSilent(nowMs: number): void {
     this.#byIncarnation.forEach(({ receivedAtMs }, incarnation) => {
       if (nowMs - receivedAtMs > SILENT_AFTER_MS) this.#byIncarnation.delete(incarnation);
     });
   }
 
-  /** @param scope - whose figures. @returns peers whose newest report has these */
+  /** @param scope - a report scope. @returns the newest reports that have this scope */
   listByScope(scope: ReportScope): ReceivedReport[] {
     return [...this.#byIncarnation.values()].filter(({ report }) => report.scope === scope);
   }
 
-  /** @param origin - where the picture comes from. @returns the reports that count */
+  /** @param origin - which reports form the view. @returns the reports that count */
   listCounted(origin: ViewOrigin): ReceivedReport[] {
     return [...this.#byIncarnation.values()].filter((source) => isCounted(source, origin));
   }
 
   /**
-   * Counts entry hosts within reach.
+   * Counts the reachable entry hosts.
    *
-   * @param origin - where the picture comes from
+   * @param origin - which reports form the view
    * @param nowMs - monotonic time in milliseconds
-   * @returns how many, this one left out
+   * @returns number of reachable entry hosts without this one
    */
   countReachable(origin: ViewOrigin, nowMs: number): number {
     return this.listCounted(origin)
@@ -80,12 +87,13 @@
 }
 
 /**
- * Tells whether a report counts. Those that do contain each other entry host once: a
- * relay adds its members' and the other relays' up; a member has one report of everybody
- * else from its relay, and whatever others send it would count them twice.
+ * Returns whether a report counts. The counted reports cover each other entry host exactly once:
+ * a relay adds up the reports of its members and of the other relays, while a member has one
+ * report of the whole fleet from its relay, and reports from other peers would count their hosts
+ * twice.
  *
- * @param source - a peer's report
- * @param origin - where the picture comes from
+ * @param received - a peer's report
+ * @param origin - which reports form the view
  * @returns whether it counts
  */
 export function isCounted(
--- a/src/application/direct/_roster_log.ts
+++ b/src/application/direct/_roster_log.ts
@@ -1,5 +1,5 @@
 /**
- * Log lines about which entry hosts are there.
+ * Logs which entry hosts join, fall silent and are forgotten.
  *
  * @module
  */
@@ -7,26 +7,26 @@
 import type { EntryHostIdentity } from '../../domain/membership/mod.js';
 import type { EventLog } from '../../ports/mod.js';
 
-/** Writes one line for each entry host that comes or goes. */
+/** Writes one log line for each change in the set of known entry hosts. */
 export class RosterLog {
   readonly #log: EventLog;
 
-  /** @param log - where to */
+  /** @param log - receives the lines */
   constructor(log: EventLog) {
     this.#log = log;
   }
 
-  /** @param identity - an entry host that is heard of */
+  /** @param identity - an entry host's process that has been discovered */
   logSeen({ id, incarnation, peerUrl }: EntryHostIdentity): void {
     this.#log.write(LogLevel.Info, 'entry_host_seen', { entryHost: id, incarnation, peerUrl });
   }
 
-  /** @param identity - an entry host that nobody hears any more */
+  /** @param identity - an entry host that no live process vouches for any more */
   logSilent({ id }: EntryHostIdentity): void {
     this.#log.write(LogLevel.Warn, 'entry_host_silent', { entryHost: id });
   }
 
-  /** @param identity - an entry host that was silent for long */
+  /** @param identity - an entry host that is forgotten after a long silence */
   logForgotten({ id }: EntryHostIdentity): void {
     this.#log.write(LogLevel.Info, 'entry_host_forgotten', { entryHost: id });
   }
--- a/src/application/direct/_sent_reports.ts
+++ b/src/application/direct/_sent_reports.ts
@@ -1,15 +1,18 @@
 /**
- * When reports of this process were sent.
+ * Keeps when this process sent its newest reports.
  *
  * @module
  */
 import type { Moment } from '../../domain/freshness/mod.js';
 import type { Clock } from '../../ports/mod.js';
 
-/** Reports whose sending is remembered: what answers an older one is too old to be of use. */
+/**
+ * Number of reports whose send time is kept: an answer to an older report is too old to be of
+ * use.
+ */
 const MAX_REMEMBERED_REPORTS = 64;
 
-/** Numbers reports, and remembers the newest ones' moments. */
+/** Numbers reports and keeps the send times of the newest ones. */
 export class SentReports {
   readonly #clock: Clock;
 
@@ -17,17 +20,17 @@
 
   #sequence = 0;
 
-  /** @param clock - time */
+  /** @param clock - source of the send times */
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
-  /** Number of the newest report. */
+  /** Sequence number of the newest report. */
   get sequence(): number {
     return this.#sequence;
   }
 
-  /** Takes note that a new report is being sent. */
+  /** Starts a new report: takes the next sequence number and records the send time. */
   beginReport(): void {
     this.#sequence += 1;
     const moment = { steadyMs: this.#clock.nowMs(), wallMs: this.#clock.wallMs() };
@@ -35,7 +38,7 @@
     this.#sentAt.delete(this.#sequence - MAX_REMEMBERED_REPORTS);
   }
 
-  /** @param sequence - a report. @returns when it was sent, unless that is long ago */
+  /** @param sequence - a report's number. @returns its send time; undefined for an old report */
   findSentAt(sequence: number): Moment | undefined {
     return this.#sentAt.get(sequence);
   }
--- a/src/application/direct/feed_follower.ts
+++ b/src/application/direct/feed_follower.ts
@@ -1,5 +1,5 @@
 /**
- * Follows a store through its outages, alone or with what peers have read.
+ * Follows the change feed of a store through outages, by own reads or by updates from peers.
  *
  * @module
  */
@@ -18,49 +18,49 @@
 import { settle, startProcess } from '../channels/mod.js';
 import type { Step } from '../channels/mod.js';
 
-/** Pauses after failed reads: each is twice as long as the one before it. */
+/** Backoff delays after failed reads; each delay is twice the one before it. */
 export interface RetryPauses {
-  /** The first, in milliseconds. */
+  /** First delay, in milliseconds. */
   readonly minMs: number;
-  /** The longest, in milliseconds. */
+  /** Longest delay, in milliseconds. */
   readonly maxMs: number;
 }
 
-/** What a follower is to do next. */
+/** What a follower does next. */
 export interface ReadPlan {
-  /** Longest wait of the next read, in milliseconds; undefined: peers read. */
+  /** Longest wait of the next read, in milliseconds; undefined while peers read. */
   readonly waitMs: number | undefined;
-  /** Time until the next look at the plan, in milliseconds, while peers read. */
+  /** Time until the plan is checked again while peers read, in milliseconds. */
   readonly lookAfterMs: number;
 }
 
-/** Wait of a read that only asks how things stand, in milliseconds: after a failure, behind a gap. */
+/** Wait of a read that probes the store after a failure or a gap, in milliseconds. */
 export const PROBE_WAIT_MS = 1;
 
 /**
- * Time after an outage in which missing entries may only have lapsed, in
- * milliseconds: they are written again within about two seconds of the return.
+ * Time after an outage in which missing entries may only have lapsed, in milliseconds: servers
+ * write them again within about two seconds of the store's return.
  */
 const REREGISTRATION_MS = 2_000;
 
-/** When and under which circumstances an answer was asked for. */
+/** When a response was requested, and under which circumstances. */
 export interface FeedContext {
-  /** When the question was sent: the answer tells of no earlier moment. */
+  /** When the request was sent; the response reflects this moment or a later one. */
   readonly askedAt: Moment;
-  /** Age that the answer had at that moment, in milliseconds; 0 for the store's own. */
+  /** Age of the response at that moment, in milliseconds; 0 for a response of the store. */
   readonly ageMs: number;
-  /** Whether entries may lack only because the store was away. */
+  /** Whether entries may be missing only because the store was unavailable. */
   readonly wasAway: boolean;
 }
 
-/** Changes between two revisions, as somebody has read them. */
+/** Changes between two revisions, read by this entry host or by a peer. */
 export interface FeedUpdate {
   readonly fromRevision: number;
   readonly toRevision: number;
   readonly changes: readonly FeedChange[];
 }
 
-/** What a follower needs, and what it calls. */
+/** Dependencies and callbacks of a {@link FeedFollower}. */
 export interface FeedFollowerOptions {
   readonly feed: ChangeFeed;
   readonly clock: Clock;
@@ -68,29 +68,29 @@
   readonly log: EventLog;
   readonly metrics: Metrics;
   readonly getReadPlan: () => ReadPlan;
-  /** @returns pauses after failed reads */
+  /** @returns backoff delays after failed reads */
   readonly getRetryPauses: () => RetryPauses;
-  /** Called with everything there is, at the start and after a gap. */
+  /** Called with all items of the store, at the start and after lost history. */
   readonly onAll: (items: readonly FeedItem[], context: FeedContext) => void;
-  /** Called with changes; with none when the store says that nothing changed. */
+  /** Called with changes; the list is empty when the store confirms that nothing has changed. */
   readonly onChanges: (changes: readonly FeedChange[], context: FeedContext) => void;
-  /** Called with what this follower itself has read. */
+  /** Called with each update that this follower has read from the store itself. */
   readonly onRead: (update: FeedUpdate, context: FeedContext) => void;
 }
 
-/** Reads everything once, then follows changes; reads anew where changes were lost. */
+/** Reads everything once and then follows changes; reads everything again when history is lost. */
 export class FeedFollower {
   readonly #options: FeedFollowerOptions;
 
   #revision: number | undefined;
 
-  /** Whether a peer's update showed that changes in between are missing. */
+  /** Whether a peer's update has shown that changes before it are missing. */
   #hasGap = false;
 
   /** Whether the store has dropped the changes after the known revision. */
   #hasLostHistory = false;
 
-  /** Keys that were there when last heard of. */
+  /** Keys that exist at the known revision. */
   readonly #presentKeys = new Set<string>();
 
   #firstReadAtMs = Infinity;
@@ -103,44 +103,44 @@
 
   #cancelIdleWait: () => void = () => undefined;
 
-  /** @param options - what to follow */
+  /** @param options - dependencies and callbacks */
   constructor(options: FeedFollowerOptions) {
     this.#options = options;
   }
 
-  /** Whether the last read of its own reached the store. */
+  /** Whether this follower's last own read reached the store. */
   get isInTouch(): boolean {
     return this.#failureCount === 0;
   }
 
-  /** When it had read everything for the first time, on the monotonic clock; Infinity before. */
+  /** Monotonic time of the first complete read, in milliseconds; Infinity before it. */
   get firstReadAtMs(): number {
     return this.#firstReadAtMs;
   }
 
-  /** Begins to follow. */
+  /** Starts to follow the feed. */
   start(): void {
     this.#isRunning = true;
     const run = this.#run.bind(this);
     startProcess(run).catch((error: unknown) => {
-      // Only a fault of a handler can end the process; the store's faults are caught inside.
+      // Only a fault in a callback can end the process: read errors are handled inside it.
       this.#options.log.write(LogLevel.Error, 'feed_follower_failed', {
         reason: formatReason(error),
       });
     });
   }
 
-  /** Follows no more. */
+  /** Stops following the feed. */
   stop(): void {
     this.#isRunning = false;
   }
 
   /**
-   * Takes in what a peer has read.
+   * Applies an update that a peer has read.
    *
    * @param update - the changes
-   * @param context - how old they are
-   * @returns false when changes before them are missing; they are read from the store then
+   * @param context - when and how the peer read them
+   * @returns false when earlier changes are missing, which are then read from the store
    */
   applyUpdate(update: FeedUpdate, context: FeedContext): boolean {
     if (this.#revision === undefined) return false;
@@ -177,7 +177,7 @@
     const { items, revision } = yield* settle(feed.readAll(''));
     const wasFilledByPeer = this.#revision !== undefined && !this.#hasLostHistory;
     if (wasFilledByPeer) {
-      // A peer has told the missing changes meanwhile, and maybe newer ones.
+      // While this read was under way, a peer sent the missing changes and possibly newer ones.
       this.#noteSuccess();
       return;
     }
@@ -195,9 +195,9 @@
   }
 
   /**
-   * Builds what peers need after the store has dropped its history. Without it they find a gap
-   * before the next update, ask the store from their own revision on, are told that it is gone,
-   * and each reads everything: two calls and more for each entry host.
+   * Builds the update for peers after history loss. Without it, each peer finds a gap, requests
+   * the changes, learns that they are gone and reads everything: at least two calls for each
+   * entry host.
    */
   #buildCatchUp(items: readonly FeedItem[], toRevision: number): FeedUpdate | undefined {
     const fromRevision = this.#revision;
@@ -214,7 +214,7 @@
   *#readChanges(after: number, waitMs: number): Step<void> {
     const { feed, onRead } = this.#options;
     const askedAt = this.#readMoment();
-    // After a failure the first read doesn't wait: the store's return is known at once.
+    // The first read after a failure doesn't wait, to notice the store's return at once.
     const maxWaitMs = this.#failureCount > 0 ? PROBE_WAIT_MS : waitMs;
     const { changes, revision } = yield* settle(feed.readChanges('', after, maxWaitMs));
     const update = { fromRevision: after, toRevision: Math.max(after, revision), changes };
@@ -226,13 +226,13 @@
   }
 
   /**
-   * Changes that a peer had told already, while this follower's own read was under
-   * way, are left out: an older one must not undo a newer one.
+   * Applies the changes after the known revision. A peer may have sent newer ones during this
+   * follower's own read, and an older change must not undo a newer one.
    */
   #apply({ toRevision, changes }: FeedUpdate, context: FeedContext): void {
     const knownRevision = this.#revision ?? 0;
     this.#revision = Math.max(knownRevision, toRevision);
-    // What was missing came with this update: it begins at or before the known revision.
+    // The update starts at or before the known revision, so it contains the missing changes.
     this.#hasLostHistory = false;
     const newChanges = changes.filter(({ revision }) => revision > knownRevision);
     newChanges.forEach(({ key, value }) => {
@@ -281,7 +281,7 @@
     return { steadyMs: clock.nowMs(), wallMs: clock.wallMs() };
   }
 
-  /** Waits until it may have to read, or learns that something is missing. */
+  /** Waits until the plan is due for a check, or until a gap is found. */
   #waitIdle(delayMs: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = this.#options.clock.setTimer(delayMs, resolve);
--- a/src/application/direct/feed_follower_test.ts
+++ b/src/application/direct/feed_follower_test.ts
@@ -6,7 +6,7 @@
 import { FeedFollower, LEADING_PAUSES } from './mod.js';
 import type { FeedContext, FeedUpdate } from './mod.js';
 
-/** What a follower was told, in order. */
+/** Runs a follower on a fake store, and records its callbacks in order. */
 class FollowerHarness {
   readonly clock = new VirtualClock();
 
@@ -18,7 +18,7 @@
 
   readonly contexts: FeedContext[] = [];
 
-  /** Undefined: peers read. */
+  /** Longest wait of each read; undefined while peers read instead. */
   waitMs: number | undefined = 1_000;
 
   readonly updates: FeedUpdate[] = [];
@@ -66,7 +66,7 @@
   t.same(harness.calls, ['all p/a', 'changes p/c', 'changes -p/a']);
 });
 
-t.test('FeedFollower tells that nothing changed, and when it asked', async (t) => {
+t.test('FeedFollower reports that nothing changed, with the time of the request', async (t) => {
   const harness = new FollowerHarness(t);
   harness.follower.start();
   await settle();
@@ -76,10 +76,10 @@
   t.equal(harness.contexts.at(-1)?.askedAt.steadyMs, askedAtMs);
 });
 
-t.test('FeedFollower reads everything anew when changes were forgotten', async (t) => {
-  // Symptom: a backend server that left is used for good.
-  // Sequence: the store drops its history while a watch is cut; a server leaves in between.
-  // Cause: the watch went on from the next change, and the one in the gap was never seen.
+t.test('FeedFollower reads everything again when the store has dropped changes', async (t) => {
+  // Guards against a backend server that has left but stays in use. The store drops its history
+  // while a watch is cut, and the server leaves in between. A follower that resumes at the next
+  // change never sees the removal in the gap.
   const harness = new FollowerHarness(t);
   harness.feed.put('p/a', 1);
   harness.follower.start();
@@ -97,10 +97,10 @@
   t.equal(harness.countLogEvents('feed_history_lost'), 1);
 });
 
-t.test('FeedFollower keeps what a peer tells while it reads everything anew', async (t) => {
-  // Symptom: a backend server that left is given work again.
-  // Sequence: the history is gone; while everything is read, a peer tells a newer change.
-  // Cause: what was read before that change took its place.
+t.test('FeedFollower keeps a peer update that arrives during a full read', async (t) => {
+  // Guards against sending work again to a backend server that has left. The history is gone,
+  // and while the follower reads everything, a peer sends a newer change. The result of the
+  // older read must not replace that change.
   const harness = new FollowerHarness(t);
   harness.feed.put('p/a', 1);
   harness.follower.start();
@@ -119,7 +119,7 @@
   t.equal(harness.calls.includes('changes -p/a'), true);
 });
 
-t.test('FeedFollower says once that the store is lost, and once that it is back', async (t) => {
+t.test('FeedFollower logs the loss and the return of the store once each', async (t) => {
   const harness = new FollowerHarness(t);
   harness.follower.start();
   await settle();
@@ -131,7 +131,7 @@
   t.equal(harness.countLogEvents('dependency_regained'), 1);
 });
 
-t.test('FeedFollower asks a store that is down a few times a second, and not more', async (t) => {
+t.test('FeedFollower retries a store that is down a few times a second', async (t) => {
   const harness = new FollowerHarness(t);
   harness.feed.isDown = true;
   harness.follower.start();
@@ -142,7 +142,7 @@
   );
 });
 
-t.test('FeedFollower tells for a while after an outage that entries may have lapsed', async (t) => {
+t.test('FeedFollower marks reads soon after an outage as possibly incomplete', async (t) => {
   const harness = new FollowerHarness(t);
   harness.follower.start();
   await settle();
@@ -175,7 +175,7 @@
   wasAway: false,
 };
 
-t.test('FeedFollower reads nothing while peers read, and takes in what they tell', async (t) => {
+t.test('FeedFollower reads nothing while peers read, and applies their updates', async (t) => {
   const harness = new FollowerHarness(t);
   harness.feed.put('p/a', 1);
   harness.follower.start();
@@ -189,10 +189,10 @@
   t.equal(harness.calls.at(-1), 'changes p/b,p/c');
 });
 
-t.test('FeedFollower reads what lies between it and a peer from the store', async (t) => {
-  // Symptom: one entry host sends work to a backend server that the others know to be gone.
-  // Sequence: a peer's update is lost; the next one is taken in as if it followed.
-  // Cause: a gap between two updates went unseen.
+t.test('FeedFollower reads the changes before a peer update from the store', async (t) => {
+  // Guards against one entry host sending work to a backend server that the others know to be
+  // gone. A peer's update is lost, and the next one must not be applied as if it followed
+  // directly.
   const harness = new FollowerHarness(t);
   harness.feed.put('p/a', 1);
   harness.follower.start();
@@ -206,7 +206,7 @@
   t.equal(harness.calls.at(-1), 'changes p/b,p/c');
 });
 
-t.test('FeedFollower lets no older change undo a newer one', async (t) => {
+t.test('FeedFollower does not let an older change undo a newer one', async (t) => {
   const harness = new FollowerHarness(t);
   harness.follower.start();
   await settle();
--- a/src/application/direct/feed_sharing.ts
+++ b/src/application/direct/feed_sharing.ts
@@ -1,5 +1,5 @@
 /**
- * Few entry hosts read the store; they tell the others.
+ * Lets a few entry hosts read the store and send the updates to all others.
  *
  * @module
  */
@@ -20,72 +20,81 @@
 import type { HostReports } from './host_reports.js';
 
 /**
- * Longest waits of the readers' reads, in milliseconds, by their place. The first
- * confirms often; the second stands by and hears of changes as early. Each call to
- * the store has its price, so there are no more than these, however many entry
- * hosts there are.
+ * Longest waits of the readers' reads, in milliseconds, by reader rank. The first reader
+ * confirms the state often; the second is on standby and learns of changes just as early. Each
+ * call to the store costs something, so the number of readers doesn't grow with the number of
+ * entry hosts.
  */
 const READER_WAITS_MS: readonly number[] = [800, 1_600];
 
 /**
- * Time without word from a reader after which an entry host reads for itself, in
- * milliseconds: half as long again as the first reader's wait. A configuration must
- * be in force within two seconds, also when a reader has just died.
+ * Time without an update from a reader after which an entry host reads for itself, in
+ * milliseconds: one and a half times the first reader's wait. A configuration must be in force
+ * within two seconds, also when a reader has just died.
  */
 const TAKEOVER_AFTER_MS = 1_200;
 
 /**
- * Time over which the relays, and after them the members, take over one after the other, in
- * milliseconds. Whoever is first tells the others within some milliseconds. Twenty hosts that
- * took over at once made 18 calls, and 18 more when the store cut them off.
+ * Time over which takeovers are staggered, first among relays and then among members, in
+ * milliseconds. The first host to take over sends updates to the others within a few
+ * milliseconds. When twenty hosts took over at once, they made 18 calls, and 18 more when the
+ * store cut them off.
  */
 const RELAY_STAGGER_MS = 400;
 const MEMBER_STAGGER_MS = 800;
 
 /**
- * Time after the start in which an entry host that has read everything reads no more unless
- * nothing is heard, in milliseconds. At first each knows nobody and takes itself for the reader.
+ * Time after its first complete read for which an entry host with contact to the store doesn't
+ * read unless updates stop, in milliseconds. At the start no host knows its peers yet, so each
+ * one would take itself for the first reader.
  */
 const STARTUP_READ_PAUSE_MS = 1_000;
 
-/** Entry hosts that ask a store that doesn't answer often; the others hear from them. */
+/** Number of entry hosts that retry often while the store is down; the others learn from them. */
 const FAST_RETRY_HOSTS = 4;
 
-/** Their pauses: the store's return must not be noticed late. */
+/** Backoff of the hosts that retry often, short enough to notice the store's return soon. */
 export const LEADING_PAUSES: RetryPauses = { minMs: 50, maxMs: 400 };
 
-/** Pauses of the others. */
+/** Backoff of all other entry hosts. */
 const SLOW_RETRY_BACKOFF: RetryPauses = { minMs: 400, maxMs: 2_000 };
 
 /**
- * Shortest and longest time between two looks at whether to read, in milliseconds. Word comes
- * every 0.8 s and is waited for; a host that has become a reader by another one's end notices
- * it after the longest one at the latest, well before anybody takes over.
+ * Shortest and longest time between two checks of whether to read, in milliseconds. Updates come
+ * every 0.8 s, and the host waits for them. A host that becomes a reader because another one has
+ * ended notices this within the longest time, well before any takeover.
  */
 const MIN_RECHECK_MS = 100;
 const MAX_RECHECK_MS = 500;
 
-/** Time between two tries of an entry host that can't reach the store itself while peers can, in milliseconds. */
+/**
+ * Time between two probes by a host that can't reach the store while peers can, in milliseconds.
+ */
 const PROBE_INTERVAL_MS = 2_000;
 
-/** How much fresher a confirmation must be to be passed on, in milliseconds: small beside the readers' waits. */
+/**
+ * Minimum gain in freshness for which a confirmation is forwarded, in milliseconds: small
+ * against the readers' waits.
+ */
 const MIN_AGE_GAIN_MS = 200;
 
 /**
- * How much longer than a relay a member waits for word from a reader, in milliseconds:
- * when the readers go, relays read, and not all entry hosts at the same moment.
+ * Additional time that a member waits for updates compared with a relay, in milliseconds: when
+ * the readers end, relays take over, and the entry hosts don't all read at the same moment.
  */
 const MEMBER_TAKEOVER_DELAY_MS = 400;
 
-/** Where an entry host stands among those that may read. */
+/** Position of an entry host in the order of readers. */
 interface ReaderRank {
-  /** 0: it reads first. */
+  /** Rank; 0 reads first. */
   readonly rank: number;
-  /** Part of its fellow relays, or fellow members, that go before it. */
+  /**
+   * Fraction of the other relays, or for a member of the other members, that precede this host.
+   */
   readonly precedingFraction: number;
 }
 
-/** What the sharing needs. */
+/** Dependencies of a feed's distribution. */
 export interface FeedSharingOptions {
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -95,20 +104,21 @@
 }
 
 /**
- * Decides who reads, passes on what was read, and takes in what peers have read.
+ * Decides which entry hosts read, sends what was read to peers, and applies what peers have
+ * read.
  *
- * How old a passed-on confirmation is can't be seen from its arrival: it may have
- * waited in a buffer, or this process may have been suspended. So a reader names the
- * newest report that it had from the receiver when it wrote, and the receiver counts
- * from the moment at which it sent that report.
+ * The age of a forwarded confirmation can't be derived from its arrival: it may have waited in a
+ * buffer, or this process may have been suspended. The sender therefore names the newest report
+ * that it had received from the receiver, and the receiver counts the age from when it sent that
+ * report.
  */
 export class FeedSharing {
   readonly #options: FeedSharingOptions;
 
-  /** Age of what was told to others last. */
+  /** Age of the state that was last sent to peers. */
   readonly #sentAge = new ConfirmedAge();
 
-  /** Newest revision that was told to others. */
+  /** Newest revision that was sent to peers. */
   #sentRevision = 0;
 
   #lastUpdateAtMs = Number.NEGATIVE_INFINITY;
@@ -117,7 +127,7 @@
 
   #lastProbeAtMs = Number.NEGATIVE_INFINITY;
 
-  /** @param options - what the sharing needs */
+  /** @param options - dependencies */
   constructor(options: FeedSharingOptions) {
     this.#options = options;
     options.peers.handle(PeerMessageType.FeedUpdate, (from, message) =>
@@ -125,7 +135,7 @@
     );
   }
 
-  /** @returns what the follower is to do next */
+  /** @returns what the follower does next */
   getReadPlan(): ReadPlan {
     const readerRank = this.#computeReaderRank();
     const nowMs = this.#options.clock.nowMs();
@@ -140,17 +150,17 @@
     };
   }
 
-  /** @returns pauses between two tries while the store doesn't answer */
+  /** @returns backoff delays while the store doesn't answer */
   getRetryPauses(): RetryPauses {
     const { rank } = this.#computeRank(this.#options.reports.listHeard());
     return rank < FAST_RETRY_HOSTS ? LEADING_PAUSES : SLOW_RETRY_BACKOFF;
   }
 
   /**
-   * Passes on what this entry host has read.
+   * Sends what this entry host has read to its peers.
    *
    * @param update - the changes
-   * @param context - when they were asked for
+   * @param context - when they were requested
    */
   sendUpdate(update: FeedUpdate, context: FeedContext): void {
     const { reports, clock } = this.#options;
@@ -179,7 +189,10 @@
     });
   }
 
-  /** The first read answers at once, so that all others hear. */
+  /**
+   * Returns the wait of a read after a takeover. The first read returns at once, so that all
+   * other hosts get an update.
+   */
   #computeTakeoverWaitMs(nowMs: number): number | undefined {
     return nowMs - this.#lastReadAtMs > TAKEOVER_AFTER_MS ? PROBE_WAIT_MS : READER_WAITS_MS[0];
   }
@@ -195,13 +208,16 @@
     return READER_WAITS_MS[0];
   }
 
-  /** Its place among those that reach the store. */
+  /** Computes this host's position among the hosts that reach the store. */
   #computeReaderRank(): ReaderRank {
     const heard = this.#options.reports.listHeard();
     return this.#computeRank(heard.filter(({ isInTouch }) => isInTouch));
   }
 
-  /** Relays go first: their word goes furthest. Among relays, and among members, names decide. */
+  /**
+   * Relays go first because their updates reach the most hosts. IDs decide among relays and
+   * among members.
+   */
   #computeRank(peers: readonly HostState[]): ReaderRank {
     const { reports } = this.#options;
     const { id } = reports.self.identity;
@@ -224,7 +240,8 @@
   #handleUpdate(from: EntryHostIdentity, message: FeedUpdateMessage): void {
     const { reports, follower, metrics } = this.#options;
     const askedAt = reports.findSentAt(message.heardSequence);
-    // Without a report of ours that the sender has seen, nothing bounds the update's age.
+    // Without a report of this host that the sender has received, the age of the update is
+    // unbounded.
     if (!askedAt) return;
     const { ageMs, wasAway } = message;
     const context = { askedAt, ageMs, wasAway };
@@ -236,9 +253,9 @@
   }
 
   /**
-   * A relay tells its members what it hears from relays, and everybody what it hears
-   * from a member. What brings nothing new ends here, or relays would tell each other
-   * the same again and again.
+   * A relay forwards updates from relays to its members, and updates from a member to all its
+   * peers. An update without news is not forwarded, or relays would send it to each other
+   * endlessly.
    */
   #forward(from: EntryHostIdentity, update: FeedUpdate, context: FeedContext): void {
     const { reports } = this.#options;
@@ -247,7 +264,10 @@
     }
   }
 
-  /** @returns whether it brings changes, or a confirmation much fresher than the last that was told */
+  /**
+   * @returns whether the update contains changes, or a confirmation much fresher than the last
+   *   one sent
+   */
   #recordSent({ toRevision }: FeedUpdate, { askedAt, ageMs }: FeedContext): boolean {
     const hasChanges = toRevision > this.#sentRevision;
     this.#sentRevision = Math.max(this.#sentRevision, toRevision);
--- a/src/application/direct/feed_sharing_test.ts
+++ b/src/application/direct/feed_sharing_test.ts
@@ -12,7 +12,7 @@
 import { FeedFollower, FeedSharing, HostReports, NO_FIGURES } from './mod.js';
 import type { FeedContext } from './mod.js';
 
-/** An entry host that follows the store, and knows how old its knowledge is. */
+/** An entry host that follows the store and tracks the age of its state. */
 class FollowerHost {
   readonly network: FakePeerNetwork;
 
@@ -123,7 +123,7 @@
   return { hub, clock, feed, hosts };
 }
 
-t.test('the calls to the store do not grow with the entry hosts', async (t) => {
+t.test('the number of calls to the store does not grow with the entry hosts', async (t) => {
   const counts: number[] = [];
   for (const count of [3, 12]) {
     const { clock, feed } = await startFleet(t, count);
@@ -132,15 +132,15 @@
     counts.push(feed.readCount - before);
   }
   t.equal(counts[0], counts[1]);
-  // Two reads of the fake a call, 1.25 + 0.63 calls a second.
+  // The fake counts two reads for each call; the readers make 1.25 + 0.63 calls a second.
   t.ok((counts[0] ?? Infinity) <= 20 * 2 * 2, String(counts[0]));
 });
 
-t.test('a store that drops its history is read anew by its readers alone', async (t) => {
-  // Symptom: 1,900 calls to the store within 35 s at 195 entry hosts, where two readers make 80.
-  // Sequence: the store drops its history; the readers read everything and go on from there;
-  // all others find a gap before the readers' next update.
-  // Cause: what had changed in between was told to nobody, and each read everything itself.
+t.test('only the readers read a store again that has dropped its history', async (t) => {
+  // Guards against 1,900 calls to the store within 35 s at 195 entry hosts, where two readers
+  // make 80. The store drops its history, the readers read everything and resume, and all other
+  // hosts find a gap before the readers' next update. Unless a reader sends what has changed in
+  // between, each of them reads everything itself.
   const { clock, feed, hosts } = await startFleet(t, 12);
   feed.isDown = true;
   await clock.advance(900);
@@ -155,23 +155,23 @@
   t.ok(feed.readCount - before <= 12, String(feed.readCount - before));
 });
 
-t.test('entry hosts take over from silent readers one after the other', async (t) => {
-  // Symptom: a store that keeps its answers back for a second gets a question from each of 195
-  // entry hosts, and another one when it cuts them off.
-  // Sequence: the readers' questions stay open; after 1.2 s without word all take over.
-  // Cause: nothing told one that the others had taken over at the same moment.
+t.test('entry hosts take over from silent readers at staggered times', async (t) => {
+  // Guards against a request from each of 195 entry hosts to a store that holds its responses
+  // back for a second, and another one when the store cuts them off. The readers' requests stay
+  // open, and after 1.2 s without updates all hosts take over at the same moment unless
+  // takeovers are staggered.
   const { clock, feed } = await startFleet(t, 24);
   feed.isSilent = true;
   const before = feed.readCount;
   await clock.advance(1_900);
-  // The two readers, and the members whose turn has come within the first 0.3 s of 0.8.
+  // The two readers, and the members whose turn comes within the first 0.3 s of the 0.8 s
+  // stagger.
   t.ok(feed.readCount - before <= 2 + 22 / 2, String(feed.readCount - before));
 });
 
-t.test('a store that is down is asked often by a few entry hosts alone', async (t) => {
-  // Symptom: 195 entry hosts send 500 calls a second to a store that is down.
-  // Sequence: the store is down for five seconds.
-  // Cause: each asked as often as if nobody else would tell it of the store's return.
+t.test('only a few entry hosts retry often while the store is down', async (t) => {
+  // Guards against 500 calls a second from 195 entry hosts to a store that is down for five
+  // seconds. Each host retried as often as if no other host would report the store's return.
   const counts: number[] = [];
   for (const count of [4, 24]) {
     const { clock, feed, hosts } = await startFleet(t, count);
@@ -188,7 +188,7 @@
   t.ok(many <= few + 20 * 4, counts.join());
 });
 
-t.test('everybody hears of a change at once, and knows it to be fresh', async (t) => {
+t.test('all entry hosts get a change at once and know that it is fresh', async (t) => {
   const { clock, feed, hosts } = await startFleet(t, 6);
   feed.put('b', 1);
   await settle();
@@ -197,24 +197,27 @@
   hosts.forEach(({ ageMs }, index) => t.ok(ageMs <= 2_000, `${index}: ${ageMs}`));
 });
 
-t.test('when the readers go, others read in time for the next change', async (t) => {
-  // Symptom: a configuration is not in force within two seconds on most entry hosts.
-  // Sequence: the entry hosts that read the store lose power; an operator publishes.
-  // Cause: the others waited for word from them.
-  const { hub, clock, feed, hosts } = await startFleet(t, 6);
-  const [first, second, ...others] = hosts as [FollowerHost, FollowerHost, ...FollowerHost[]];
-  [first, second].forEach((reader) => {
-    hosts.forEach((host) => {
-      if (host !== reader) hub.silence(reader.network.identity.id, host.network.identity.id);
+t.test(
+  'other entry hosts take over from lost readers before the next change is late',
+  async (t) => {
+    // Guards against a configuration that is not in force on most entry hosts within two
+    // seconds. The entry hosts that read the store lose power, an operator publishes, and the
+    // other hosts must not keep waiting for updates from them.
+    const { hub, clock, feed, hosts } = await startFleet(t, 6);
+    const [first, second, ...others] = hosts as [FollowerHost, FollowerHost, ...FollowerHost[]];
+    [first, second].forEach((reader) => {
+      hosts.forEach((host) => {
+        if (host !== reader) hub.silence(reader.network.identity.id, host.network.identity.id);
+      });
+      reader.stop();
     });
-    reader.stop();
-  });
-  feed.put('b', 1);
-  await clock.advance(1_500);
-  others.forEach(({ keys }, index) => t.ok(keys.has('b'), String(index)));
-});
+    feed.put('b', 1);
+    await clock.advance(1_500);
+    others.forEach(({ keys }, index) => t.ok(keys.has('b'), String(index)));
+  },
+);
 
-t.test('an entry host that only its peers connect to the store stays fresh', async (t) => {
+t.test('an entry host that gets the state only from peers stays fresh', async (t) => {
   const { hub, clock, feed, hosts } = await startFleet(t, 3);
   const [, , cut] = hosts as [FollowerHost, FollowerHost, FollowerHost];
   t.ok(hub.isOpen('h0', 'h2'));
@@ -226,11 +229,10 @@
   t.ok(cut.ageMs <= 2_000, String(cut.ageMs));
 });
 
-t.test('an update that waited for long confirms nothing fresh', async (t) => {
-  // Symptom: a revoked key is served by a machine that was suspended.
-  // Sequence: a reader's update waits in a buffer while the receiver is suspended for
-  // ten seconds; it is handled after the wake, before anything newer.
-  // Cause: the age was counted from the update's arrival.
+t.test('an update that waited in a buffer does not count as fresh', async (t) => {
+  // Guards against a revoked key that is accepted by a machine that was suspended. A reader's
+  // update waits in a buffer while the receiver is suspended for ten seconds, and is handled
+  // after the resume before anything newer. Its age must not be counted from its arrival.
   const { clock, hosts } = await startFleet(t, 3);
   const [reader, , receiver] = hosts as [FollowerHost, FollowerHost, FollowerHost];
   const heard = reader.reports.findHeardSequence(receiver.network.identity.incarnation);
--- a/src/application/direct/host_reports.ts
+++ b/src/application/direct/host_reports.ts
@@ -1,6 +1,5 @@
 /**
- * Tells peers what this entry host does, keeps what they tell, and passes it on where
- * this entry host is a relay.
+ * Sends this entry host's reports to peers, keeps theirs, and forwards them if it is a relay.
  *
  * @module
  */
@@ -22,13 +21,13 @@
 import { SentReports } from './_sent_reports.js';
 import { isCounted, ReceivedReports } from './_report_sources.js';
 
-/** What the reports need, and what they call. */
+/** Dependencies and callbacks of {@link HostReports}. */
 export interface HostReportsOptions {
   readonly self: EntryHostIdentity;
-  /** Processor cores that this process may use. */
+  /** Number of processor cores that this process may use. */
   readonly cores: number;
   readonly peers: PeerNetwork;
-  /** Peers' addresses to begin with. */
+  /** URLs of the seed peers, where discovery starts. */
   readonly seedPeerUrls: readonly string[];
   readonly clock: Clock;
   readonly log: EventLog;
@@ -36,13 +35,13 @@
   readonly buildFigures: (sources: FigureSources) => ReportFigures;
   /** Called with each report that counts. */
   readonly onReport: (report: CountedReport) => void;
-  /** Called when the reports of a process count no more. */
+  /** Called when the reports of a process no longer count. */
   readonly onSilent: (identity: EntryHostIdentity) => void;
-  /** Called after each round with the part of all known entry hosts within reach. */
+  /** Called after each round with the fraction of the known entry hosts that is reachable. */
   readonly onReach: (reach: number) => void;
 }
 
-/** Sends reports again and again, and at once when something matters. */
+/** Sends reports in regular rounds, and at once on request. */
 export class HostReports {
   readonly #options: HostReportsOptions;
 
@@ -66,7 +65,7 @@
 
   readonly #rosterLog: RosterLog;
 
-  /** @param options - what the reports need */
+  /** @param options - dependencies and callbacks */
   constructor(options: HostReportsOptions) {
     this.#options = options;
     this.#rosterLog = new RosterLog(options.log);
@@ -98,65 +97,65 @@
     peers.handle(PeerMessageType.HostReport, (from, report) => this.#handleReport(from, report));
   }
 
-  /** Begins to report. */
+  /** Starts to report. */
   start(): void {
     this.#scheduler.start();
   }
 
-  /** Reports no more. */
+  /** Stops reporting. */
   stop(): void {
     this.#scheduler.stop();
   }
 
-  /** @param peerUrls - addresses that peers are looked for at, from now on */
+  /** @param peerUrls - URLs of the seed peers from now on */
   setSeeds(peerUrls: readonly string[]): void {
     this.#links.setSeedUrls(peerUrls);
     this.#updateRole();
   }
 
-  /** Reports now, without waiting for the next round. */
+  /** Reports at once, without waiting for the next round. */
   sendNow(): void {
     this.#roster.updateSelf(this.#options.getState());
     this.#sendTo(this.listTargets());
   }
 
-  /** @returns peers that are heard, directly or through a relay */
+  /** @returns peers that are heard from, directly or through a relay */
   listHeard(): readonly HostState[] {
     return this.#roster.listHeard();
   }
 
-  /** @returns all peers that are known, also silent ones; the same array until any of them changes */
+  /** @returns all known peers, also silent ones; the same array until any of them changes */
   listKnown(): readonly HostState[] {
     return this.#roster.listKnown();
   }
 
-  /** Whether this entry host has had the time to hear of all others. */
+  /** Whether this entry host has had enough time to discover all others. */
   get isSettled(): boolean {
     const ageMs = this.#options.clock.nowMs() - this.#startedAtMs;
     return hasSettled(ageMs, this.listHeard().length);
   }
 
-  /** @returns how many peers that are heard serve callers */
+  /** @returns number of heard peers that serve callers */
   countServing(): number {
     return this.#roster.countServing();
   }
 
-  /** What this entry host tells of itself. */
+  /** The state that this entry host reports about itself. */
   get self(): HostState {
     return this.#roster.self;
   }
 
-  /** Entry hosts that are known, this one included. */
+  /** Number of known entry hosts, including this one. */
   get knownCount(): number {
     return this.#roster.size;
   }
 
-  /** Whether this entry host passes reports on. */
+  /** Whether this entry host is a relay. */
   get isRelay(): boolean {
     return this.#role.isRelay;
   }
 
-  /** @param id - an entry host's name. @returns whether it passes reports on, by the present plan */
+  /** @param id - an entry host's ID. @returns whether it is a relay in the present plan */
   isPlannedRelay(id: string): boolean {
     return this.#role.isPlannedRelay(id);
   }
@@ -173,11 +172,11 @@
   }
 
   /**
-   * Lists whom a relay passes on to: its members hear everything from it, and everybody else
-   * what its members say. Relays tell each other themselves.
+   * Lists the peers that a relay forwards a message to: its members, and for a message from a
+   * member also all other peers. Relays send their messages to each other directly.
    *
-   * @param from - a linked peer that has told something
-   * @returns linked peers that hear of it only through this entry host
+   * @param from - linked peer that has sent the message
+   * @returns linked peers that receive the message only through this entry host
    */
   listFurther({ incarnation }: EntryHostIdentity): readonly EntryHostIdentity[] {
     if (!this.isRelay) return [];
@@ -187,12 +186,14 @@
       .filter((peer) => isFromMember || this.hasMember(peer.incarnation));
   }
 
-  /** @param incarnation - a peer's process. @returns its newest report's number; 0: none */
+  /**
+   * @param incarnation - a peer's process. @returns its newest report's sequence number; 0: none
+   */
   findHeardSequence(incarnation: string): number {
     return this.#received.find(incarnation)?.report.sequence ?? 0;
   }
 
-  /** @param sequence - a report of this process. @returns when it was sent, unless that is long ago */
+  /** @param sequence - number of an own report. @returns its send time; undefined if it is old */
   findSentAt(sequence: number): Moment | undefined {
     return this.#sentReports.findSentAt(sequence);
   }
@@ -237,7 +238,7 @@
     }
     this.#links.update({
       wantedUrls: this.#role.listLinkTargets().map(({ identity }) => identity.peerUrl),
-      heardPeers: this.#roster.listHeard(),
+      heard: this.#roster.listHeard(),
       isUsed: (peer) => this.#received.find(peer.incarnation) !== undefined,
     });
     this.#notifyUncounted();
@@ -267,7 +268,7 @@
       this.#notifyCounted({ identity, report, isNewProcess: !wasKnown && report.hostCount === 1 });
     }
     if (isFirstReport && this.hasMember(incarnation)) {
-      // A new member knows nobody until its relay answers.
+      // A new member knows no peers until its relay answers.
       this.#sendTo([identity]);
     }
     const isFromRelay = report.scope === ReportScope.Fleet && identity.id === this.#role.relayId;
--- a/src/application/direct/host_reports_test.ts
+++ b/src/application/direct/host_reports_test.ts
@@ -30,7 +30,7 @@
   t.equal(b?.reports.knownCount, 3);
 });
 
-t.test('HostReports name nobody that says it does not serve', async (t) => {
+t.test('HostReports leave out a peer that reports that it does not serve', async (t) => {
   const { hosts, clock } = await startHosts(t, ['a', 'b']);
   const [a, b] = hosts as [ReportHost, ReportHost];
   b.isServing = false;
@@ -39,10 +39,10 @@
   t.same(a.listServing(), []);
 });
 
-t.test('HostReports notice a silent peer, and know how many are within reach', async (t) => {
-  // Symptom: callers are sent to a machine without power for as long as TCP takes.
-  // Sequence: a peer loses power; its connections stay open and silent.
-  // Cause: a link was taken for a sign of life.
+t.test('HostReports notice a silent peer and compute the reachable fraction', async (t) => {
+  // Guards against sending callers to a machine without power for as long as TCP takes to
+  // notice. The peer loses power and its connections stay open but silent, so an open link is no
+  // sign of life.
   const { hub, hosts, clock } = await startHosts(t, ['a', 'b', 'c', 'd']);
   const [a, b] = hosts as [ReportHost, ReportHost];
   hub.silence('a', 'b');
@@ -56,7 +56,7 @@
   t.equal(a.reach, 1);
 });
 
-t.test('HostReports take a restarted peer for the same host with nothing in flight', async (t) => {
+t.test('HostReports treat a restarted peer as the same host with nothing in flight', async (t) => {
   const { hub, hosts, clock } = await startHosts(t, ['a', 'b']);
   const [a, b] = hosts as [ReportHost, ReportHost];
   b.reports.stop();
--- a/src/application/direct/report_figures.ts
+++ b/src/application/direct/report_figures.ts
@@ -1,5 +1,5 @@
 /**
- * What reports between entry hosts are made of.
+ * Builds the stats that entry hosts report to each other.
  *
  * @module
  */
@@ -10,13 +10,13 @@
 import type { DirectGateway } from './direct_gateway.js';
 import type { ServerKeeper } from './server_keeper.js';
 
-/** Figures of this entry host, or of several together. */
+/** Stats of one entry host, or sums over several. */
 export type ReportFigures = Pick<
   HostReportMessage,
   'inFlight' | 'waitingCalls' | 'firstWaiting' | 'avoidedBy' | 'spentUnits' | 'endedServers'
 >;
 
-/** Figures of nobody. */
+/** Stats without any counts. */
 export const NO_FIGURES: ReportFigures = {
   inFlight: {},
   waitingCalls: {},
@@ -26,24 +26,24 @@
   endedServers: [],
 };
 
-/** Whose figures a report contains beside this entry host's own. */
+/** Which entry hosts' stats a report contains beside those of this entry host. */
 export interface FigureSources {
   readonly scope: ReportScope;
-  /** Incarnations whose newest reports are added. */
+  /** Process incarnations whose newest reports are added. */
   readonly incarnations: readonly string[];
-  /** Incarnation that the figures are for. */
+  /** Incarnation of the process that receives the report. */
   readonly receiver: string;
 }
 
-/** A report that counts. */
+/** A report that counts in the receiver's totals. */
 export interface CountedReport {
   readonly identity: EntryHostIdentity;
   readonly report: HostReportMessage;
-  /** Whether its process alone spent all that it reports, and wasn't known before. */
+  /** Whether the report covers only its own process, and that process was unknown until now. */
   readonly isNewProcess: boolean;
 }
 
-/** Parts of an entry host that know its figures. */
+/** Components of an entry host that supply its stats. */
 export interface FigureParts {
   readonly servers: ServerKeeper;
   readonly gateway: DirectGateway;
@@ -51,10 +51,10 @@
 }
 
 /**
- * Adds this entry host's figures and those of others up.
+ * Adds up the stats of this entry host and of others.
  *
- * @param parts - what knows them
- * @param sources - whose figures are added
+ * @param parts - components that supply this entry host's stats
+ * @param sources - which other stats are added
  * @returns the sums
  */
 export function buildReportFigures(
--- a/src/application/direct/report_relays_test.ts
+++ b/src/application/direct/report_relays_test.ts
@@ -16,7 +16,7 @@
   readonly members: readonly ReportHost[];
 }
 
-/** Starts entry hosts in three availability zones, two strong ones in each. */
+/** Starts entry hosts in three availability zones, with two strong hosts in each. */
 async function startFleet(t: Test, hostsPerZone: number, seedIndex = 1): Promise<Fleet> {
   const hub = new FakePeerHub(true);
   const clock = new VirtualClock();
@@ -37,14 +37,14 @@
   return { hub, clock, hosts, relays, members };
 }
 
-/** Cuts an entry host off from all others without anybody being told. */
+/** Silences all connections between an entry host and the others without closing them. */
 function isolateSilently(hub: FakePeerHub, host: ReportHost, others: readonly ReportHost[]): void {
   others
     .filter((other) => other !== host)
     .forEach((other) => hub.silence(host.identity.id, other.identity.id));
 }
 
-t.test('the strongest of each availability zone pass reports on', async (t) => {
+t.test('the strongest entry hosts of each availability zone are relays', async (t) => {
   const { relays } = await startFleet(t, 20);
   t.same(
     relays.map(({ identity }) => identity.id),
@@ -52,7 +52,7 @@
   );
 });
 
-t.test('everybody knows of everybody, and counts each request once', async (t) => {
+t.test('all entry hosts know each other and count each request once', async (t) => {
   const { hosts } = await startFleet(t, 20);
   hosts.forEach((host) => {
     const { id } = host.identity;
@@ -67,13 +67,13 @@
   });
 });
 
-t.test('nobody loses sight of anybody once all have settled', async (t) => {
-  // Symptom: callers are told of other addresses all the time, and idle links come and go.
-  // Sequence: an entry host meets a relay as a stranger, and becomes its member later.
-  // Cause: what the relay tells strangers leaves entries out; the member's receipt for it
-  // was taken as one for everything, so that these entries were never told.
+t.test('no entry host loses another one once all have settled', async (t) => {
+  // Guards against callers that keep getting changed address lists, and against idle links that
+  // come and go. An entry host meets a relay as an unknown peer and later becomes its member.
+  // The relay's reports to unknown peers leave entries out, so the acknowledgement of such a
+  // report must not count for the complete roster, or the missing entries are never sent.
   const { hosts, clock } = await startFleet(t, 20);
-  // Links of the first moments go after five seconds.
+  // Links from the start phase are dropped after five seconds.
   await clock.advance(6_000);
   const before = hosts.map(({ log }) => log.lines.length);
   await clock.advance(12_000);
@@ -82,13 +82,12 @@
   });
 });
 
-t.test('members that met as strangers stop asking each other', async (t) => {
-  // Symptom: an entry host that is named as a seed sends 150 reports a second for good,
-  // more than a relay, and all its links stay.
-  // Sequence: all entry hosts begin at three seeds that are members; each is a stranger to
-  // the other, so both ask.
-  // Cause: each took the other's question for one that was still open, and answered it with
-  // its own question, again and again.
+t.test('members that met as unknown peers stop sending requests to each other', async (t) => {
+  // Guards against an entry host, named as a seed, that keeps sending 150 reports a second, more
+  // than a relay, and keeps all its links. All entry hosts start at three seeds that are
+  // members, so each is unknown to the other and both send requests. A member must not take the
+  // other's request for one that is still open and answer it with its own request again and
+  // again.
   const { hub, clock, members } = await startFleet(t, 20, 5);
   await clock.advance(9_000);
   const before = hub.delivered.length;
@@ -104,7 +103,7 @@
   });
 });
 
-t.test('reports grow with the entry hosts, not with their square', async (t) => {
+t.test('the number of reports grows with the entry hosts, not with their square', async (t) => {
   const perHost: number[] = [];
   for (const perZone of [7, 20]) {
     const { hub, hosts, clock } = await startFleet(t, perZone);
@@ -119,10 +118,10 @@
   t.ok(many < few * 1.3, perHost.join());
 });
 
-t.test('members of a lost relay are heard through another one within a second', async (t) => {
-  // Symptom: a third of the entry hosts vanish from the addresses that callers are told.
-  // Sequence: a relay loses power; its members go on reporting to it.
-  // Cause: a member that stays with a silent relay is heard by nobody.
+t.test('members of a lost relay report through another one within a second', async (t) => {
+  // Guards against a third of the entry hosts vanishing from the addresses that callers get. A
+  // relay loses power while its members keep reporting to it, and a member that stays with a
+  // silent relay is heard by no other host.
   const { hub, clock, hosts, relays } = await startFleet(t, 20);
   const [lost] = relays as [ReportHost];
   isolateSilently(hub, lost, hosts);
@@ -137,7 +136,7 @@
 });
 
 t.test(
-  'a member that is cut off counts as silent everywhere, and knows itself cut off',
+  'a partitioned member counts as silent everywhere, and notices that it is cut off',
   async (t) => {
     const { hub, clock, hosts, members } = await startFleet(t, 20);
     const [cut] = members as [ReportHost];
@@ -160,10 +159,10 @@
   },
 );
 
-t.test('members leave a relay that is cut off from the other relays', async (t) => {
-  // Symptom: a tenth of the entry hosts spend and place as if they were alone.
-  // Sequence: a relay loses its links to all relays; its members still reach it.
-  // Cause: a relay that answers looks sound, however little it knows.
+t.test('members leave a relay that is partitioned from the other relays', async (t) => {
+  // Guards against a tenth of the entry hosts spending limits and placing calls as if they were
+  // alone. A relay loses its links to all other relays while its members still reach it. A relay
+  // that answers looks healthy, however few entry hosts it knows.
   const { hub, clock, hosts, relays, members } = await startFleet(t, 20);
   const [narrow] = relays as [ReportHost];
   relays.slice(1).forEach((relay) => hub.silence(narrow.identity.id, relay.identity.id));
@@ -174,7 +173,7 @@
   t.equal(hosts.length, 60);
 });
 
-t.test('a restarted entry host finds its way back', async (t) => {
+t.test('a restarted entry host rejoins the fleet', async (t) => {
   const { hub, clock, hosts, members } = await startFleet(t, 20);
   const [old] = members as [ReportHost];
   old.reports.stop();
@@ -194,7 +193,7 @@
     .forEach((host) => t.equal(host.inFlight, 60, host.identity.id));
 });
 
-t.test('links that nobody uses are given up', async (t) => {
+t.test('unused links are dropped', async (t) => {
   const { clock, members, relays } = await startFleet(t, 20);
   await clock.advance(6_000);
   const [member] = members as [ReportHost];
--- a/src/application/direct/server_keeper.ts
+++ b/src/application/direct/server_keeper.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the backend servers that may be given work, and their load.
+ * Tracks the backend servers that may be given work, and their load.
  *
  * @module
  */
@@ -10,34 +10,34 @@
 import type { FeedContext } from './feed_follower.js';
 import { CandidateLists } from './_candidate_lists.js';
 import { EndedIncarnations } from './_ended_lives.js';
-import { EntryDecoder } from './_entry_reader.js';
-import type { EntryDecoderOptions } from './_entry_reader.js';
+import { EntryReader } from './_entry_reader.js';
+import type { EntryReaderOptions } from './_entry_reader.js';
 import { WarmupGuard } from './_warmup_guard.js';
 import type { WarmupGuardOptions } from './_warmup_guard.js';
 import { PeerStatsTable } from './_peer_figures.js';
 import type { PeerStats } from './_peer_figures.js';
 
-/** What the keeper needs. */
-export interface ServerKeeperOptions extends EntryDecoderOptions, WarmupGuardOptions {
-  /** @returns entry hosts that serve callers, this one included */
+/** Dependencies and settings of a {@link ServerKeeper}. */
+export interface ServerKeeperOptions extends EntryReaderOptions, WarmupGuardOptions {
+  /** @returns number of entry hosts that serve callers, including this one */
   readonly countServing: () => number;
   /** @returns whether a service's backend servers are model engines */
   readonly isEngine: (serviceId: string) => boolean;
-  /** @returns region that a zone lies in; undefined for a zone that nobody knows */
+  /** @returns region of a zone; undefined for an unknown zone */
   readonly findRegion: (zone: string) => string | undefined;
 }
 
-/** Joins registrations, what peers tell, and what requests have shown. */
+/** Combines registrations, stats from peers and the outcomes of own requests. */
 export class ServerKeeper {
   readonly #options: ServerKeeperOptions;
 
-  readonly #decoder: EntryDecoder;
+  readonly #reader: EntryReader;
 
   readonly #directory = new ServerDirectory();
 
   readonly #loads = new Map<string, ServerLoad>();
 
-  /** What peers report. */
+  /** Newest stats that peers report. */
   readonly peers = new PeerStatsTable();
 
   readonly #endedIncarnations = new EndedIncarnations();
@@ -50,30 +50,30 @@
 
   readonly #restartHandlers: ((endedId: string) => void)[] = [];
 
-  /** @param options - what the keeper needs */
+  /** @param options - dependencies and settings */
   constructor(options: ServerKeeperOptions) {
     this.#options = options;
-    this.#decoder = new EntryDecoder(options);
+    this.#reader = new EntryReader(options);
     this.#warmupGuard = new WarmupGuard(options);
     this.#candidateLists = new CandidateLists(options.clock, (id) => this.#buildCandidates(id));
   }
 
-  /** Backend servers that warm up. */
+  /** Number of backend servers that are warming up. */
   get coldCount(): number {
     return this.#directory.list().filter((entry) => this.#warmupGuard.isCold(entry)).length;
   }
 
-  /** @param handler - called when another set of backend servers may be given work */
+  /** @param handler - called after each applied read, since other servers may be usable then */
   onChange(handler: () => void): void {
     this.#changeHandlers.push(handler);
   }
 
-  /** @param handler - called with each life that a restart under its name has ended */
+  /** @param handler - called with each incarnation that a restart of its server has ended */
   onRestart(handler: (endedId: string) => void): void {
     this.#restartHandlers.push(handler);
   }
 
-  /** @param serviceId - which service. @returns who may be given work */
+  /** @param serviceId - a service. @returns backend servers that may be given work */
   listCandidates(serviceId: string): readonly Candidate[] {
     return this.#candidateLists.take(serviceId);
   }
@@ -91,17 +91,17 @@
   }
 
   /**
-   * Tells whether a service has backend servers, but only in closed zones.
+   * Returns whether a service has usable backend servers, but only in closed zones.
    *
-   * @param serviceId - which service
-   * @returns whether nothing may be sent to it for that reason
+   * @param serviceId - a service
+   * @returns whether only the closed zones keep requests from it
    */
   isClosed(serviceId: string): boolean {
     if (this.listCandidates(serviceId).length > 0) return false;
     return this.#directory.listUsable(serviceId, this.#options.clock.nowMs()).length > 0;
   }
 
-  /** @param id - a life. @returns whether it may be given work at this moment */
+  /** @param id - a server incarnation. @returns whether it may be given work at present */
   isUsable(id: string): boolean {
     const zone = this.find(id)?.availabilityZone;
     return zone !== undefined && !this.#options.places.isClosed(zone) && this.#isRunning(id);
@@ -111,7 +111,7 @@
     return this.#directory.isUsable(id, this.#options.clock.nowMs());
   }
 
-  /** @param id - a life. @returns its entry */
+  /** @param id - a server incarnation. @returns its entry */
   find(id: string): BackendServerEntry | undefined {
     return this.#directory.find(id);
   }
@@ -119,8 +119,8 @@
   /**
    * Counts requests in flight.
    *
-   * @param sources - peers' processes that are counted with this one
-   * @returns the counts, by backend server
+   * @param sources - incarnations of the peer processes that are included beside this one
+   * @returns the counts, by server incarnation
    */
   countInFlight(sources: readonly string[] = []): Record<string, number> {
     const busyLoads = [...this.#loads].filter(([, { ownInFlight }]) => ownInFlight > 0);
@@ -129,10 +129,10 @@
   }
 
   /**
-   * Counts entry hosts that leave backend servers alone after failures of their own.
+   * Counts the entry hosts that avoid a backend server after failures of their own requests.
    *
-   * @param sources - peers' processes that are counted with this one
-   * @returns the counts, by backend server
+   * @param sources - incarnations of the peer processes that are included beside this one
+   * @returns the counts, by server incarnation
    */
   countAvoiding(sources: readonly string[] = []): Record<string, number> {
     const nowMs = this.#options.clock.nowMs();
@@ -141,21 +141,21 @@
     return this.peers.sum('avoidedBy', counts, sources);
   }
 
-  /** @param serviceId - which service. @returns calls that wait for its slots at peers */
+  /** @param serviceId - a service. @returns number of calls at peers that wait for its slots */
   countWaitingAt(serviceId: string): number {
     return this.peers.getTotal('waitingCalls', serviceId);
   }
 
-  /** @returns lives that are over though entries may not say so */
+  /** @returns server incarnations that have ended although entries may not say so */
   listEnded(): readonly string[] {
     return this.#endedIncarnations.list();
   }
 
   /**
-   * Takes a peer's report.
+   * Applies a peer's report.
    *
    * @param source - incarnation of the peer's process
-   * @param stats - what it reports; undefined when it is gone
+   * @param stats - the reported stats; undefined when the process is gone
    */
   applyPeer(source: string, stats: PeerStats | undefined): void {
     this.peers.set(source, stats);
@@ -167,12 +167,12 @@
     stats?.endedServers.forEach((id) => this.noteEnded(id));
   }
 
-  /** @param id - a life. @returns its load, where it was ever listed for work */
+  /** @param id - a server incarnation. @returns its load, if it was ever a candidate */
   findLoad(id: string): ServerLoad | undefined {
     return this.#loads.get(id);
   }
 
-  /** @param id - a life whose address has answered as another */
+  /** @param id - a server incarnation whose address has answered as another one */
   noteEnded(id: string): void {
     if (this.#directory.find(id)) this.#endedIncarnations.add(id);
     if (this.#directory.noteEnded(id)) this.#handleEnded(id);
@@ -194,19 +194,17 @@
   }
 
   /**
-   * Takes in everything that is registered.
+   * Applies a full read of the store.
    *
-   * @param items - everything that was read
-   * @param context - under which circumstances
+   * @param items - all items that were read
+   * @param context - circumstances of the read
    */
   applyAll(items: readonly FeedItem[], { wasAway }: FeedContext): void {
     const serverItems = items.filter(({ key }) => key.startsWith(this.#options.prefix));
-    const entries = serverItems.flatMap(
-      ({ key, value }) => this.#decoder.tryDecode(key, value) ?? [],
-    );
-    const presentIds = new Set(serverItems.map(({ key }) => this.#decoder.getServerId(key)));
+    const entries = serverItems.flatMap(({ key, value }) => this.#reader.read(key, value) ?? []);
+    const presentIds = new Set(serverItems.map(({ key }) => this.#reader.getServerId(key)));
     const nowMs = this.#options.clock.nowMs();
-    // A name that stands there without an entry that can be read was overwritten.
+    // A name whose value can't be decoded was overwritten, so its server may still be running.
     const mayReturn = (serverId: string): boolean => wasAway || presentIds.has(serverId);
     const endedIds = this.#directory.applyAll(entries, nowMs, mayReturn);
     this.#options.log.write(LogLevel.Info, 'backend_servers_read', { count: entries.length });
@@ -220,16 +218,16 @@
   }
 
   /**
-   * Takes in changes.
+   * Applies changes.
    *
-   * @param changes - everything that has changed
-   * @param context - under which circumstances
+   * @param changes - all changes of the store
+   * @param context - circumstances of the read
    */
   applyChanges(changes: readonly FeedChange[], { wasAway }: FeedContext): void {
     changes
       .filter(({ key }) => key.startsWith(this.#options.prefix))
       .forEach(({ key, value }) => {
-        if (value === undefined) this.#applyRemoval(this.#decoder.getServerId(key), wasAway);
+        if (value === undefined) this.#applyRemoval(this.#reader.getServerId(key), wasAway);
         else this.#applyValue(key, value);
       });
     this.#refresh();
@@ -245,17 +243,17 @@
   }
 
   /**
-   * An entry that can't be read names nobody. The server that stood there before is used
-   * for as long as a live one may need to write its own entry again; dropping it at once
-   * would let any writer take servers out of service, and keeping it for good would leave
-   * hosts that have started since with another belief than the rest.
+   * Applies a written value. A value that can't be decoded identifies no server; the server that
+   * was registered there stays in use only for as long as a live one may need to rewrite its
+   * entry. Dropping it at once would let any writer take servers out of service, and keeping it
+   * forever would leave this host with another state than hosts that start later.
    */
   #applyValue(key: string, value: Uint8Array): void {
     const nowMs = this.#options.clock.nowMs();
-    const entry = this.#decoder.tryDecode(key, value);
+    const entry = this.#reader.read(key, value);
     if (!entry) {
-      this.#endedIncarnations.noteEntryRemoved(this.#decoder.getServerId(key));
-      this.#directory.applyRemoval(this.#decoder.getServerId(key), nowMs, true);
+      this.#endedIncarnations.noteEntryRemoved(this.#reader.getServerId(key));
+      this.#directory.applyRemoval(this.#reader.getServerId(key), nowMs, true);
       return;
     }
     const { effect, endedId } = this.#directory.applyEntry(entry, nowMs);
@@ -273,8 +271,8 @@
   }
 
   /**
-   * Whatever a former life was given ended with it. Its connections may stay silent for
-   * long, so the requests that wait there are told.
+   * Ends everything that was sent to the former incarnation. Its connections may stay silent for
+   * long, so the requests that wait there are notified.
    */
   #handleRestart(endedId: string): void {
     this.#endedIncarnations.add(endedId);
--- a/src/application/direct/server_keeper_test.ts
+++ b/src/application/direct/server_keeper_test.ts
@@ -9,7 +9,7 @@
   return host.servers.listCandidates('engines').map(({ id }) => id);
 }
 
-t.test('ServerKeeper lists who may be given work, as of now', async (t) => {
+t.test('the server pool lists the servers that may be given work at present', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1', 's-2']);
   t.same(listIds(host), ['s-1', 's-2']);
   host.feed.put('servers/s-1', buildServer('s-1', { isLeaving: true }));
@@ -19,7 +19,7 @@
   t.same(listIds(host), []);
 });
 
-t.test('ServerKeeper leaves out an entry that can not be read, and keeps the others', async (t) => {
+t.test('the server pool skips an undecodable entry and keeps the others', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1']);
   host.feed.put('servers/s-2', 'no entry');
   await settle();
@@ -27,45 +27,48 @@
   t.ok(host.log.lines.some(({ event }) => event === 'backend_server_entry_refused'));
 });
 
-t.test('ServerKeeper uses a server for a moment whose entry was overwritten', async (t) => {
-  const host = await startDirectHost(t, {}, ['s-1', 's-2']);
-  host.feed.put('servers/s-1', 'no entry');
-  await settle();
-  t.same(listIds(host), ['s-1', 's-2']);
-  await host.clock.advance(LAPSED_GRACE_MS);
-  t.same(listIds(host), ['s-2']);
-  host.feed.put('servers/s-1', buildServer('s-1'));
-  await settle();
-  t.same(listIds(host), ['s-1', 's-2']);
-});
+t.test(
+  'the server pool keeps a server for a short time after its entry was overwritten',
+  async (t) => {
+    const host = await startDirectHost(t, {}, ['s-1', 's-2']);
+    host.feed.put('servers/s-1', 'no entry');
+    await settle();
+    t.same(listIds(host), ['s-1', 's-2']);
+    await host.clock.advance(LAPSED_GRACE_MS);
+    t.same(listIds(host), ['s-2']);
+    host.feed.put('servers/s-1', buildServer('s-1'));
+    await settle();
+    t.same(listIds(host), ['s-1', 's-2']);
+  },
+);
 
-t.test('ServerKeeper begins a new life with nothing of the former one', async (t) => {
+t.test('a new server incarnation starts without the load of the former one', async (t) => {
   const host = await startDirectHost(t, {}, []);
-  const putLife = async (bornAtMs: number): Promise<void> => {
+  const putIncarnation = async (bornAtMs: number): Promise<void> => {
     const id = formatLife('s-1', bornAtMs);
     host.feed.put('servers/s-1', buildServer(id, { serverId: 's-1', bornAtMs }));
     await settle();
   };
-  await putLife(1);
+  await putIncarnation(1);
   const [former] = host.servers.listCandidates('engines');
   former?.load.begin({ promptTokens: 1, outputTokens: 1 });
   former?.load.end(ServerOutcome.Failed, host.clock.nowMs());
   former?.load.begin({ promptTokens: 1, outputTokens: 1 });
   host.servers.applyPeer('peer-1', { ...NO_FIGURES, inFlight: { 's-1@1': 5 } });
-  await putLife(2);
+  await putIncarnation(2);
   const [next] = host.servers.listCandidates('engines');
   t.equal(next?.id, 's-1@2');
   t.equal(next?.load.inFlight, 0);
   t.notOk(next?.load.isPaused(host.clock.nowMs()));
-  // A peer that has not heard of the restart still counts what ended with it.
+  // A peer that doesn't know of the restart yet still counts requests that have ended with it.
   host.servers.applyPeer('peer-1', { ...NO_FIGURES, inFlight: { 's-1@1': 5 } });
   t.equal(next?.load.inFlight, 0);
   t.same(host.servers.listEnded(), ['s-1@1']);
-  await putLife(1);
+  await putIncarnation(1);
   t.same(listIds(host), ['s-1@2']);
 });
 
-t.test('ServerKeeper adds up what peers have in flight, and forgets a silent one', async (t) => {
+t.test('the server pool sums the requests in flight of peers, except silent ones', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1']);
   const [candidate] = host.servers.listCandidates('engines');
   host.servers.applyPeer('peer-1', { ...NO_FIGURES, inFlight: { 's-1': 2 } });
@@ -75,11 +78,12 @@
   t.equal(candidate?.load.inFlight, 1);
 });
 
-t.test('ServerKeeper believes peers that a backend server has ended', async (t) => {
+t.test('the server pool trusts peers that report an ended server', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1', 's-2']);
   host.servers.applyPeer('peer-1', { ...NO_FIGURES, endedServers: ['s-1'] });
   t.same(listIds(host), ['s-2']);
-  // It is told on, since not everybody reports to everybody, and forgotten with the entry.
+  // The ended server is reported on, since not all hosts report to each other, and is forgotten
+  // together with its entry.
   t.same(host.servers.listEnded(), ['s-1']);
   host.feed.remove('servers/s-1');
   await settle();
@@ -88,11 +92,10 @@
   t.same(host.servers.listEnded(), []);
 });
 
-t.test('ServerKeeper leaves a backend server alone that peers have found silent', async (t) => {
-  // Symptom: after a backend server has fallen silent, each of sixty entry hosts loses
-  // requests to it before it is left alone.
-  // Sequence: two peers wait in vain for answers, and report it.
-  // Cause: each entry host had to find out for itself.
+t.test('the server pool avoids a server that peers report as silent', async (t) => {
+  // Guards against each of sixty entry hosts losing requests to a backend server that has fallen
+  // silent before all of them avoid it. Two peers wait in vain for answers and report it, so the
+  // others need not find out for themselves.
   const host = await startDirectHost(t, {}, ['s-1', 's-2']);
   const [candidate] = host.servers.listCandidates('engines');
   host.servers.applyPeer('peer-1', { ...NO_FIGURES, avoidedBy: { 's-1': 1 } });
@@ -105,10 +108,9 @@
   t.notOk(candidate?.load.isPaused(host.clock.nowMs()));
 });
 
-t.test('ServerKeeper believes an answer of its own more than peers', async (t) => {
-  // Symptom: a sound backend server gets no work.
-  // Sequence: the links of some entry hosts to it fail; they report it.
-  // Cause: the others believed them, although they had answers from it.
+t.test('the server pool trusts its own answers more than reports from peers', async (t) => {
+  // Guards against a healthy backend server that gets no work. The links of some entry hosts to
+  // it fail and they report it; a host that gets answers from the server must not follow them.
   const host = await startDirectHost(t, {}, ['s-1', 's-2']);
   const [candidate] = host.servers.listCandidates('engines');
   const work = { promptTokens: 1, outputTokens: 1 };
--- a/src/application/direct/server_lives_test.ts
+++ b/src/application/direct/server_lives_test.ts
@@ -21,8 +21,11 @@
 
   readonly #changes: FeedChange[] = [];
 
-  /** Newest life that each live server has written; each writes its own entry again and again. */
-  readonly #liveServers = new Map<string, { readonly life: number; readonly entry: object }>();
+  /** Newest incarnation and entry of each live server, which keeps rewriting its own entry. */
+  readonly #liveServers = new Map<
+    string,
+    { readonly incarnation: number; readonly entry: object }
+  >();
 
   #hosts = Array.from({ length: HOST_COUNT }, () => this.#startHost());
 
@@ -31,12 +34,12 @@
     this.#changes.push({ key: `servers/${name}`, value: bytes, revision: this.#changes.length });
   }
 
-  /** A server writes its entry, or a former life's entry arrives late. */
-  register(name: string, life: number, isLeaving: boolean): void {
-    const id = formatLife(name, life);
-    const entry = buildServer(id, { serverId: name, bornAtMs: life, isLeaving });
-    if (life >= (this.#liveServers.get(name)?.life ?? 0))
-      this.#liveServers.set(name, { life, entry });
+  /** Writes a server's entry; the entry of a former incarnation may arrive late. */
+  register(name: string, incarnation: number, isLeaving: boolean): void {
+    const id = formatLife(name, incarnation);
+    const entry = buildServer(id, { serverId: name, bornAtMs: incarnation, isLeaving });
+    if (incarnation >= (this.#liveServers.get(name)?.incarnation ?? 0))
+      this.#liveServers.set(name, { incarnation, entry });
     this.write(name, entry);
   }
 
@@ -45,19 +48,19 @@
     this.write(name, undefined);
   }
 
-  /** Each live server writes once more. */
+  /** Has each live server write its entry once more. */
   rewriteLiveEntries(): void {
     this.#liveServers.forEach(({ entry }, name) => this.write(name, entry));
   }
 
-  /** A host reads what has changed since it read last. */
+  /** Has a host read the changes since its last read. */
   readChanges(index: number): void {
     const host = this.#getHost(index);
     host.keeper.applyChanges(this.#changes.slice(host.read), CALM_CONTEXT);
     host.read = this.#changes.length;
   }
 
-  /** A host starts anew, or has lost the history: it reads what stands now. */
+  /** Has a host read the present entries after a restart or lost history. */
   readSnapshot(index: number, isNew: boolean): void {
     if (isNew) this.#hosts[index] = this.#startHost();
     const { keeper } = this.#getHost(index);
@@ -69,7 +72,7 @@
     this.#getHost(index).read = this.#changes.length;
   }
 
-  /** A host hears another one's report. */
+  /** Delivers one host's report to another. */
   deliverReport(from: number, to: number): void {
     const endedServers = this.#getHost(from).keeper.listEnded();
     this.#getHost(to).keeper.applyPeer(`peer-${from}`, { ...NO_FIGURES, endedServers });
@@ -96,7 +99,7 @@
   fc.record({
     kind: fc.constant('write'),
     name: serverName,
-    life: fc.nat(3),
+    incarnation: fc.nat(3),
     isLeaving: fc.boolean(),
   }),
   fc.record({ kind: fc.constantFrom('remove', 'spoil'), name: serverName }),
@@ -110,7 +113,7 @@
 
 interface StepFields {
   readonly name: string;
-  readonly life: number;
+  readonly incarnation: number;
   readonly isLeaving: boolean;
   readonly host: number;
   readonly to: number;
@@ -118,8 +121,14 @@
 }
 
 async function runStep(fleet: Fleet, { kind, ...fields }: Partial<StepFields> & { kind: string }) {
-  const { name: serverId = 'a', life = 0, isLeaving = false, host: index = 0, to = 0 } = fields;
-  if (kind === 'write') fleet.register(serverId, life, isLeaving);
+  const {
+    name: serverId = 'a',
+    incarnation = 0,
+    isLeaving = false,
+    host: index = 0,
+    to = 0,
+  } = fields;
+  if (kind === 'write') fleet.register(serverId, incarnation, isLeaving);
   else if (kind === 'remove') fleet.remove(serverId);
   else if (kind === 'spoil') fleet.write(serverId, 'no entry');
   else if (kind === 'follow') fleet.readChanges(index);
@@ -137,24 +146,27 @@
   await fleet.clock.advance(2 * LAPSED_GRACE_MS);
 }
 
-t.test('all entry hosts end with the same usable lives, in whatever order they hear', async () => {
-  // Symptom: some entry hosts send requests to a server that others know to be gone.
-  // Sequence: restarts under one name, late and unreadable entries, removals, and hosts
-  // that start while an entry stands that tells of an older life.
-  // Cause: what contradicts a standing entry is known only to those that saw it happen.
-  await fc.assert(
-    fc.asyncProperty(stepSequence, async (steps) => {
-      const fleet = new Fleet();
-      for (const nextStep of steps) await runStep(fleet, nextStep);
-      await synchronizeHosts(fleet);
-      deepEqual(fleet.listUsable(1), fleet.listUsable(0));
-      deepEqual(fleet.listUsable(2), fleet.listUsable(0));
-    }),
-    { numRuns: 400, seed: SEED },
-  );
-});
+t.test(
+  'all entry hosts end with the same usable incarnations, in any order of events',
+  async () => {
+    // Guards against some entry hosts sending requests to a server that others know to be gone.
+    // Servers restart under the same name, entries arrive late or can't be decoded, entries are
+    // removed, and hosts start while an entry of an older incarnation stands. Only hosts that
+    // saw what contradicts such an entry know of it, so they must report it.
+    await fc.assert(
+      fc.asyncProperty(stepSequence, async (steps) => {
+        const fleet = new Fleet();
+        for (const nextStep of steps) await runStep(fleet, nextStep);
+        await synchronizeHosts(fleet);
+        deepEqual(fleet.listUsable(1), fleet.listUsable(0));
+        deepEqual(fleet.listUsable(2), fleet.listUsable(0));
+      }),
+      { numRuns: 400, seed: SEED },
+    );
+  },
+);
 
-t.test('no life is usable at a host that has seen a newer one', async () => {
+t.test('no incarnation is usable at a host that has seen a newer one', async () => {
   await fc.assert(
     fc.asyncProperty(stepSequence, async (steps) => {
       const fleet = new Fleet();
--- a/src/application/direct/store_knowledge.ts
+++ b/src/application/direct/store_knowledge.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry host knows from the shared store: routes and accounts, zones, backend servers.
+ * An entry host's view of the shared store: routes and accounts, zones, and backend servers.
  *
  * @module
  */
@@ -13,41 +13,41 @@
 import { RoutingKeeper } from './routing_keeper.js';
 import { ServerKeeper } from './server_keeper.js';
 
-/** Where the store holds what, and in which form. */
+/** Keys and value formats of the store. */
 export interface StoreLayout {
-  /** Key that holds the configuration. */
+  /** Key of the configuration. */
   readonly configurationKey: string;
-  /** Start of the keys under which backend servers are registered. */
+  /** Prefix of the keys under which backend servers are registered. */
   readonly serversPrefix: string;
-  /** Start of the keys that close a zone while they are there; the zone's name follows. */
+  /** Prefix of the keys that close a zone while they exist; the zone's name follows the prefix. */
   readonly closedZonesPrefix: string;
   readonly decodeConfiguration: (value: Uint8Array) => RoutingDocument;
   readonly decodeServer: (key: string, value: Uint8Array) => BackendServerEntry;
 }
 
-/** How far a cold backend server's rate may be passed, over all entry hosts. */
+/** How far all entry hosts together may exceed the warm-up rate of a backend server. */
 export interface WarmupTolerance {
-  /** Factor on the rate that it bears. */
+  /** Factor on the server's warm-up rate. */
   readonly factor: number;
-  /** Requests beside that, in any second. */
+  /** Requests a second that are allowed in addition. */
   readonly slack: number;
 }
 
-/** What the knowledge needs. */
+/** Dependencies and settings of a {@link StoreKnowledge}. */
 export interface StoreKnowledgeOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
   readonly layout: StoreLayout;
-  /** Regions by zone. */
+  /** Region by availability zone. */
   readonly zoneRegions: Readonly<Record<string, string>>;
   readonly warmupTolerance: WarmupTolerance;
   readonly hosts: WarmupHosts;
-  /** @returns entry hosts that serve callers, this one included */
+  /** @returns number of entry hosts that serve callers, including this one */
   readonly countServing: () => number;
 }
 
-/** Joins the keepers of what the store holds. */
+/** Holds the parts of the store's state and applies reads to each of them. */
 export class StoreKnowledge {
   readonly routing: RoutingKeeper;
 
@@ -57,7 +57,7 @@
 
   readonly #options: StoreKnowledgeOptions;
 
-  /** @param options - what the knowledge needs */
+  /** @param options - dependencies and settings */
   constructor(options: StoreKnowledgeOptions) {
     this.#options = options;
     const { layout } = options;
@@ -78,17 +78,17 @@
     });
   }
 
-  /** @param zone - an availability zone. @returns its region; undefined for a zone that nobody knows */
+  /** @param zone - an availability zone. @returns its region; undefined for an unknown zone */
   findRegion(zone: string): string | undefined {
     const { zoneRegions } = this.#options;
     return Object.hasOwn(zoneRegions, zone) ? zoneRegions[zone] : undefined;
   }
 
   /**
-   * Takes in everything there is. Zones go before servers, which are given work at once.
+   * Applies a full read. Zones come before servers, since servers may be given work at once.
    *
-   * @param items - everything that was read
-   * @param context - under which circumstances
+   * @param items - all items that were read
+   * @param context - circumstances of the read
    */
   applyAll(items: readonly FeedItem[], context: FeedContext): void {
     this.routing.applyValues(items, context);
@@ -97,10 +97,10 @@
   }
 
   /**
-   * Takes in changes.
+   * Applies changes.
    *
-   * @param changes - everything that has changed
-   * @param context - under which circumstances
+   * @param changes - all changes that were read
+   * @param context - circumstances of the read
    */
   applyChanges(changes: readonly FeedChange[], context: FeedContext): void {
     this.routing.applyValues(changes, context);
