--- a/src/application/direct/_ended_lives.ts
+++ b/src/application/direct/_ended_lives.ts
@@ -6,9 +6,9 @@
 import type { BackendServerEntry } from '../../domain/backend_servers/mod.js';
 
 /**
- * Collects the ended incarnations that are reported to other entry hosts. Those may have read an
- * entry that this entry host knows to be wrong, either from a request or from writes that came
- * before they started.
+ * Collects the ended incarnations that are reported to other entry hosts. Another host may use
+ * an entry that this one knows to be wrong, because a request has shown it or because a write
+ * from before the other host's start contradicts it.
  */
 export class EndedIncarnations {
   /** IDs of incarnations that requests, peers or restarts have shown to have ended. */
@@ -31,8 +31,10 @@
   }
 
   /**
-   * @param entry - an entry that stands at present. @param isUsable - whether its incarnation
-   *   may be used
+   * Records whether the incarnation of a present entry may be used.
+   *
+   * @param entry - the entry
+   * @param isUsable - whether its incarnation may be used
    */
   noteEntry({ id, serverId, isLeaving }: BackendServerEntry, isUsable: boolean): void {
     if (isLeaving || isUsable) this.#unusableIds.delete(serverId);
--- a/src/application/direct/_entry_reader.ts
+++ b/src/application/direct/_entry_reader.ts
@@ -36,8 +36,11 @@
   }
 
   /**
-   * @param key - key of an entry. @param value - its value. @returns the entry; undefined if it
-   *   can't be decoded
+   * Decodes an entry, and logs and counts it if it can't be decoded.
+   *
+   * @param key - key of the entry
+   * @param value - value of the entry
+   * @returns the entry; undefined if it can't be decoded
    */
   read(key: string, value: Uint8Array): BackendServerEntry | undefined {
     const { decode, log, metrics } = this.#options;
--- a/src/application/direct/_peer_figures.ts
+++ b/src/application/direct/_peer_figures.ts
@@ -173,8 +173,8 @@
 
   /** Replaces a peer's stats by a changed copy; the reported object itself is never modified. */
   #update(source: string, buildChanges: (stats: PeerStats) => Partial<PeerStats>): void {
-    const figures = this.#stats.get(source);
-    if (figures) this.set(source, { ...figures, ...buildChanges(figures) });
+    const current = this.#stats.get(source);
+    if (current) this.set(source, { ...current, ...buildChanges(current) });
   }
 }
 
--- a/src/application/direct/_relay_choice.ts
+++ b/src/application/direct/_relay_choice.ts
@@ -24,7 +24,9 @@
 /** Inputs of a selection. */
 export interface RelaySelectionInputs {
   readonly self: PlannedHost;
-  /** Planned relays that are heard from, or that peers have named and that never fell silent. */
+  /**
+   * Planned relays that are heard from, or that peers have named but that were never heard from.
+   */
   readonly relays: readonly HostState[];
   /** Number of known entry hosts, including silent ones. */
   readonly knownCount: number;
@@ -59,12 +61,16 @@
     if (hostCount >= knownCount * MIN_VIEW_FRACTION) this.#lastBroadReportAtMs = nowMs;
   }
 
-  /** Keeps the relay or moves to the next one. @param inputs - the present inputs */
+  /**
+   * Keeps the relay, or moves to the next one when it fails.
+   *
+   * @param inputs - the present inputs
+   */
   update({ nowMs, relays, self }: RelaySelectionInputs): void {
-    const isServing =
+    const isHealthy =
       nowMs - this.#lastReportAtMs <= RELAY_TIMEOUT_MS &&
       nowMs - this.#lastBroadReportAtMs <= PARTIAL_VIEW_TIMEOUT_MS;
-    if (isServing && relays.some(({ identity }) => identity.id === this.#id)) return;
+    if (isHealthy && relays.some(({ identity }) => identity.id === this.#id)) return;
     const rankedIds = rankRelays(self, relays);
     const index = this.#id === undefined ? -1 : rankedIds.indexOf(this.#id);
     this.#id = rankedIds[(index + 1) % Math.max(1, rankedIds.length)];
--- a/src/application/direct/_report_builder.ts
+++ b/src/application/direct/_report_builder.ts
@@ -18,7 +18,7 @@
   readonly roster: Roster;
   readonly role: ReportRole;
   readonly received: ReceivedReports;
-  readonly buildFigures: (sources: FigureSources) => ReportFigures;
+  readonly buildStats: (sources: FigureSources) => ReportFigures;
 }
 
 /** Combines stats and roster entries into a report. */
@@ -37,7 +37,7 @@
    * @returns the report
    */
   build(peer: EntryHostIdentity, scope: ReportScope, sequence: number): HostReportMessage {
-    const { roster, role, received, buildFigures } = this.#options;
+    const { roster, role, received, buildStats } = this.#options;
     const { incarnation } = peer;
     const lastReport = received.find(incarnation)?.report;
     const addedReports = role.listAddedReports(scope, incarnation);
@@ -47,10 +47,9 @@
     // them to find a relay and reports no stats of its own.
     const hasStats = scope === ReportScope.Member || role.isRelay;
     const stats = hasStats
-      ? buildFigures({ incarnations, scope, receiver: incarnation })
+      ? buildStats({ incarnations, scope, receiver: incarnation })
       : NO_FIGURES;
-    // A report of another scope may have left roster entries out, so its acknowledgement doesn't
-    // count.
+    // A report of another scope may have left entries out, so its acknowledgement doesn't count.
     const ackedRevision = lastReport?.heardScope === scope ? lastReport.heardRosterRevision : 0;
     return {
       type: PeerMessageType.HostReport,
--- a/src/application/direct/_report_role.ts
+++ b/src/application/direct/_report_role.ts
@@ -29,9 +29,10 @@
 
   #plannedRevision = 0;
 
-  /** States of the planned relays, and below them of the entry hosts that a relay links to. */
+  /** States of the planned relays. */
   #relayStates: readonly HostState[] = [];
 
+  /** States of the peers that this entry host links to while it is a relay. */
   #relayLinkTargets: readonly HostState[] = [];
 
   /** @param options - roster and received reports */
@@ -72,8 +73,10 @@
   }
 
   /**
-   * @param nowMs - monotonic time in milliseconds. @returns whether the role or the relay has
-   *   changed
+   * Updates the relay plan, and on a member the selected relay.
+   *
+   * @param nowMs - monotonic time in milliseconds
+   * @returns whether the role or the relay has changed
    */
   update(nowMs: number): boolean {
     const previousRelayId = this.relayId;
@@ -104,8 +107,10 @@
   }
 
   /**
-   * @param peer - a linked peer. @returns scope of the stats to report to it; undefined: no
-   *   report
+   * Picks the scope of this entry host's reports to a peer.
+   *
+   * @param peer - a linked peer
+   * @returns the scope; undefined when the peer gets no report
    */
   pickScope(peer: EntryHostIdentity): ReportScope | undefined {
     if (this.hasMember(peer.incarnation)) return ReportScope.Fleet;
--- a/src/application/direct/_report_rounds.ts
+++ b/src/application/direct/_report_rounds.ts
@@ -21,9 +21,7 @@
  */
 const MEMBER_GRACE_MS = 60;
 
-/**
- * Shortest time between two reports of a member to its relay, in milliseconds: half an interval.
- */
+/** Shortest time between a member's reports to its relay, in milliseconds: half an interval. */
 const MIN_MEMBER_INTERVAL_MS = 75;
 
 /**
--- a/src/application/direct/_report_sources.ts
+++ b/src/application/direct/_report_sources.ts
@@ -34,8 +34,9 @@
   readonly #byIncarnation = new Map<string, ReceivedReport>();
 
   /**
-   * @param received - a peer's newest report; it replaces the report of the host's former
-   *   process
+   * Stores a peer's newest report, in place of any report of the same host's former process.
+   *
+   * @param received - the report
    */
   put(received: ReceivedReport): void {
     const { id, incarnation } = received.identity;
@@ -53,8 +54,9 @@
   }
 
   /**
-   * Drops peers that have been silent for too long. @param nowMs - monotonic time in
-   * milliseconds
+   * Drops peers that have been silent for too long.
+   *
+   * @param nowMs - monotonic time in milliseconds
    */
   dropSilent(nowMs: number): void {
     this.#byIncarnation.forEach(({ receivedAtMs }, incarnation) => {
--- a/src/application/direct/feed_follower.ts
+++ b/src/application/direct/feed_follower.ts
@@ -1,5 +1,5 @@
 /**
- * Follows the change feed of a store through outages, by own reads or by updates from peers.
+ * Follows the change feed of a store through outages, with its own reads or with peers' updates.
  *
  * @module
  */
--- a/src/application/direct/feed_follower_test.ts
+++ b/src/application/direct/feed_follower_test.ts
@@ -106,14 +106,14 @@
   harness.follower.start();
   await settle();
   harness.feed.forgetHistory();
-  const asked = harness.feed.holdAll();
+  const heldRead = harness.feed.holdAll();
   harness.feed.put('p/b', 1);
   await harness.clock.advance(1_000);
   harness.follower.applyUpdate(
     { fromRevision: 1, toRevision: 9, changes: [{ key: 'p/a', value: undefined, revision: 9 }] },
     { askedAt: { steadyMs: 0, wallMs: 0 }, ageMs: 0, wasAway: false },
   );
-  asked.release();
+  heldRead.release();
   await settle();
   t.equal(harness.calls.filter((line) => line.startsWith('all')).length, 1);
   t.equal(harness.calls.includes('changes -p/a'), true);
--- a/src/application/direct/feed_sharing.ts
+++ b/src/application/direct/feed_sharing.ts
@@ -44,9 +44,9 @@
 const MEMBER_STAGGER_MS = 800;
 
 /**
- * Time after its first complete read for which an entry host with contact to the store doesn't
- * read unless updates stop, in milliseconds. At the start no host knows its peers yet, so each
- * one would take itself for the first reader.
+ * Time after its first complete read for which an entry host doesn't read unless updates stop,
+ * in milliseconds. At the start no host knows its peers yet, so each one would take itself for
+ * the first reader.
  */
 const STARTUP_READ_PAUSE_MS = 1_000;
 
@@ -67,14 +67,12 @@
 const MIN_RECHECK_MS = 100;
 const MAX_RECHECK_MS = 500;
 
-/**
- * Time between two probes by a host that can't reach the store while peers can, in milliseconds.
- */
+/** Time between probes by a host that can't reach the store while peers can, in milliseconds. */
 const PROBE_INTERVAL_MS = 2_000;
 
 /**
  * Minimum gain in freshness for which a confirmation is forwarded, in milliseconds: small
- * against the readers' waits.
+ * compared with the readers' waits.
  */
 const MIN_AGE_GAIN_MS = 200;
 
@@ -88,13 +86,11 @@
 interface ReaderRank {
   /** Rank; 0 reads first. */
   readonly rank: number;
-  /**
-   * Fraction of the other relays, or for a member of the other members, that precede this host.
-   */
+  /** Fraction of the other relays, or for a member of the other members, that rank before it. */
   readonly precedingFraction: number;
 }
 
-/** Dependencies of a feed's distribution. */
+/** Dependencies of {@link FeedSharing}. */
 export interface FeedSharingOptions {
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -215,8 +211,8 @@
   }
 
   /**
-   * Relays go first because their updates reach the most hosts. IDs decide among relays and
-   * among members.
+   * Computes this host's position among peers. Relays go first because their updates reach the
+   * most hosts; among relays and among members, IDs decide.
    */
   #computeRank(peers: readonly HostState[]): ReaderRank {
     const { reports } = this.#options;
@@ -240,8 +236,7 @@
   #handleUpdate(from: EntryHostIdentity, message: FeedUpdateMessage): void {
     const { reports, follower, metrics } = this.#options;
     const askedAt = reports.findSentAt(message.heardSequence);
-    // Without a report of this host that the sender has received, the age of the update is
-    // unbounded.
+    // Without a report of this host that the sender received, the update's age is unbounded.
     if (!askedAt) return;
     const { ageMs, wasAway } = message;
     const context = { askedAt, ageMs, wasAway };
@@ -253,9 +248,9 @@
   }
 
   /**
-   * A relay forwards updates from relays to its members, and updates from a member to all its
-   * peers. An update without news is not forwarded, or relays would send it to each other
-   * endlessly.
+   * Forwards an update if this host is a relay: updates from relays go to its members, and
+   * updates from a member to all its peers. An update without news ends here, or relays would
+   * send it to each other endlessly.
    */
   #forward(from: EntryHostIdentity, update: FeedUpdate, context: FeedContext): void {
     const { reports } = this.#options;
--- a/src/application/direct/feed_sharing_test.ts
+++ b/src/application/direct/feed_sharing_test.ts
@@ -219,14 +219,14 @@
 
 t.test('an entry host that gets the state only from peers stays fresh', async (t) => {
   const { hub, clock, feed, hosts } = await startFleet(t, 3);
-  const [, , cut] = hosts as [FollowerHost, FollowerHost, FollowerHost];
+  const [, , isolatedHost] = hosts as [FollowerHost, FollowerHost, FollowerHost];
   t.ok(hub.isOpen('h0', 'h2'));
-  cut.follower.stop();
+  isolatedHost.follower.stop();
   await clock.advance(5_000);
   feed.put('b', 1);
   await clock.advance(10);
-  t.ok(cut.keys.has('b'));
-  t.ok(cut.ageMs <= 2_000, String(cut.ageMs));
+  t.ok(isolatedHost.keys.has('b'));
+  t.ok(isolatedHost.ageMs <= 2_000, String(isolatedHost.ageMs));
 });
 
 t.test('an update that waited in a buffer does not count as fresh', async (t) => {
@@ -235,8 +235,8 @@
   // after the resume before anything newer. Its age must not be counted from its arrival.
   const { clock, hosts } = await startFleet(t, 3);
   const [reader, , receiver] = hosts as [FollowerHost, FollowerHost, FollowerHost];
-  const heard = reader.reports.findHeardSequence(receiver.network.identity.incarnation);
-  const sentAt = receiver.reports.findSentAt(heard);
+  const heardSequence = reader.reports.findHeardSequence(receiver.network.identity.incarnation);
+  const sentAt = receiver.reports.findSentAt(heardSequence);
   t.ok(sentAt);
   clock.jump(10_000);
   const now = { steadyMs: clock.nowMs(), wallMs: clock.wallMs() };
--- a/src/application/direct/host_reports.ts
+++ b/src/application/direct/host_reports.ts
@@ -86,7 +86,7 @@
       roster: this.#roster,
       role: this.#role,
       received: this.#received,
-      buildFigures: options.buildFigures,
+      buildStats: options.buildFigures,
     });
     this.#links = new PeerLinks({ peers, clock, log, selfUrl: self.peerUrl, seeds: seedPeerUrls });
     this.#scheduler = new ReportScheduler({
@@ -186,9 +186,7 @@
       .filter((peer) => isFromMember || this.hasMember(peer.incarnation));
   }
 
-  /**
-   * @param incarnation - a peer's process. @returns its newest report's sequence number; 0: none
-   */
+  /** @param incarnation - a peer's process. @returns number of its newest report; 0: none */
   findHeardSequence(incarnation: string): number {
     return this.#received.find(incarnation)?.report.sequence ?? 0;
   }
--- a/src/application/direct/host_reports_test.ts
+++ b/src/application/direct/host_reports_test.ts
@@ -61,9 +61,9 @@
   const [a, b] = hosts as [ReportHost, ReportHost];
   b.reports.stop();
   await b.network.close();
-  const again = new ReportHost(hub, clock, buildIdentity('b', 'b-2'));
-  t.teardown(() => again.reports.stop());
-  again.reports.start();
+  const restarted = new ReportHost(hub, clock, buildIdentity('b', 'b-2'));
+  t.teardown(() => restarted.reports.stop());
+  restarted.reports.start();
   await clock.advance(500);
   t.same(a.silent, ['b-1']);
   t.equal(a.reports.knownCount, 2);
--- a/src/application/direct/report_figures.ts
+++ b/src/application/direct/report_figures.ts
@@ -26,7 +26,7 @@
   endedServers: [],
 };
 
-/** Which entry hosts' stats a report contains beside those of this entry host. */
+/** Which entry hosts' stats a report contains in addition to those of this entry host. */
 export interface FigureSources {
   readonly scope: ReportScope;
   /** Process incarnations whose newest reports are added. */
--- a/src/application/direct/report_relays_test.ts
+++ b/src/application/direct/report_relays_test.ts
@@ -105,8 +105,8 @@
 
 t.test('the number of reports grows with the entry hosts, not with their square', async (t) => {
   const perHost: number[] = [];
-  for (const perZone of [7, 20]) {
-    const { hub, hosts, clock } = await startFleet(t, perZone);
+  for (const hostsPerZone of [7, 20]) {
+    const { hub, hosts, clock } = await startFleet(t, hostsPerZone);
     const before = hub.delivered.length;
     await clock.advance(3_000);
     const reports = hub.delivered
@@ -123,12 +123,12 @@
   // relay loses power while its members keep reporting to it, and a member that stays with a
   // silent relay is heard by no other host.
   const { hub, clock, hosts, relays } = await startFleet(t, 20);
-  const [lost] = relays as [ReportHost];
-  isolateSilently(hub, lost, hosts);
-  lost.reports.stop();
+  const [lostRelay] = relays as [ReportHost];
+  isolateSilently(hub, lostRelay, hosts);
+  lostRelay.reports.stop();
   await clock.advance(1_300);
   hosts
-    .filter((host) => host !== lost)
+    .filter((host) => host !== lostRelay)
     .forEach((host) => {
       t.equal(host.listServing().length, 58, host.identity.id);
       t.equal(host.inFlight, 59, host.identity.id);
@@ -139,15 +139,15 @@
   'a partitioned member counts as silent everywhere, and notices that it is cut off',
   async (t) => {
     const { hub, clock, hosts, members } = await startFleet(t, 20);
-    const [cut] = members as [ReportHost];
-    isolateSilently(hub, cut, hosts);
+    const [isolatedMember] = members as [ReportHost];
+    isolateSilently(hub, isolatedMember, hosts);
     await clock.advance(900);
-    t.ok(cut.reach <= 1 / 60, String(cut.reach));
+    t.ok(isolatedMember.reach <= 1 / 60, String(isolatedMember.reach));
     await clock.advance(500);
     hosts
-      .filter((host) => host !== cut)
+      .filter((host) => host !== isolatedMember)
       .forEach((host) => {
-        t.notOk(host.listServing().includes(cut.identity.id), host.identity.id);
+        t.notOk(host.listServing().includes(isolatedMember.identity.id), host.identity.id);
         t.equal(host.reach, 59 / 60, host.identity.id);
       });
     hub.healAll();
@@ -164,8 +164,8 @@
   // alone. A relay loses its links to all other relays while its members still reach it. A relay
   // that answers looks healthy, however few entry hosts it knows.
   const { hub, clock, hosts, relays, members } = await startFleet(t, 20);
-  const [narrow] = relays as [ReportHost];
-  relays.slice(1).forEach((relay) => hub.silence(narrow.identity.id, relay.identity.id));
+  const [isolatedRelay] = relays as [ReportHost];
+  relays.slice(1).forEach((relay) => hub.silence(isolatedRelay.identity.id, relay.identity.id));
   await clock.advance(4_000);
   members.forEach((member) => {
     t.ok(member.reach > 0.9, `${member.identity.id}: ${member.reach}`);
@@ -175,21 +175,21 @@
 
 t.test('a restarted entry host rejoins the fleet', async (t) => {
   const { hub, clock, hosts, members } = await startFleet(t, 20);
-  const [old] = members as [ReportHost];
-  old.reports.stop();
-  await old.network.close();
-  const identity = { ...old.identity, incarnation: 'again' };
-  const again = new ReportHost(hub, clock, identity, {
+  const [stopped] = members as [ReportHost];
+  stopped.reports.stop();
+  await stopped.network.close();
+  const identity = { ...stopped.identity, incarnation: 'again' };
+  const restarted = new ReportHost(hub, clock, identity, {
     seeds: ZONES.map((zone) => `ws://${zone}-1.test`),
     cores: 0.32,
   });
-  t.teardown(() => again.reports.stop());
-  again.reports.start();
+  t.teardown(() => restarted.reports.stop());
+  restarted.reports.start();
   await clock.advance(2_500);
-  t.equal(again.inFlight, 60);
-  t.equal(again.listServing().length, 59);
+  t.equal(restarted.inFlight, 60);
+  t.equal(restarted.listServing().length, 59);
   hosts
-    .filter((host) => host !== old)
+    .filter((host) => host !== stopped)
     .forEach((host) => t.equal(host.inFlight, 60, host.identity.id));
 });
 
@@ -197,7 +197,7 @@
   const { clock, members, relays } = await startFleet(t, 20);
   await clock.advance(6_000);
   const [member] = members as [ReportHost];
-  const kept = member.network.listLinked();
-  t.equal(kept.length, 1);
-  t.ok(relays.some(({ identity }) => identity.incarnation === kept[0]?.incarnation));
+  const links = member.network.listLinked();
+  t.equal(links.length, 1);
+  t.ok(relays.some(({ identity }) => identity.incarnation === links[0]?.incarnation));
 });
--- a/src/application/direct/server_keeper.ts
+++ b/src/application/direct/server_keeper.ts
@@ -104,10 +104,11 @@
   /** @param id - a server incarnation. @returns whether it may be given work at present */
   isUsable(id: string): boolean {
     const zone = this.find(id)?.availabilityZone;
-    return zone !== undefined && !this.#options.places.isClosed(zone) && this.#isRunning(id);
+    return zone !== undefined && !this.#options.places.isClosed(zone) && this.#isActive(id);
   }
 
-  #isRunning(id: string): boolean {
+  /** Returns whether an incarnation is usable, regardless of whether its zone is closed. */
+  #isActive(id: string): boolean {
     return this.#directory.isUsable(id, this.#options.clock.nowMs());
   }
 
@@ -119,7 +120,7 @@
   /**
    * Counts requests in flight.
    *
-   * @param sources - incarnations of the peer processes that are included beside this one
+   * @param sources - incarnations of the peer processes to include in addition to this one
    * @returns the counts, by server incarnation
    */
   countInFlight(sources: readonly string[] = []): Record<string, number> {
@@ -131,7 +132,7 @@
   /**
    * Counts the entry hosts that avoid a backend server after failures of their own requests.
    *
-   * @param sources - incarnations of the peer processes that are included beside this one
+   * @param sources - incarnations of the peer processes to include in addition to this one
    * @returns the counts, by server incarnation
    */
   countAvoiding(sources: readonly string[] = []): Record<string, number> {
@@ -210,7 +211,7 @@
     this.#options.log.write(LogLevel.Info, 'backend_servers_read', { count: entries.length });
     this.#endedIncarnations.clearEntries();
     entries.forEach((entry) => {
-      this.#endedIncarnations.noteEntry(entry, this.#isRunning(entry.id));
+      this.#endedIncarnations.noteEntry(entry, this.#isActive(entry.id));
       this.#warmupGuard.noteEntry(entry);
     });
     endedIds.forEach((id) => this.#handleRestart(id));
@@ -259,7 +260,7 @@
     const { effect, endedId } = this.#directory.applyEntry(entry, nowMs);
     if (effect !== EntryEffect.None) this.#logEntry(entry, effect);
     if (effect !== EntryEffect.Outdated) this.#warmupGuard.noteEntry(entry);
-    this.#endedIncarnations.noteEntry(entry, this.#isRunning(entry.id));
+    this.#endedIncarnations.noteEntry(entry, this.#isActive(entry.id));
     if (endedId !== undefined) this.#handleRestart(endedId);
   }
 
--- a/src/application/direct/server_keeper_test.ts
+++ b/src/application/direct/server_keeper_test.ts
@@ -50,19 +50,19 @@
     await settle();
   };
   await putIncarnation(1);
-  const [former] = host.servers.listCandidates('engines');
-  former?.load.begin({ promptTokens: 1, outputTokens: 1 });
-  former?.load.end(ServerOutcome.Failed, host.clock.nowMs());
-  former?.load.begin({ promptTokens: 1, outputTokens: 1 });
+  const [formerCandidate] = host.servers.listCandidates('engines');
+  formerCandidate?.load.begin({ promptTokens: 1, outputTokens: 1 });
+  formerCandidate?.load.end(ServerOutcome.Failed, host.clock.nowMs());
+  formerCandidate?.load.begin({ promptTokens: 1, outputTokens: 1 });
   host.servers.applyPeer('peer-1', { ...NO_FIGURES, inFlight: { 's-1@1': 5 } });
   await putIncarnation(2);
-  const [next] = host.servers.listCandidates('engines');
-  t.equal(next?.id, 's-1@2');
-  t.equal(next?.load.inFlight, 0);
-  t.notOk(next?.load.isPaused(host.clock.nowMs()));
+  const [newCandidate] = host.servers.listCandidates('engines');
+  t.equal(newCandidate?.id, 's-1@2');
+  t.equal(newCandidate?.load.inFlight, 0);
+  t.notOk(newCandidate?.load.isPaused(host.clock.nowMs()));
   // A peer that doesn't know of the restart yet still counts requests that have ended with it.
   host.servers.applyPeer('peer-1', { ...NO_FIGURES, inFlight: { 's-1@1': 5 } });
-  t.equal(next?.load.inFlight, 0);
+  t.equal(newCandidate?.load.inFlight, 0);
   t.same(host.servers.listEnded(), ['s-1@1']);
   await putIncarnation(1);
   t.same(listIds(host), ['s-1@2']);
