--- a/src/application/direct/_ended_lives.ts
+++ b/src/application/direct/_ended_lives.ts
@@ -36,13 +36,13 @@
    * @param entry - the entry
    * @param isUsable - whether its incarnation may be used
    */
-  noteEntry({ id, serverId, isLeaving }: BackendServerEntry, isUsable: boolean): void {
+  recordEntry({ id, serverId, isLeaving }: BackendServerEntry, isUsable: boolean): void {
     if (isLeaving || isUsable) this.#unusableIds.delete(serverId);
     else this.#unusableIds.set(serverId, id);
   }
 
   /** @param serverId - a server that no longer has an entry */
-  noteEntryRemoved(serverId: string): void {
+  recordRemoval(serverId: string): void {
     this.#unusableIds.delete(serverId);
   }
 
--- a/src/application/direct/_relay_choice.ts
+++ b/src/application/direct/_relay_choice.ts
@@ -53,7 +53,7 @@
    * @param circumstances - the number of known entry hosts, and the monotonic time in
    *   milliseconds
    */
-  noteFleetReport(
+  recordFleetReport(
     hostCount: number,
     { knownCount, nowMs }: Pick<RelaySelectionInputs, 'knownCount' | 'nowMs'>,
   ): void {
--- a/src/application/direct/_report_role.ts
+++ b/src/application/direct/_report_role.ts
@@ -87,11 +87,11 @@
   }
 
   /** @param received - a peer's report that has just arrived */
-  noteReport({ identity, report, receivedAtMs }: ReceivedReport): void {
+  recordReport({ identity, report, receivedAtMs }: ReceivedReport): void {
     const isFromOwnRelay = report.scope === ReportScope.Fleet && identity.id === this.relayId;
     if (!isFromOwnRelay) return;
     const knownCount = this.#roster.size;
-    this.#relaySelector.noteFleetReport(report.hostCount, { knownCount, nowMs: receivedAtMs });
+    this.#relaySelector.recordFleetReport(report.hostCount, { knownCount, nowMs: receivedAtMs });
   }
 
   /**
--- a/src/application/direct/_report_rounds.ts
+++ b/src/application/direct/_report_rounds.ts
@@ -63,7 +63,7 @@
   }
 
   /** Answers the relay's report with a round, unless one has just run. */
-  noteRelayReport(): void {
+  handleRelayReport(): void {
     const elapsedMs = this.#options.clock.nowMs() - this.#lastRoundAtMs;
     if (this.#isRunning && elapsedMs >= MIN_MEMBER_INTERVAL_MS) this.#runRound();
   }
--- a/src/application/direct/feed_follower.ts
+++ b/src/application/direct/feed_follower.ts
@@ -173,12 +173,12 @@
 
   *#readSnapshot(): Step<void> {
     const { feed, onAll, onRead } = this.#options;
-    const askedAt = this.#readMoment();
+    const askedAt = this.#readClock();
     const { items, revision } = yield* settle(feed.readAll(''));
     const wasFilledByPeer = this.#revision !== undefined && !this.#hasLostHistory;
     if (wasFilledByPeer) {
       // While this read was under way, a peer sent the missing changes and possibly newer ones.
-      this.#noteSuccess();
+      this.#recordSuccess();
       return;
     }
     const context = { askedAt, ageMs: 0, wasAway: this.#wasStoreAway() };
@@ -191,7 +191,7 @@
     items.forEach(({ key }) => this.#presentKeys.add(key));
     onAll(items, context);
     if (update) onRead(update, context);
-    this.#noteSuccess();
+    this.#recordSuccess();
   }
 
   /**
@@ -213,7 +213,7 @@
 
   *#readChanges(after: number, waitMs: number): Step<void> {
     const { feed, onRead } = this.#options;
-    const askedAt = this.#readMoment();
+    const askedAt = this.#readClock();
     // The first read after a failure doesn't wait, to notice the store's return at once.
     const maxWaitMs = this.#failureCount > 0 ? PROBE_WAIT_MS : waitMs;
     const { changes, revision } = yield* settle(feed.readChanges('', after, maxWaitMs));
@@ -222,7 +222,7 @@
     this.#hasGap = false;
     this.#apply(update, context);
     onRead(update, context);
-    this.#noteSuccess();
+    this.#recordSuccess();
   }
 
   /**
@@ -260,7 +260,7 @@
     yield* settle(this.#wait(maxDelayMs * (0.5 + this.#options.random.nextFraction() / 2)));
   }
 
-  #noteSuccess(): void {
+  #recordSuccess(): void {
     if (this.#failureCount === 0) return;
     const { log, clock } = this.#options;
     log.write(LogLevel.Info, 'dependency_regained', {
@@ -276,7 +276,7 @@
     return this.#failureCount > 0 || this.#options.clock.nowMs() < this.#reregisteredAtMs;
   }
 
-  #readMoment(): Moment {
+  #readClock(): Moment {
     const { clock } = this.#options;
     return { steadyMs: clock.nowMs(), wallMs: clock.wallMs() };
   }
--- a/src/application/direct/feed_sharing.ts
+++ b/src/application/direct/feed_sharing.ts
@@ -176,7 +176,7 @@
       fromRevision,
       toRevision,
       changes,
-      ageMs: ageMs + computeElapsedMs(askedAt, this.#readMoment()),
+      ageMs: ageMs + computeElapsedMs(askedAt, this.#readClock()),
       wasAway,
     } as const;
     targets.forEach(({ incarnation }) => {
@@ -266,14 +266,14 @@
   #recordSent({ toRevision }: FeedUpdate, { askedAt, ageMs }: FeedContext): boolean {
     const hasChanges = toRevision > this.#sentRevision;
     this.#sentRevision = Math.max(this.#sentRevision, toRevision);
-    const nowAt = this.#readMoment();
+    const nowAt = this.#readClock();
     const ageGainMs = this.#sentAge.computeAgeMs(nowAt) - ageMs - computeElapsedMs(askedAt, nowAt);
     if (ageGainMs < MIN_AGE_GAIN_MS) return hasChanges;
     this.#sentAge.confirm(askedAt, nowAt, ageMs);
     return true;
   }
 
-  #readMoment(): Moment {
+  #readClock(): Moment {
     const { clock } = this.#options;
     return { steadyMs: clock.nowMs(), wallMs: clock.wallMs() };
   }
--- a/src/application/direct/feed_sharing_test.ts
+++ b/src/application/direct/feed_sharing_test.ts
@@ -78,7 +78,7 @@
   }
 
   get ageMs(): number {
-    return this.knowledgeAge.computeAgeMs(this.#readMoment());
+    return this.knowledgeAge.computeAgeMs(this.#readClock());
   }
 
   start(): void {
@@ -92,10 +92,10 @@
   }
 
   #confirm({ askedAt, ageMs }: FeedContext): void {
-    this.knowledgeAge.confirm(askedAt, this.#readMoment(), ageMs);
+    this.knowledgeAge.confirm(askedAt, this.#readClock(), ageMs);
   }
 
-  #readMoment(): { readonly steadyMs: number; readonly wallMs: number } {
+  #readClock(): { readonly steadyMs: number; readonly wallMs: number } {
     return { steadyMs: this.#clock.nowMs(), wallMs: this.#clock.wallMs() };
   }
 }
--- a/src/application/direct/host_reports.ts
+++ b/src/application/direct/host_reports.ts
@@ -260,7 +260,7 @@
         this.#rosterLog.logSeen(entry.state.identity);
     });
     if (report.scope === ReportScope.Member) this.#roster.addMember(identity);
-    this.#role.noteReport(received);
+    this.#role.recordReport(received);
     if (isFirstReport) this.#updateRole();
     if (isCounted(received, this.#role.origin)) {
       this.#notifyCounted({ identity, report, isNewProcess: !wasKnown && report.hostCount === 1 });
@@ -270,7 +270,7 @@
       this.#sendTo([identity]);
     }
     const isFromRelay = report.scope === ReportScope.Fleet && identity.id === this.#role.relayId;
-    if (isFromRelay) this.#scheduler.noteRelayReport();
+    if (isFromRelay) this.#scheduler.handleRelayReport();
   }
 
   #notifyCounted(counted: CountedReport): void {
--- a/src/application/direct/server_keeper.ts
+++ b/src/application/direct/server_keeper.ts
@@ -211,7 +211,7 @@
     this.#options.log.write(LogLevel.Info, 'backend_servers_read', { count: entries.length });
     this.#endedIncarnations.clearEntries();
     entries.forEach((entry) => {
-      this.#endedIncarnations.noteEntry(entry, this.#isActive(entry.id));
+      this.#endedIncarnations.recordEntry(entry, this.#isActive(entry.id));
       this.#warmupGuard.noteEntry(entry);
     });
     endedIds.forEach((id) => this.#handleRestart(id));
@@ -235,7 +235,7 @@
   }
 
   #applyRemoval(serverId: string, wasAway: boolean): void {
-    this.#endedIncarnations.noteEntryRemoved(serverId);
+    this.#endedIncarnations.recordRemoval(serverId);
     this.#directory.applyRemoval(serverId, this.#options.clock.nowMs(), wasAway);
     this.#options.log.write(LogLevel.Info, 'backend_server_removed', {
       backendServer: serverId,
@@ -253,14 +253,14 @@
     const nowMs = this.#options.clock.nowMs();
     const entry = this.#reader.read(key, value);
     if (!entry) {
-      this.#endedIncarnations.noteEntryRemoved(this.#reader.getServerId(key));
+      this.#endedIncarnations.recordRemoval(this.#reader.getServerId(key));
       this.#directory.applyRemoval(this.#reader.getServerId(key), nowMs, true);
       return;
     }
     const { effect, endedId } = this.#directory.applyEntry(entry, nowMs);
     if (effect !== EntryEffect.None) this.#logEntry(entry, effect);
     if (effect !== EntryEffect.Outdated) this.#warmupGuard.noteEntry(entry);
-    this.#endedIncarnations.noteEntry(entry, this.#isActive(entry.id));
+    this.#endedIncarnations.recordEntry(entry, this.#isActive(entry.id));
     if (endedId !== undefined) this.#handleRestart(endedId);
   }
 
--- a/src/application/direct/server_keeper_test.ts
+++ b/src/application/direct/server_keeper_test.ts
@@ -9,7 +9,7 @@
   return host.servers.listCandidates('engines').map(({ id }) => id);
 }
 
-t.test('the server pool lists the servers that may be given work at present', async (t) => {
+t.test('the server registry lists the servers that may be given work at present', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1', 's-2']);
   t.same(listIds(host), ['s-1', 's-2']);
   host.feed.put('servers/s-1', buildServer('s-1', { isLeaving: true }));
@@ -19,7 +19,7 @@
   t.same(listIds(host), []);
 });
 
-t.test('the server pool skips an undecodable entry and keeps the others', async (t) => {
+t.test('the server registry skips an undecodable entry and keeps the others', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1']);
   host.feed.put('servers/s-2', 'no entry');
   await settle();
@@ -28,7 +28,7 @@
 });
 
 t.test(
-  'the server pool keeps a server for a short time after its entry was overwritten',
+  'the server registry keeps a server for a short time after its entry was overwritten',
   async (t) => {
     const host = await startDirectHost(t, {}, ['s-1', 's-2']);
     host.feed.put('servers/s-1', 'no entry');
@@ -68,17 +68,20 @@
   t.same(listIds(host), ['s-1@2']);
 });
 
-t.test('the server pool sums the requests in flight of peers, except silent ones', async (t) => {
-  const host = await startDirectHost(t, {}, ['s-1']);
-  const [candidate] = host.servers.listCandidates('engines');
-  host.servers.applyPeer('peer-1', { ...NO_FIGURES, inFlight: { 's-1': 2 } });
-  host.servers.applyPeer('peer-2', { ...NO_FIGURES, inFlight: { 's-1': 1 } });
-  t.equal(candidate?.load.inFlight, 3);
-  host.servers.applyPeer('peer-1', undefined);
-  t.equal(candidate?.load.inFlight, 1);
-});
+t.test(
+  'the server registry sums the requests in flight of peers, except silent ones',
+  async (t) => {
+    const host = await startDirectHost(t, {}, ['s-1']);
+    const [candidate] = host.servers.listCandidates('engines');
+    host.servers.applyPeer('peer-1', { ...NO_FIGURES, inFlight: { 's-1': 2 } });
+    host.servers.applyPeer('peer-2', { ...NO_FIGURES, inFlight: { 's-1': 1 } });
+    t.equal(candidate?.load.inFlight, 3);
+    host.servers.applyPeer('peer-1', undefined);
+    t.equal(candidate?.load.inFlight, 1);
+  },
+);
 
-t.test('the server pool trusts peers that report an ended server', async (t) => {
+t.test('the server registry trusts peers that report an ended server', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1', 's-2']);
   host.servers.applyPeer('peer-1', { ...NO_FIGURES, endedServers: ['s-1'] });
   t.same(listIds(host), ['s-2']);
@@ -92,7 +95,7 @@
   t.same(host.servers.listEnded(), []);
 });
 
-t.test('the server pool avoids a server that peers report as silent', async (t) => {
+t.test('the server registry avoids a server that peers report as silent', async (t) => {
   // Guards against each of sixty entry hosts losing requests to a backend server that has fallen
   // silent before all of them avoid it. Two peers wait in vain for answers and report it, so the
   // others need not find out for themselves.
@@ -108,7 +111,7 @@
   t.notOk(candidate?.load.isPaused(host.clock.nowMs()));
 });
 
-t.test('the server pool trusts its own answers more than reports from peers', async (t) => {
+t.test('the server registry trusts its own answers more than reports from peers', async (t) => {
   // Guards against a healthy backend server that gets no work. The links of some entry hosts to
   // it fail and they report it; a host that gets answers from the server must not follow them.
   const host = await startDirectHost(t, {}, ['s-1', 's-2']);
--- a/src/application/direct/server_lives_test.ts
+++ b/src/application/direct/server_lives_test.ts
@@ -56,40 +56,40 @@
   /** Has a host read the changes since its last read. */
   readChanges(index: number): void {
     const host = this.#getHost(index);
-    host.pool.applyChanges(this.#changes.slice(host.read), CALM_CONTEXT);
+    host.registry.applyChanges(this.#changes.slice(host.read), CALM_CONTEXT);
     host.read = this.#changes.length;
   }
 
   /** Has a host read the present entries after a restart or lost history. */
   readSnapshot(index: number, isNew: boolean): void {
     if (isNew) this.#hosts[index] = this.#startHost();
-    const { pool } = this.#getHost(index);
+    const { registry } = this.#getHost(index);
     const standing = new Map(this.#changes.map((change) => [change.key, change]));
     const items = [...standing.values()].flatMap(({ key, value, revision }) =>
       value === undefined ? [] : [{ key, value, revision }],
     );
-    pool.applyAll(items, CALM_CONTEXT);
+    registry.applyAll(items, CALM_CONTEXT);
     this.#getHost(index).read = this.#changes.length;
   }
 
   /** Delivers one host's report to another. */
   deliverReport(from: number, to: number): void {
-    const endedServers = this.#getHost(from).pool.listEnded();
-    this.#getHost(to).pool.applyPeer(`peer-${from}`, { ...NO_FIGURES, endedServers });
+    const endedServers = this.#getHost(from).registry.listEnded();
+    this.#getHost(to).registry.applyPeer(`peer-${from}`, { ...NO_FIGURES, endedServers });
   }
 
   listUsable(index: number): string[] {
-    const candidates = this.#getHost(index).pool.listCandidates('engines');
+    const candidates = this.#getHost(index).registry.listCandidates('engines');
     return candidates.map(({ id }) => id).sort();
   }
 
-  #getHost(index: number): { readonly pool: ServerKeeper; read: number } {
-    return this.#hosts[index] as { readonly pool: ServerKeeper; read: number };
+  #getHost(index: number): { readonly registry: ServerKeeper; read: number } {
+    return this.#hosts[index] as { readonly registry: ServerKeeper; read: number };
   }
 
-  #startHost(): { readonly pool: ServerKeeper; read: number } {
-    const pool = createServerKeeper(this.clock, HOST_COUNT);
-    return { pool, read: 0 };
+  #startHost(): { readonly registry: ServerKeeper; read: number } {
+    const registry = createServerKeeper(this.clock, HOST_COUNT);
+    return { registry, read: 0 };
   }
 }
 
