--- a/src/application/direct/_kept_by_key.ts
+++ b/src/application/direct/_kept_by_key.ts
@@ -1,36 +1,36 @@
 /**
- * One object for each key, made when it is first asked for.
+ * A map that creates each missing value on first access.
  *
  * @module
  */
 
-/** A map that fills itself. */
+/** Holds one value for each key, created when it is first requested. */
 export class KeptByKey<T> {
-  readonly #kept = new Map<string, T>();
+  readonly #values = new Map<string, T>();
 
   readonly #create: (key: string) => T;
 
-  /** @param create - makes the object of a key */
+  /** @param create - creates the value for a key */
   constructor(create: (key: string) => T) {
     this.#create = create;
   }
 
-  /** @param key - a key. @returns its object */
+  /** @param key - a key. @returns its value, created if it is missing */
   take(key: string): T {
-    const found = this.#kept.get(key);
-    if (found !== undefined) return found;
+    const existing = this.#values.get(key);
+    if (existing !== undefined) return existing;
     const created = this.#create(key);
-    this.#kept.set(key, created);
+    this.#values.set(key, created);
     return created;
   }
 
-  /** @param key - a key. @returns its object, if it was ever asked for */
+  /** @param key - a key. @returns its value; undefined if it was never created */
   find(key: string): T | undefined {
-    return this.#kept.get(key);
+    return this.#values.get(key);
   }
 
-  /** @returns keys and objects */
+  /** @returns all keys with their values */
   list(): readonly (readonly [string, T])[] {
-    return [...this.#kept];
+    return [...this.#values];
   }
 }
--- a/src/application/direct/_report_builder.ts
+++ b/src/application/direct/_report_builder.ts
@@ -1,5 +1,5 @@
 /**
- * Builds the report that one peer is to get.
+ * Builds the report for one peer.
  *
  * @module
  */
@@ -11,65 +11,72 @@
 import { NO_FIGURES } from './report_figures.js';
 import type { FigureSources, ReportFigures } from './report_figures.js';
 import type { ReportRole } from './_report_role.js';
-import type { ReportSources } from './_report_sources.js';
+import type { ReceivedReports } from './_report_sources.js';
 
-/** What reports are built from. */
+/** Sources of a report's content. */
 export interface ReportBuilderOptions {
   readonly roster: Roster;
   readonly role: ReportRole;
-  readonly sources: ReportSources;
-  readonly buildFigures: (sources: FigureSources) => ReportFigures;
+  readonly received: ReceivedReports;
+  readonly buildStats: (sources: FigureSources) => ReportFigures;
 }
 
-/** Joins figures and roster to a report. */
+/** Combines stats and roster entries into a report. */
 export class ReportBuilder {
   readonly #options: ReportBuilderOptions;
 
-  /** @param options - what reports are built from */
+  /** @param options - sources of the content */
   constructor(options: ReportBuilderOptions) {
     this.#options = options;
   }
 
   /**
-   * @param peer - who is told
-   * @param scope - whose figures
-   * @param sequence - the report's number
+   * @param peer - receiver of the report
+   * @param scope - which entry hosts' stats the report contains
+   * @param sequence - the report's sequence number
    * @returns the report
    */
   build(peer: EntryHostIdentity, scope: ReportScope, sequence: number): HostReportMessage {
-    const { roster, role, sources, buildFigures } = this.#options;
+    const { roster, role, received, buildStats } = this.#options;
     const { incarnation } = peer;
-    const last = sources.find(incarnation)?.report;
-    const added = role.listFigureSources(scope, incarnation);
-    const incarnations = added.map(({ identity }) => identity.incarnation);
-    const hostCount = added.reduce((sum, { report }) => sum + report.hostCount, 1);
-    // A member that strangers take for a relay only helps them to find one.
-    const hasFigures = scope === ReportScope.Member || role.isRelay;
-    const figures = hasFigures
-      ? buildFigures({ incarnations, scope, receiver: incarnation })
+    const lastReport = received.find(incarnation)?.report;
+    const addedReports = role.listAddedReports(scope, incarnation);
+    const incarnations = addedReports.map(({ identity }) => identity.incarnation);
+    const hostCount = addedReports.reduce((sum, { report }) => sum + report.hostCount, 1);
+    // When peers that are not in its roster take a member for a relay, the member only helps
+    // them to find a relay and reports no stats of its own.
+    const hasStats = scope === ReportScope.Member || role.isRelay;
+    const stats = hasStats
+      ? buildStats({ incarnations, scope, receiver: incarnation })
       : NO_FIGURES;
-    // What another scope left out was never told.
-    const seenRevision = last?.heardScope === scope ? last.heardRosterRevision : 0;
+    // A report of another scope may have left entries out, so its acknowledgement doesn't count.
+    const ackedRevision = lastReport?.heardScope === scope ? lastReport.heardRosterRevision : 0;
     return {
       type: PeerMessageType.HostReport,
       sequence,
-      heardSequence: last?.sequence ?? 0,
+      heardSequence: lastReport?.sequence ?? 0,
       scope,
-      hostCount: hasFigures ? hostCount : 0,
-      ...figures,
-      roster: this.#listRoster(peer, scope, seenRevision),
+      hostCount: hasStats ? hostCount : 0,
+      ...stats,
+      roster: this.#listRosterEntries(peer, scope, ackedRevision),
       rosterRevision: roster.revision,
-      heardRosterRevision: last?.rosterRevision ?? 0,
-      heardScope: last?.scope,
+      heardRosterRevision: lastReport?.rosterRevision ?? 0,
+      heardScope: lastReport?.scope,
     };
   }
 
-  #listRoster(peer: EntryHostIdentity, scope: ReportScope, after: number): RosterEntry[] {
+  #listRosterEntries(
+    peer: EntryHostIdentity,
+    scope: ReportScope,
+    afterRevision: number,
+  ): RosterEntry[] {
     const { roster, role } = this.#options;
-    const changes = roster.listChanges(after, scope === ReportScope.Fleet);
+    const changes = roster.listChanges(afterRevision, scope === ReportScope.Fleet);
     if (scope !== ReportScope.Group) return changes;
-    const told = new Set(changes.map(({ state }) => state.identity.id));
-    const relays = role.listRelaysFor(peer).filter(({ identity }) => !told.has(identity.id));
-    return [...changes, ...relays.map((state) => ({ state, isHeard: false }))];
+    const includedIds = new Set(changes.map(({ state }) => state.identity.id));
+    const missingRelays = role
+      .listRelaysFor(peer)
+      .filter(({ identity }) => !includedIds.has(identity.id));
+    return [...changes, ...missingRelays.map((state) => ({ state, isHeard: false }))];
   }
 }
--- a/src/application/direct/_report_sources.ts
+++ b/src/application/direct/_report_sources.ts
@@ -1,5 +1,5 @@
 /**
- * The newest report of each peer that reports to this entry host.
+ * Keeps the newest report of each peer that reports to this entry host.
  *
  * @module
  */
@@ -8,90 +8,100 @@
 import type { HostReportMessage } from '../../ports/mod.js';
 
 /**
- * Silence after which a peer counts as out of reach for limits that all share, in
- * milliseconds: three reports. Until then both sides of a partition spend the whole.
+ * Age of the newest report from which a peer counts as unreachable for shared limits, in
+ * milliseconds: three report intervals. Until then, both sides of a partition may spend the
+ * whole limit.
  */
 export const REACH_SILENT_MS = 450;
 
-/** A peer's newest report. */
-export interface ReportSource {
+/** A peer's newest report and when it arrived. */
+export interface ReceivedReport {
   readonly identity: EntryHostIdentity;
   readonly report: HostReportMessage;
-  readonly heardAtMs: number;
+  readonly receivedAtMs: number;
 }
 
-/** Where this entry host's picture of all others comes from. */
-export interface PictureOrigin {
-  /** Whether it passes reports on for others. */
+/** Which received reports form this entry host's view of the fleet. */
+export interface ViewOrigin {
+  /** Whether this entry host is a relay. */
   readonly isRelay: boolean;
-  /** Incarnation of the relay that it is a member of. */
-  readonly relay: string | undefined;
+  /** Incarnation of the relay that this entry host is a member of. */
+  readonly relayIncarnation: string | undefined;
 }
 
-/** Keeps reports, and tells which of them count. */
-export class ReportSources {
-  readonly #sources = new Map<string, ReportSource>();
+/** Stores reports and determines which of them count. */
+export class ReceivedReports {
+  readonly #byIncarnation = new Map<string, ReceivedReport>();
 
-  /** @param source - a peer and its newest report; a former process of the same host counts no more */
-  put(source: ReportSource): void {
-    const { id, incarnation } = source.identity;
-    if (!this.#sources.has(incarnation)) {
-      [...this.#sources.values()]
+  /**
+   * Stores a peer's newest report, in place of any report of the same host's former process.
+   *
+   * @param received - the report
+   */
+  put(received: ReceivedReport): void {
+    const { id, incarnation } = received.identity;
+    if (!this.#byIncarnation.has(incarnation)) {
+      [...this.#byIncarnation.values()]
         .filter(({ identity }) => identity.id === id)
-        .forEach(({ identity }) => this.#sources.delete(identity.incarnation));
+        .forEach(({ identity }) => this.#byIncarnation.delete(identity.incarnation));
     }
-    this.#sources.set(incarnation, source);
+    this.#byIncarnation.set(incarnation, received);
   }
 
   /** @param incarnation - a peer's process. @returns its newest report */
-  find(incarnation: string): ReportSource | undefined {
-    return this.#sources.get(incarnation);
+  find(incarnation: string): ReceivedReport | undefined {
+    return this.#byIncarnation.get(incarnation);
   }
 
-  /** Forgets peers that were silent for too long. @param nowMs - monotonic time in milliseconds */
+  /**
+   * Drops peers that have been silent for too long.
+   *
+   * @param nowMs - monotonic time in milliseconds
+   */
   dropSilent(nowMs: number): void {
-    this.#sources.forEach(({ heardAtMs }, incarnation) => {
-      if (nowMs - heardAtMs > SILENT_AFTER_MS) this.#sources.delete(incarnation);
+    this.#byIncarnation.forEach(({ receivedAtMs }, incarnation) => {
+      if (nowMs - receivedAtMs > SILENT_AFTER_MS) this.#byIncarnation.delete(incarnation);
     });
   }
 
-  /** @param scope - whose figures. @returns peers whose newest report has these */
-  listByScope(scope: ReportScope): ReportSource[] {
-    return [...this.#sources.values()].filter(({ report }) => report.scope === scope);
+  /** @param scope - a report scope. @returns the newest reports that have this scope */
+  listByScope(scope: ReportScope): ReceivedReport[] {
+    return [...this.#byIncarnation.values()].filter(({ report }) => report.scope === scope);
   }
 
-  /** @param origin - where the picture comes from. @returns the reports that count */
-  listCounted(origin: PictureOrigin): ReportSource[] {
-    return [...this.#sources.values()].filter((source) => isCounted(source, origin));
+  /** @param origin - which reports form the view. @returns the reports that count */
+  listCounted(origin: ViewOrigin): ReceivedReport[] {
+    return [...this.#byIncarnation.values()].filter((source) => isCounted(source, origin));
   }
 
   /**
-   * Counts entry hosts within reach.
+   * Counts the reachable entry hosts.
    *
-   * @param origin - where the picture comes from
+   * @param origin - which reports form the view
    * @param nowMs - monotonic time in milliseconds
-   * @returns how many, this one left out
+   * @returns number of reachable entry hosts without this one
    */
-  countReached(origin: PictureOrigin, nowMs: number): number {
+  countReachable(origin: ViewOrigin, nowMs: number): number {
     return this.listCounted(origin)
-      .filter(({ heardAtMs }) => nowMs - heardAtMs <= REACH_SILENT_MS)
+      .filter(({ receivedAtMs }) => nowMs - receivedAtMs <= REACH_SILENT_MS)
       .reduce((sum, { report }) => sum + report.hostCount, 0);
   }
 }
 
 /**
- * Tells whether a report counts. Those that do contain each other entry host once: a
- * relay adds its members' and the other relays' up; a member has one report of everybody
- * else from its relay, and whatever others send it would count them twice.
+ * Returns whether a report counts. The counted reports cover each other entry host exactly once:
+ * a relay adds up the reports of its members and of the other relays, while a member has one
+ * report of the whole fleet from its relay, and reports from other peers would count their hosts
+ * twice.
  *
- * @param source - a peer's report
- * @param origin - where the picture comes from
+ * @param received - a peer's report
+ * @param origin - which reports form the view
  * @returns whether it counts
  */
 export function isCounted(
-  { identity, report }: ReportSource,
-  { isRelay, relay }: PictureOrigin,
+  { identity, report }: ReceivedReport,
+  { isRelay, relayIncarnation }: ViewOrigin,
 ): boolean {
   if (isRelay) return report.scope !== ReportScope.Fleet;
-  return report.scope === ReportScope.Fleet && identity.incarnation === relay;
+  return report.scope === ReportScope.Fleet && identity.incarnation === relayIncarnation;
 }
--- a/src/application/direct/feed_sharing.ts
+++ b/src/application/direct/feed_sharing.ts
@@ -1,5 +1,5 @@
 /**
- * Few entry hosts read the store; they tell the others.
+ * Lets a few entry hosts read the store and send the updates to all others.
  *
  * @module
  */
@@ -20,72 +20,77 @@
 import type { HostReports } from './host_reports.js';
 
 /**
- * Longest waits of the readers' reads, in milliseconds, by their place. The first
- * confirms often; the second stands by and hears of changes as early. Each call to
- * the store has its price, so there are no more than these, however many entry
- * hosts there are.
+ * Longest waits of the readers' reads, in milliseconds, by reader rank. The first reader
+ * confirms the state often; the second is on standby and learns of changes just as early. Each
+ * call to the store costs something, so the number of readers doesn't grow with the number of
+ * entry hosts.
  */
 const READER_WAITS_MS: readonly number[] = [800, 1_600];
 
 /**
- * Time without word from a reader after which an entry host reads for itself, in
- * milliseconds: half as long again as the first reader's wait. A configuration must
- * be in force within two seconds, also when a reader has just died.
+ * Time without an update from a reader after which an entry host reads for itself, in
+ * milliseconds: one and a half times the first reader's wait. A configuration must be in force
+ * within two seconds, also when a reader has just died.
  */
-const TAKE_OVER_MS = 1_200;
+const TAKEOVER_AFTER_MS = 1_200;
 
 /**
- * Time over which the relays, and after them the members, take over one after the other, in
- * milliseconds. Whoever is first tells the others within some milliseconds. Twenty hosts that
- * took over at once made 18 calls, and 18 more when the store cut them off.
+ * Time over which takeovers are staggered, first among relays and then among members, in
+ * milliseconds. The first host to take over sends updates to the others within a few
+ * milliseconds. When twenty hosts took over at once, they made 18 calls, and 18 more when the
+ * store cut them off.
  */
-const RELAY_SPREAD_MS = 400;
-const MEMBER_SPREAD_MS = 800;
+const RELAY_STAGGER_MS = 400;
+const MEMBER_STAGGER_MS = 800;
 
 /**
- * Time after the start in which an entry host that has read everything reads no more unless
- * nothing is heard, in milliseconds. At first each knows nobody and takes itself for the reader.
+ * Time after its first complete read for which an entry host doesn't read unless updates stop,
+ * in milliseconds. At the start no host knows its peers yet, so each one would take itself for
+ * the first reader.
  */
-const SETTLE_MS = 1_000;
+const STARTUP_READ_PAUSE_MS = 1_000;
 
-/** Entry hosts that ask a store that doesn't answer often; the others hear from them. */
-const LEADING_HOSTS = 4;
+/** Number of entry hosts that retry often while the store is down; the others learn from them. */
+const FAST_RETRY_HOSTS = 4;
 
-/** Their pauses: the store's return must not be noticed late. */
+/** Backoff of the hosts that retry often, short enough to notice the store's return soon. */
 export const LEADING_PAUSES: RetryPauses = { minMs: 50, maxMs: 400 };
 
-/** Pauses of the others. */
-const FOLLOWING_PAUSES: RetryPauses = { minMs: 400, maxMs: 2_000 };
+/** Backoff of all other entry hosts. */
+const SLOW_RETRY_BACKOFF: RetryPauses = { minMs: 400, maxMs: 2_000 };
 
 /**
- * Shortest and longest time between two looks at whether to read, in milliseconds. Word comes
- * every 0.8 s and is waited for; a host that has become a reader by another one's end notices
- * it after the longest one at the latest, well before anybody takes over.
+ * Shortest and longest time between two checks of whether to read, in milliseconds. Updates come
+ * every 0.8 s, and the host waits for them. A host that becomes a reader because another one has
+ * ended notices this within the longest time, well before any takeover.
  */
-const MIN_IDLE_MS = 100;
-const MAX_IDLE_MS = 500;
+const MIN_RECHECK_MS = 100;
+const MAX_RECHECK_MS = 500;
 
-/** Time between two tries of an entry host that can't reach the store itself while peers can, in milliseconds. */
+/** Time between probes by a host that can't reach the store while peers can, in milliseconds. */
 const PROBE_INTERVAL_MS = 2_000;
 
-/** How much fresher a confirmation must be to be passed on, in milliseconds: small beside the readers' waits. */
+/**
+ * Minimum gain in freshness for which a confirmation is forwarded, in milliseconds: small
+ * compared with the readers' waits.
+ */
 const MIN_AGE_GAIN_MS = 200;
 
 /**
- * How much longer than a relay a member waits for word from a reader, in milliseconds:
- * when the readers go, relays read, and not all entry hosts at the same moment.
+ * Additional time that a member waits for updates compared with a relay, in milliseconds: when
+ * the readers end, relays take over, and the entry hosts don't all read at the same moment.
  */
-const MEMBER_PATIENCE_MS = 400;
-
-/** Where an entry host stands among those that may read. */
-interface ReaderOrder {
-  /** 0: it reads first. */
-  readonly place: number;
-  /** Part of its fellow relays, or fellow members, that go before it. */
-  readonly part: number;
+const MEMBER_TAKEOVER_DELAY_MS = 400;
+
+/** Position of an entry host in the order of readers. */
+interface ReaderRank {
+  /** Rank; 0 reads first. */
+  readonly rank: number;
+  /** Fraction of the other relays, or for a member of the other members, that rank before it. */
+  readonly precedingFraction: number;
 }
 
-/** What the sharing needs. */
+/** Dependencies of {@link FeedSharing}. */
 export interface FeedSharingOptions {
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -95,29 +100,30 @@
 }
 
 /**
- * Decides who reads, passes on what was read, and takes in what peers have read.
+ * Decides which entry hosts read, sends what was read to peers, and applies what peers have
+ * read.
  *
- * How old a passed-on confirmation is can't be seen from its arrival: it may have
- * waited in a buffer, or this process may have been suspended. So a reader names the
- * newest report that it had from the receiver when it wrote, and the receiver counts
- * from the moment at which it sent that report.
+ * The age of a forwarded confirmation can't be derived from its arrival: it may have waited in a
+ * buffer, or this process may have been suspended. The sender therefore names the newest report
+ * that it had received from the receiver, and the receiver counts the age from when it sent that
+ * report.
  */
 export class FeedSharing {
   readonly #options: FeedSharingOptions;
 
-  /** Age of what was told to others last. */
-  readonly #toldAge = new ConfirmedAge();
+  /** Age of the state that was last sent to peers. */
+  readonly #sentAge = new ConfirmedAge();
 
-  /** Newest revision that was told to others. */
-  #toldRevision = 0;
+  /** Newest revision that was sent to peers. */
+  #sentRevision = 0;
 
-  #heardAtMs = Number.NEGATIVE_INFINITY;
+  #lastUpdateAtMs = Number.NEGATIVE_INFINITY;
 
-  #readAtMs = Number.NEGATIVE_INFINITY;
+  #lastReadAtMs = Number.NEGATIVE_INFINITY;
 
-  #probedAtMs = Number.NEGATIVE_INFINITY;
+  #lastProbeAtMs = Number.NEGATIVE_INFINITY;
 
-  /** @param options - what the sharing needs */
+  /** @param options - dependencies */
   constructor(options: FeedSharingOptions) {
     this.#options = options;
     options.peers.handle(PeerMessageType.FeedUpdate, (from, message) =>
@@ -125,34 +131,37 @@
     );
   }
 
-  /** @returns what the follower is to do next */
+  /** @returns what the follower does next */
   getReadPlan(): ReadPlan {
-    const order = this.#computeReaderOrder();
+    const readerRank = this.#computeReaderRank();
     const nowMs = this.#options.clock.nowMs();
-    const lastWordMs = Math.max(this.#heardAtMs, this.#options.follower.firstReadAtMs);
-    const leftMs = lastWordMs + this.#computePatienceMs(order) - nowMs;
+    const lastNewsAtMs = Math.max(this.#lastUpdateAtMs, this.#options.follower.firstReadAtMs);
+    const remainingMs = lastNewsAtMs + this.#computeTakeoverDelayMs(readerRank) - nowMs;
     return {
-      waitMs: leftMs < 0 ? this.#computeTakeOverMs(nowMs) : this.#computeWaitMs(order, nowMs),
-      lookAfterMs: Math.min(MAX_IDLE_MS, Math.max(MIN_IDLE_MS, leftMs)),
+      waitMs:
+        remainingMs < 0
+          ? this.#computeTakeoverWaitMs(nowMs)
+          : this.#computeWaitMs(readerRank, nowMs),
+      lookAfterMs: Math.min(MAX_RECHECK_MS, Math.max(MIN_RECHECK_MS, remainingMs)),
     };
   }
 
-  /** @returns pauses between two tries while the store doesn't answer */
+  /** @returns backoff delays while the store doesn't answer */
   getRetryPauses(): RetryPauses {
-    const { place } = this.#computeOrder(this.#options.reports.listHeard());
-    return place < LEADING_HOSTS ? LEADING_PAUSES : FOLLOWING_PAUSES;
+    const { rank } = this.#computeRank(this.#options.reports.listHeard());
+    return rank < FAST_RETRY_HOSTS ? LEADING_PAUSES : SLOW_RETRY_BACKOFF;
   }
 
   /**
-   * Passes on what this entry host has read.
+   * Sends what this entry host has read to its peers.
    *
    * @param update - the changes
-   * @param context - when they were asked for
+   * @param context - when they were requested
    */
   sendUpdate(update: FeedUpdate, context: FeedContext): void {
     const { reports, clock } = this.#options;
-    this.#readAtMs = clock.nowMs();
-    this.#noteTold(update, context);
+    this.#lastReadAtMs = clock.nowMs();
+    this.#recordSent(update, context);
     this.#sendTo(reports.listTargets(), update, context);
   }
 
@@ -167,7 +176,7 @@
       fromRevision,
       toRevision,
       changes,
-      ageMs: ageMs + computeElapsedMs(askedAt, this.#readMoment()),
+      ageMs: ageMs + computeElapsedMs(askedAt, this.#readClock()),
       wasAway,
     } as const;
     targets.forEach(({ incarnation }) => {
@@ -176,85 +185,95 @@
     });
   }
 
-  /** The first read answers at once, so that all others hear. */
-  #computeTakeOverMs(nowMs: number): number | undefined {
-    return nowMs - this.#readAtMs > TAKE_OVER_MS ? PROBE_WAIT_MS : READER_WAITS_MS[0];
+  /**
+   * Returns the wait of a read after a takeover. The first read returns at once, so that all
+   * other hosts get an update.
+   */
+  #computeTakeoverWaitMs(nowMs: number): number | undefined {
+    return nowMs - this.#lastReadAtMs > TAKEOVER_AFTER_MS ? PROBE_WAIT_MS : READER_WAITS_MS[0];
   }
 
-  #computeWaitMs({ place }: ReaderOrder, nowMs: number): number | undefined {
+  #computeWaitMs({ rank }: ReaderRank, nowMs: number): number | undefined {
     const { follower } = this.#options;
     if (follower.isInTouch) {
-      const isSettled = nowMs - follower.firstReadAtMs >= SETTLE_MS;
-      return isSettled ? READER_WAITS_MS[place] : undefined;
+      const isSettled = nowMs - follower.firstReadAtMs >= STARTUP_READ_PAUSE_MS;
+      return isSettled ? READER_WAITS_MS[rank] : undefined;
     }
-    if (nowMs - this.#probedAtMs < PROBE_INTERVAL_MS) return undefined;
-    this.#probedAtMs = nowMs;
+    if (nowMs - this.#lastProbeAtMs < PROBE_INTERVAL_MS) return undefined;
+    this.#lastProbeAtMs = nowMs;
     return READER_WAITS_MS[0];
   }
 
-  /** Its place among those that reach the store. */
-  #computeReaderOrder(): ReaderOrder {
+  /** Computes this host's position among the hosts that reach the store. */
+  #computeReaderRank(): ReaderRank {
     const heard = this.#options.reports.listHeard();
-    return this.#computeOrder(heard.filter(({ isInTouch }) => isInTouch));
+    return this.#computeRank(heard.filter(({ isInTouch }) => isInTouch));
   }
 
-  /** Relays go first: their word goes furthest. Among relays, and among members, names decide. */
-  #computeOrder(peers: readonly HostState[]): ReaderOrder {
+  /**
+   * Computes this host's position among peers. Relays go first because their updates reach the
+   * most hosts; among relays and among members, IDs decide.
+   */
+  #computeRank(peers: readonly HostState[]): ReaderRank {
     const { reports } = this.#options;
     const { id } = reports.self.identity;
     const isRelay = (peer: HostState): boolean => reports.isPlannedRelay(peer.identity.id);
     const relays = peers.filter(isRelay);
-    const fellows = reports.isRelay ? relays : peers.filter((peer) => !isRelay(peer));
-    const before = fellows.filter(({ identity }) => identity.id < id).length;
+    const sameRolePeers = reports.isRelay ? relays : peers.filter((peer) => !isRelay(peer));
+    const precedingCount = sameRolePeers.filter(({ identity }) => identity.id < id).length;
     return {
-      place: reports.isRelay ? before : relays.length + before,
-      part: before / (fellows.length + 1),
+      rank: reports.isRelay ? precedingCount : relays.length + precedingCount,
+      precedingFraction: precedingCount / (sameRolePeers.length + 1),
     };
   }
 
-  #computePatienceMs({ part }: ReaderOrder): number {
-    if (this.#options.reports.isRelay) return TAKE_OVER_MS + part * RELAY_SPREAD_MS;
-    return TAKE_OVER_MS + MEMBER_PATIENCE_MS + part * MEMBER_SPREAD_MS;
+  #computeTakeoverDelayMs({ precedingFraction }: ReaderRank): number {
+    if (this.#options.reports.isRelay)
+      return TAKEOVER_AFTER_MS + precedingFraction * RELAY_STAGGER_MS;
+    return TAKEOVER_AFTER_MS + MEMBER_TAKEOVER_DELAY_MS + precedingFraction * MEMBER_STAGGER_MS;
   }
 
   #handleUpdate(from: EntryHostIdentity, message: FeedUpdateMessage): void {
     const { reports, follower, metrics } = this.#options;
     const askedAt = reports.findSentAt(message.heardSequence);
-    // Without a report of ours that the sender has seen, nothing bounds the update's age.
+    // Without a report of this host that the sender received, the update's age is unbounded.
     if (!askedAt) return;
     const { ageMs, wasAway } = message;
     const context = { askedAt, ageMs, wasAway };
-    const isWhole = follower.applyUpdate(message, context);
-    metrics.count('feed_updates_total', { result: isWhole ? 'applied' : 'gap' });
-    if (!isWhole) return;
-    this.#heardAtMs = this.#options.clock.nowMs();
-    this.#passOn(from, message, context);
+    const isApplied = follower.applyUpdate(message, context);
+    metrics.count('feed_updates_total', { result: isApplied ? 'applied' : 'gap' });
+    if (!isApplied) return;
+    this.#lastUpdateAtMs = this.#options.clock.nowMs();
+    this.#forward(from, message, context);
   }
 
   /**
-   * A relay tells its members what it hears from relays, and everybody what it hears
-   * from a member. What brings nothing new ends here, or relays would tell each other
-   * the same again and again.
+   * Forwards an update if this host is a relay: updates from relays go to its members, and
+   * updates from a member to all its peers. An update without news ends here, or relays would
+   * send it to each other endlessly.
    */
-  #passOn(from: EntryHostIdentity, update: FeedUpdate, context: FeedContext): void {
+  #forward(from: EntryHostIdentity, update: FeedUpdate, context: FeedContext): void {
     const { reports } = this.#options;
-    if (this.#noteTold(update, context)) {
+    if (this.#recordSent(update, context)) {
       this.#sendTo(reports.listFurther(from), update, context);
     }
   }
 
-  /** @returns whether it brings changes, or a confirmation much fresher than the last that was told */
-  #noteTold({ toRevision }: FeedUpdate, { askedAt, ageMs }: FeedContext): boolean {
-    const hasChanges = toRevision > this.#toldRevision;
-    this.#toldRevision = Math.max(this.#toldRevision, toRevision);
-    const nowAt = this.#readMoment();
-    const gainMs = this.#toldAge.computeAgeMs(nowAt) - ageMs - computeElapsedMs(askedAt, nowAt);
-    if (gainMs < MIN_AGE_GAIN_MS) return hasChanges;
-    this.#toldAge.confirm(askedAt, nowAt, ageMs);
+  /**
+   * @returns whether the update contains changes, or a confirmation much fresher than the last
+   *   one sent
+   */
+  #recordSent({ toRevision }: FeedUpdate, { askedAt, ageMs }: FeedContext): boolean {
+    const hasChanges = toRevision > this.#sentRevision;
+    this.#sentRevision = Math.max(this.#sentRevision, toRevision);
+    const nowAt = this.#readClock();
+    const ageGainMs = this.#sentAge.computeAgeMs(nowAt) - ageMs - computeElapsedMs(askedAt, nowAt);
+    if (ageGainMs < MIN_AGE_GAIN_MS) return hasChanges;
+    this.#sentAge.confirm(askedAt, nowAt, ageMs);
     return true;
   }
 
-  #readMoment(): Moment {
+  #readClock(): Moment {
     const { clock } = this.#options;
     return { steadyMs: clock.nowMs(), wallMs: clock.wallMs() };
   }
--- a/src/application/direct/host_reports.ts
+++ b/src/application/direct/host_reports.ts
@@ -1,6 +1,5 @@
 /**
- * Tells peers what this entry host does, keeps what they tell, and passes it on where
- * this entry host is a relay.
+ * Sends this entry host's reports to peers, keeps theirs, and forwards them if it is a relay.
  *
  * @module
  */
@@ -11,24 +10,24 @@
 import type { HostState } from '../../domain/overlay/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
 import type { Clock, EventLog, HostReportMessage, PeerNetwork } from '../../ports/mod.js';
-import { CountedHosts } from './_counted_hosts.js';
+import { CountedPeers } from './_counted_hosts.js';
 import { PeerLinks } from './_peer_links.js';
 import { ReportBuilder } from './_report_builder.js';
 import type { CountedReport, FigureSources, ReportFigures } from './report_figures.js';
 import { ReportRole } from './_report_role.js';
 import { RosterLog } from './_roster_log.js';
-import { ReportRounds } from './_report_rounds.js';
+import { ReportScheduler } from './_report_rounds.js';
 import { hasSettled } from './_settling.js';
 import { SentReports } from './_sent_reports.js';
-import { isCounted, ReportSources } from './_report_sources.js';
+import { isCounted, ReceivedReports } from './_report_sources.js';
 
-/** What the reports need, and what they call. */
+/** Dependencies and callbacks of {@link HostReports}. */
 export interface HostReportsOptions {
   readonly self: EntryHostIdentity;
-  /** Processor cores that this process may use. */
+  /** Number of processor cores that this process may use. */
   readonly cores: number;
   readonly peers: PeerNetwork;
-  /** Peers' addresses to begin with. */
+  /** URLs of the seed peers, where discovery starts. */
   readonly seedPeerUrls: readonly string[];
   readonly clock: Clock;
   readonly log: EventLog;
@@ -36,19 +35,19 @@
   readonly buildFigures: (sources: FigureSources) => ReportFigures;
   /** Called with each report that counts. */
   readonly onReport: (report: CountedReport) => void;
-  /** Called when the reports of a process count no more. */
+  /** Called when the reports of a process no longer count. */
   readonly onSilent: (identity: EntryHostIdentity) => void;
-  /** Called after each round with the part of all known entry hosts within reach. */
+  /** Called after each round with the fraction of the known entry hosts that is reachable. */
   readonly onReach: (reach: number) => void;
 }
 
-/** Sends reports again and again, and at once when something matters. */
+/** Sends reports in regular rounds, and at once on request. */
 export class HostReports {
   readonly #options: HostReportsOptions;
 
   readonly #roster: Roster;
 
-  readonly #sources = new ReportSources();
+  readonly #received = new ReceivedReports();
 
   readonly #role: ReportRole;
 
@@ -56,22 +55,22 @@
 
   readonly #builder: ReportBuilder;
 
-  readonly #counted = new CountedHosts();
+  readonly #countedPeers = new CountedPeers();
 
-  readonly #sent: SentReports;
+  readonly #sentReports: SentReports;
 
   readonly #startedAtMs: number;
 
-  readonly #rounds: ReportRounds;
+  readonly #scheduler: ReportScheduler;
 
   readonly #rosterLog: RosterLog;
 
-  /** @param options - what the reports need */
+  /** @param options - dependencies and callbacks */
   constructor(options: HostReportsOptions) {
     this.#options = options;
     this.#rosterLog = new RosterLog(options.log);
     const { peers, clock, log, self, cores, seedPeerUrls } = options;
-    this.#sent = new SentReports(clock);
+    this.#sentReports = new SentReports(clock);
     this.#startedAtMs = clock.nowMs();
     this.#roster = new Roster({
       identity: self,
@@ -82,83 +81,83 @@
       isInTouch: false,
       isLeaving: false,
     });
-    this.#role = new ReportRole({ roster: this.#roster, sources: this.#sources });
+    this.#role = new ReportRole({ roster: this.#roster, received: this.#received });
     this.#builder = new ReportBuilder({
       roster: this.#roster,
       role: this.#role,
-      sources: this.#sources,
-      buildFigures: options.buildFigures,
+      received: this.#received,
+      buildStats: options.buildFigures,
     });
     this.#links = new PeerLinks({ peers, clock, log, selfUrl: self.peerUrl, seeds: seedPeerUrls });
-    this.#rounds = new ReportRounds({
+    this.#scheduler = new ReportScheduler({
       clock,
       isMember: () => this.#role.relayId !== undefined,
       onRound: () => this.#runRound(),
     });
-    peers.handle(PeerMessageType.HostReport, (from, report) => this.#handle(from, report));
+    peers.handle(PeerMessageType.HostReport, (from, report) => this.#handleReport(from, report));
   }
 
-  /** Begins to report. */
+  /** Starts to report. */
   start(): void {
-    this.#rounds.start();
+    this.#scheduler.start();
   }
 
-  /** Reports no more. */
+  /** Stops reporting. */
   stop(): void {
-    this.#rounds.stop();
+    this.#scheduler.stop();
   }
 
-  /** @param peerUrls - addresses that peers are looked for at, from now on */
+  /** @param peerUrls - URLs of the seed peers from now on */
   setSeeds(peerUrls: readonly string[]): void {
-    this.#links.setSeeds(peerUrls);
-    this.#update();
+    this.#links.setSeedUrls(peerUrls);
+    this.#updateRole();
   }
 
-  /** Reports now, without waiting for the next round. */
+  /** Reports at once, without waiting for the next round. */
   sendNow(): void {
     this.#roster.updateSelf(this.#options.getState());
     this.#sendTo(this.listTargets());
   }
 
-  /** @returns peers that are heard, directly or through a relay */
+  /** @returns peers that are heard from, directly or through a relay */
   listHeard(): readonly HostState[] {
     return this.#roster.listHeard();
   }
 
-  /** @returns all peers that are known, also silent ones; the same array until any of them changes */
+  /** @returns all known peers, also silent ones; the same array until any of them changes */
   listKnown(): readonly HostState[] {
     return this.#roster.listKnown();
   }
 
-  /** Whether this entry host has had the time to hear of all others. */
+  /** Whether this entry host has had enough time to discover all others. */
   get isSettled(): boolean {
     const ageMs = this.#options.clock.nowMs() - this.#startedAtMs;
     return hasSettled(ageMs, this.listHeard().length);
   }
 
-  /** @returns how many peers that are heard serve callers */
+  /** @returns number of heard peers that serve callers */
   countServing(): number {
     return this.#roster.countServing();
   }
 
-  /** What this entry host tells of itself. */
+  /** The state that this entry host reports about itself. */
   get self(): HostState {
     return this.#roster.self;
   }
 
-  /** Entry hosts that are known, this one included. */
+  /** Number of known entry hosts, including this one. */
   get knownCount(): number {
     return this.#roster.size;
   }
 
-  /** Whether this entry host passes reports on. */
+  /** Whether this entry host is a relay. */
   get isRelay(): boolean {
     return this.#role.isRelay;
   }
 
-  /** @param id - an entry host's name. @returns whether it passes reports on, by the present plan */
+  /** @param id - an entry host's ID. @returns whether it is a relay in the present plan */
   isPlannedRelay(id: string): boolean {
-    return this.#role.isPlanned(id);
+    return this.#role.isPlannedRelay(id);
   }
 
   /** @param incarnation - a peer's process. @returns whether it is a member of this relay */
@@ -173,11 +172,11 @@
   }
 
   /**
-   * Lists whom a relay passes on to: its members hear everything from it, and everybody else
-   * what its members say. Relays tell each other themselves.
+   * Lists the peers that a relay forwards a message to: its members, and for a message from a
+   * member also all other peers. Relays send their messages to each other directly.
    *
-   * @param from - a linked peer that has told something
-   * @returns linked peers that hear of it only through this entry host
+   * @param from - linked peer that has sent the message
+   * @returns linked peers that receive the message only through this entry host
    */
   listFurther({ incarnation }: EntryHostIdentity): readonly EntryHostIdentity[] {
     if (!this.isRelay) return [];
@@ -187,22 +186,22 @@
       .filter((peer) => isFromMember || this.hasMember(peer.incarnation));
   }
 
-  /** @param incarnation - a peer's process. @returns its newest report's number; 0: none */
+  /** @param incarnation - a peer's process. @returns number of its newest report; 0: none */
   findHeardSequence(incarnation: string): number {
-    return this.#sources.find(incarnation)?.report.sequence ?? 0;
+    return this.#received.find(incarnation)?.report.sequence ?? 0;
   }
 
-  /** @param sequence - a report of this process. @returns when it was sent, unless that is long ago */
+  /** @param sequence - number of an own report. @returns its send time; undefined if it is old */
   findSentAt(sequence: number): Moment | undefined {
-    return this.#sent.find(sequence);
+    return this.#sentReports.findSentAt(sequence);
   }
 
   #runRound(): void {
     const { clock, onReach } = this.#options;
     this.#expire();
-    this.#update();
-    const reached = this.#sources.countReached(this.#role.origin, clock.nowMs());
-    onReach(Math.min(1, (reached + 1) / this.knownCount));
+    this.#updateRole();
+    const reachableCount = this.#received.countReachable(this.#role.origin, clock.nowMs());
+    onReach(Math.min(1, (reachableCount + 1) / this.knownCount));
     this.#roster.updateSelf(this.#options.getState());
     this.#sendRound();
   }
@@ -215,17 +214,17 @@
       return;
     }
     this.#sendTo(members);
-    this.#rounds.scheduleFellows(() => {
+    this.#scheduler.scheduleRelaySend(() => {
       this.#sendTo(this.listTargets().filter(({ incarnation }) => !this.hasMember(incarnation)));
     });
   }
 
   #sendTo(peers: readonly EntryHostIdentity[]): void {
-    this.#sent.begin();
-    peers.forEach((peer) => this.#send(peer));
+    this.#sentReports.beginReport();
+    peers.forEach((peer) => this.#sendReport(peer));
   }
 
-  #update(): void {
+  #updateRole(): void {
     const { log, clock } = this.#options;
     if (this.#role.update(clock.nowMs())) {
       log.write(LogLevel.Info, 'report_role_changed', {
@@ -236,62 +235,62 @@
       });
     }
     this.#links.update({
-      wanted: this.#role.listWanted().map(({ identity }) => identity.peerUrl),
+      wantedUrls: this.#role.listLinkTargets().map(({ identity }) => identity.peerUrl),
       heard: this.#roster.listHeard(),
-      isUsed: (peer) => this.#sources.find(peer.incarnation) !== undefined,
+      isUsed: (peer) => this.#received.find(peer.incarnation) !== undefined,
     });
-    this.#dropUncounted();
+    this.#notifyUncounted();
   }
 
-  #dropUncounted(): void {
-    const counted = this.#sources.listCounted(this.#role.origin).map(({ identity }) => identity);
-    this.#counted.dropOthers(counted).forEach((identity) => this.#options.onSilent(identity));
+  #notifyUncounted(): void {
+    const counted = this.#received.listCounted(this.#role.origin).map(({ identity }) => identity);
+    this.#countedPeers.retainOnly(counted).forEach((identity) => this.#options.onSilent(identity));
   }
 
-  #handle(identity: EntryHostIdentity, report: HostReportMessage): void {
+  #handleReport(identity: EntryHostIdentity, report: HostReportMessage): void {
     const nowMs = this.#options.clock.nowMs();
     const { incarnation } = identity;
     const wasKnown = this.#roster.knowsProcess(identity);
-    const isFirst = this.#sources.find(incarnation) === undefined;
-    const source = { identity, report, heardAtMs: nowMs };
-    this.#sources.put(source);
+    const isFirstReport = this.#received.find(incarnation) === undefined;
+    const received = { identity, report, receivedAtMs: nowMs };
+    this.#received.put(received);
     this.#roster.noteHeard(incarnation, nowMs);
     report.roster.forEach((entry) => {
       if (this.#roster.apply(incarnation, entry, nowMs))
-        this.#rosterLog.noteSeen(entry.state.identity);
+        this.#rosterLog.logSeen(entry.state.identity);
     });
     if (report.scope === ReportScope.Member) this.#roster.addMember(identity);
-    this.#role.noteReport(source);
-    if (isFirst) this.#update();
-    if (isCounted(source, this.#role.origin)) {
-      this.#count({ identity, report, isNewProcess: !wasKnown && report.hostCount === 1 });
+    this.#role.recordReport(received);
+    if (isFirstReport) this.#updateRole();
+    if (isCounted(received, this.#role.origin)) {
+      this.#notifyCounted({ identity, report, isNewProcess: !wasKnown && report.hostCount === 1 });
     }
-    if (isFirst && this.hasMember(incarnation)) {
-      // A new member knows nobody until its relay answers.
+    if (isFirstReport && this.hasMember(incarnation)) {
+      // A new member knows no peers until its relay answers.
       this.#sendTo([identity]);
     }
     const isFromRelay = report.scope === ReportScope.Fleet && identity.id === this.#role.relayId;
-    if (isFromRelay) this.#rounds.noteRelayReport();
+    if (isFromRelay) this.#scheduler.handleRelayReport();
   }
 
-  #count(counted: CountedReport): void {
+  #notifyCounted(counted: CountedReport): void {
     if (counted.report.hostCount === 0) return;
-    this.#counted.add(counted.identity);
+    this.#countedPeers.add(counted.identity);
     this.#options.onReport(counted);
   }
 
-  #send(peer: EntryHostIdentity): void {
+  #sendReport(peer: EntryHostIdentity): void {
     const scope = this.#role.pickScope(peer);
     if (scope === undefined) return;
-    const report = this.#builder.build(peer, scope, this.#sent.sequence);
+    const report = this.#builder.build(peer, scope, this.#sentReports.sequence);
     this.#options.peers.send(peer.incarnation, report);
   }
 
   #expire(): void {
     const nowMs = this.#options.clock.nowMs();
-    this.#sources.dropSilent(nowMs);
+    this.#received.dropSilent(nowMs);
     const { silent, forgotten } = this.#roster.expire(nowMs);
-    silent.forEach(({ identity }) => this.#rosterLog.noteSilent(identity));
-    forgotten.forEach(({ identity }) => this.#rosterLog.noteForgotten(identity));
+    silent.forEach(({ identity }) => this.#rosterLog.logSilent(identity));
+    forgotten.forEach(({ identity }) => this.#rosterLog.logForgotten(identity));
   }
 }
--- a/src/application/direct/server_keeper.ts
+++ b/src/application/direct/server_keeper.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the backend servers that may be given work, and their load.
+ * Tracks the backend servers that may be given work, and their load.
  *
  * @module
  */
@@ -9,25 +9,25 @@
 import type { FeedChange, FeedItem } from '../../ports/mod.js';
 import type { FeedContext } from './feed_follower.js';
 import { CandidateLists } from './_candidate_lists.js';
-import { EndedLives } from './_ended_lives.js';
+import { EndedIncarnations } from './_ended_lives.js';
 import { EntryReader } from './_entry_reader.js';
 import type { EntryReaderOptions } from './_entry_reader.js';
 import { WarmupGuard } from './_warmup_guard.js';
 import type { WarmupGuardOptions } from './_warmup_guard.js';
-import { PeerFigureTable } from './_peer_figures.js';
-import type { PeerFigures } from './_peer_figures.js';
+import { PeerStatsTable } from './_peer_figures.js';
+import type { PeerStats } from './_peer_figures.js';
 
-/** What the keeper needs. */
+/** Dependencies and settings of a {@link ServerKeeper}. */
 export interface ServerKeeperOptions extends EntryReaderOptions, WarmupGuardOptions {
-  /** @returns entry hosts that serve callers, this one included */
+  /** @returns number of entry hosts that serve callers, including this one */
   readonly countServing: () => number;
   /** @returns whether a service's backend servers are model engines */
   readonly isEngine: (serviceId: string) => boolean;
-  /** @returns region that a zone lies in; undefined for a zone that nobody knows */
+  /** @returns region of a zone; undefined for an unknown zone */
   readonly findRegion: (zone: string) => string | undefined;
 }
 
-/** Joins registrations, what peers tell, and what requests have shown. */
+/** Combines registrations, stats from peers and the outcomes of own requests. */
 export class ServerKeeper {
   readonly #options: ServerKeeperOptions;
 
@@ -37,45 +37,45 @@
 
   readonly #loads = new Map<string, ServerLoad>();
 
-  /** What peers report. */
-  readonly peers = new PeerFigureTable();
+  /** Newest stats that peers report. */
+  readonly peers = new PeerStatsTable();
 
-  readonly #ended = new EndedLives();
+  readonly #endedIncarnations = new EndedIncarnations();
 
-  readonly #warmups: WarmupGuard;
+  readonly #warmupGuard: WarmupGuard;
 
-  readonly #candidates: CandidateLists;
+  readonly #candidateLists: CandidateLists;
 
   readonly #changeHandlers: (() => void)[] = [];
 
   readonly #restartHandlers: ((endedId: string) => void)[] = [];
 
-  /** @param options - what the keeper needs */
+  /** @param options - dependencies and settings */
   constructor(options: ServerKeeperOptions) {
     this.#options = options;
     this.#reader = new EntryReader(options);
-    this.#warmups = new WarmupGuard(options);
-    this.#candidates = new CandidateLists(options.clock, (id) => this.#buildCandidates(id));
+    this.#warmupGuard = new WarmupGuard(options);
+    this.#candidateLists = new CandidateLists(options.clock, (id) => this.#buildCandidates(id));
   }
 
-  /** Backend servers that warm up. */
+  /** Number of backend servers that are warming up. */
   get coldCount(): number {
-    return this.#directory.list().filter((entry) => this.#warmups.isCold(entry)).length;
+    return this.#directory.list().filter((entry) => this.#warmupGuard.isCold(entry)).length;
   }
 
-  /** @param handler - called when another set of backend servers may be given work */
+  /** @param handler - called after each applied read, since other servers may be usable then */
   onChange(handler: () => void): void {
     this.#changeHandlers.push(handler);
   }
 
-  /** @param handler - called with each life that a restart under its name has ended */
+  /** @param handler - called with each incarnation that a restart of its server has ended */
   onRestart(handler: (endedId: string) => void): void {
     this.#restartHandlers.push(handler);
   }
 
-  /** @param serviceId - which service. @returns who may be given work */
+  /** @param serviceId - a service. @returns backend servers that may be given work */
   listCandidates(serviceId: string): readonly Candidate[] {
-    return this.#candidates.take(serviceId);
+    return this.#candidateLists.take(serviceId);
   }
 
   #buildCandidates(serviceId: string): readonly Candidate[] {
@@ -84,34 +84,35 @@
       .listUsable(serviceId, clock.nowMs())
       .filter(({ availabilityZone }) => !places.isClosed(availabilityZone))
       .map((entry) => {
-        const load = this.#takeLoad(entry.id);
-        this.#warmups.update(entry, load);
+        const load = this.#getOrCreateLoad(entry.id);
+        this.#warmupGuard.update(entry, load);
         return { id: entry.id, load, region: findRegion(entry.availabilityZone) };
       });
   }
 
   /**
-   * Tells whether a service has backend servers, but only in closed zones.
+   * Returns whether a service has usable backend servers, but only in closed zones.
    *
-   * @param serviceId - which service
-   * @returns whether nothing may be sent to it for that reason
+   * @param serviceId - a service
+   * @returns whether only the closed zones keep requests from it
    */
   isClosed(serviceId: string): boolean {
     if (this.listCandidates(serviceId).length > 0) return false;
     return this.#directory.listUsable(serviceId, this.#options.clock.nowMs()).length > 0;
   }
 
-  /** @param id - a life. @returns whether it may be given work at this moment */
+  /** @param id - a server incarnation. @returns whether it may be given work at present */
   isUsable(id: string): boolean {
     const zone = this.find(id)?.availabilityZone;
-    return zone !== undefined && !this.#options.places.isClosed(zone) && this.#isAlive(id);
+    return zone !== undefined && !this.#options.places.isClosed(zone) && this.#isActive(id);
   }
 
-  #isAlive(id: string): boolean {
+  /** Returns whether an incarnation is usable, regardless of whether its zone is closed. */
+  #isActive(id: string): boolean {
     return this.#directory.isUsable(id, this.#options.clock.nowMs());
   }
 
-  /** @param id - a life. @returns its entry */
+  /** @param id - a server incarnation. @returns its entry */
   find(id: string): BackendServerEntry | undefined {
     return this.#directory.find(id);
   }
@@ -119,73 +120,73 @@
   /**
    * Counts requests in flight.
    *
-   * @param sources - peers' processes that are counted with this one
-   * @returns the counts, by backend server
+   * @param sources - incarnations of the peer processes to include in addition to this one
+   * @returns the counts, by server incarnation
    */
   countInFlight(sources: readonly string[] = []): Record<string, number> {
-    const busy = [...this.#loads].filter(([, { ownInFlight }]) => ownInFlight > 0);
-    const counts = Object.fromEntries(busy.map(([id, { ownInFlight }]) => [id, ownInFlight]));
+    const busyLoads = [...this.#loads].filter(([, { ownInFlight }]) => ownInFlight > 0);
+    const counts = Object.fromEntries(busyLoads.map(([id, { ownInFlight }]) => [id, ownInFlight]));
     return this.peers.sum('inFlight', counts, sources);
   }
 
   /**
-   * Counts entry hosts that leave backend servers alone after failures of their own.
+   * Counts the entry hosts that avoid a backend server after failures of their own requests.
    *
-   * @param sources - peers' processes that are counted with this one
-   * @returns the counts, by backend server
+   * @param sources - incarnations of the peer processes to include in addition to this one
+   * @returns the counts, by server incarnation
    */
   countAvoiding(sources: readonly string[] = []): Record<string, number> {
     const nowMs = this.#options.clock.nowMs();
-    const avoided = [...this.#loads].filter(([, load]) => load.hasFailed(nowMs));
-    const counts = Object.fromEntries(avoided.map(([id]) => [id, 1]));
+    const avoidedLoads = [...this.#loads].filter(([, load]) => load.hasFailed(nowMs));
+    const counts = Object.fromEntries(avoidedLoads.map(([id]) => [id, 1]));
     return this.peers.sum('avoidedBy', counts, sources);
   }
 
-  /** @param serviceId - which service. @returns calls that wait for its slots at peers */
+  /** @param serviceId - a service. @returns number of calls at peers that wait for its slots */
   countWaitingAt(serviceId: string): number {
     return this.peers.getTotal('waitingCalls', serviceId);
   }
 
-  /** @returns lives that are over though entries may not say so */
+  /** @returns server incarnations that have ended although entries may not say so */
   listEnded(): readonly string[] {
-    return this.#ended.list();
+    return this.#endedIncarnations.list();
   }
 
   /**
-   * Takes a peer's report.
+   * Applies a peer's report.
    *
    * @param source - incarnation of the peer's process
-   * @param figures - what it reports; undefined when it is gone
+   * @param stats - the reported stats; undefined when the process is gone
    */
-  applyPeer(source: string, figures: PeerFigures | undefined): void {
-    this.peers.put(source, figures);
+  applyPeer(source: string, stats: PeerStats | undefined): void {
+    this.peers.set(source, stats);
     const hostCount = this.#options.countServing();
     this.#loads.forEach((load, id) => {
       load.setPeersInFlight(this.peers.getTotal('inFlight', id));
       load.setAvoidingHosts(this.peers.getTotal('avoidedBy', id), hostCount);
     });
-    figures?.endedServers.forEach((id) => this.noteEnded(id));
+    stats?.endedServers.forEach((id) => this.noteEnded(id));
   }
 
-  /** @param id - a life. @returns its load, where it was ever listed for work */
+  /** @param id - a server incarnation. @returns its load, if it was ever a candidate */
   findLoad(id: string): ServerLoad | undefined {
     return this.#loads.get(id);
   }
 
-  /** @param id - a life whose address has answered as another */
+  /** @param id - a server incarnation whose address has answered as another one */
   noteEnded(id: string): void {
-    if (this.#directory.find(id)) this.#ended.add(id);
-    if (this.#directory.noteEnded(id)) this.#logEnded(id);
+    if (this.#directory.find(id)) this.#endedIncarnations.add(id);
+    if (this.#directory.noteEnded(id)) this.#handleEnded(id);
   }
 
-  #logEnded(id: string): void {
-    this.#candidates.clear();
+  #handleEnded(id: string): void {
+    this.#candidateLists.clear();
     this.#options.log.write(LogLevel.Info, 'backend_server_ended', { backendServer: id });
   }
 
-  #takeLoad(id: string): ServerLoad {
-    const found = this.#loads.get(id);
-    if (found) return found;
+  #getOrCreateLoad(id: string): ServerLoad {
+    const existing = this.#loads.get(id);
+    if (existing) return existing;
     const entry = this.#directory.find(id);
     const isEngine = entry !== undefined && this.#options.isEngine(entry.serviceId);
     const load = new ServerLoad(entry?.slots ?? 1, isEngine);
@@ -194,47 +195,47 @@
   }
 
   /**
-   * Takes in everything that is registered.
+   * Applies a full read of the store.
    *
-   * @param items - everything that was read
-   * @param context - under which circumstances
+   * @param items - all items that were read
+   * @param context - circumstances of the read
    */
   applyAll(items: readonly FeedItem[], { wasAway }: FeedContext): void {
-    const own = items.filter(({ key }) => key.startsWith(this.#options.prefix));
-    const entries = own.flatMap(({ key, value }) => this.#reader.read(key, value) ?? []);
-    const names = new Set(own.map(({ key }) => this.#reader.readName(key)));
+    const serverItems = items.filter(({ key }) => key.startsWith(this.#options.prefix));
+    const entries = serverItems.flatMap(({ key, value }) => this.#reader.read(key, value) ?? []);
+    const presentIds = new Set(serverItems.map(({ key }) => this.#reader.getServerId(key)));
     const nowMs = this.#options.clock.nowMs();
-    // A name that stands there without an entry that can be read was overwritten.
-    const mayBeBack = (serverId: string): boolean => wasAway || names.has(serverId);
-    const endedIds = this.#directory.applyAll(entries, nowMs, mayBeBack);
+    // A name whose value can't be decoded was overwritten, so its server may still be running.
+    const mayReturn = (serverId: string): boolean => wasAway || presentIds.has(serverId);
+    const endedIds = this.#directory.applyAll(entries, nowMs, mayReturn);
     this.#options.log.write(LogLevel.Info, 'backend_servers_read', { count: entries.length });
-    this.#ended.clearListed();
+    this.#endedIncarnations.clearEntries();
     entries.forEach((entry) => {
-      this.#ended.noteListed(entry, this.#isAlive(entry.id));
-      this.#warmups.noteEntry(entry);
+      this.#endedIncarnations.recordEntry(entry, this.#isActive(entry.id));
+      this.#warmupGuard.noteEntry(entry);
     });
-    endedIds.forEach((id) => this.#noteRestart(id));
-    this.#update();
+    endedIds.forEach((id) => this.#handleRestart(id));
+    this.#refresh();
   }
 
   /**
-   * Takes in changes.
+   * Applies changes.
    *
-   * @param changes - everything that has changed
-   * @param context - under which circumstances
+   * @param changes - all changes of the store
+   * @param context - circumstances of the read
    */
   applyChanges(changes: readonly FeedChange[], { wasAway }: FeedContext): void {
     changes
       .filter(({ key }) => key.startsWith(this.#options.prefix))
       .forEach(({ key, value }) => {
-        if (value === undefined) this.#applyRemoval(this.#reader.readName(key), wasAway);
+        if (value === undefined) this.#applyRemoval(this.#reader.getServerId(key), wasAway);
         else this.#applyValue(key, value);
       });
-    this.#update();
+    this.#refresh();
   }
 
   #applyRemoval(serverId: string, wasAway: boolean): void {
-    this.#ended.noteUnlisted(serverId);
+    this.#endedIncarnations.recordRemoval(serverId);
     this.#directory.applyRemoval(serverId, this.#options.clock.nowMs(), wasAway);
     this.#options.log.write(LogLevel.Info, 'backend_server_removed', {
       backendServer: serverId,
@@ -243,50 +244,51 @@
   }
 
   /**
-   * An entry that can't be read names nobody. The server that stood there before is used
-   * for as long as a live one may need to write its own entry again; dropping it at once
-   * would let any writer take servers out of service, and keeping it for good would leave
-   * hosts that have started since with another belief than the rest.
+   * Applies a written value. A value that can't be decoded identifies no server; the server that
+   * was registered there stays in use only for as long as a live one may need to rewrite its
+   * entry. Dropping it at once would let any writer take servers out of service, and keeping it
+   * forever would leave this host with another state than hosts that start later.
    */
   #applyValue(key: string, value: Uint8Array): void {
     const nowMs = this.#options.clock.nowMs();
     const entry = this.#reader.read(key, value);
     if (!entry) {
-      this.#ended.noteUnlisted(this.#reader.readName(key));
-      this.#directory.applyRemoval(this.#reader.readName(key), nowMs, true);
+      this.#endedIncarnations.recordRemoval(this.#reader.getServerId(key));
+      this.#directory.applyRemoval(this.#reader.getServerId(key), nowMs, true);
       return;
     }
     const { effect, endedId } = this.#directory.applyEntry(entry, nowMs);
     if (effect !== EntryEffect.None) this.#logEntry(entry, effect);
-    if (effect !== EntryEffect.Outdated) this.#warmups.noteEntry(entry);
-    this.#ended.noteListed(entry, this.#isAlive(entry.id));
-    if (endedId !== undefined) this.#noteRestart(endedId);
+    if (effect !== EntryEffect.Outdated) this.#warmupGuard.noteEntry(entry);
+    this.#endedIncarnations.recordEntry(entry, this.#isActive(entry.id));
+    if (endedId !== undefined) this.#handleRestart(endedId);
   }
 
   #logEntry({ id, serviceId, isLeaving }: BackendServerEntry, effect: EntryEffect): void {
-    const word = isLeaving ? 'backend_server_leaving' : 'backend_server_ready';
-    const event = effect === EntryEffect.Outdated ? 'backend_server_entry_outdated' : word;
+    const readinessEvent = isLeaving ? 'backend_server_leaving' : 'backend_server_ready';
+    const event =
+      effect === EntryEffect.Outdated ? 'backend_server_entry_outdated' : readinessEvent;
     this.#options.log.write(LogLevel.Info, event, { backendServer: id, service: serviceId });
   }
 
   /**
-   * Whatever a former life was given ended with it. Its connections may stay silent for
-   * long, so the requests that wait there are told.
+   * Ends everything that was sent to the former incarnation. Its connections may stay silent for
+   * long, so the requests that wait there are notified.
    */
-  #noteRestart(endedId: string): void {
-    this.#ended.add(endedId);
-    this.#logEnded(endedId);
+  #handleRestart(endedId: string): void {
+    this.#endedIncarnations.add(endedId);
+    this.#handleEnded(endedId);
     this.#restartHandlers.forEach((handler) => handler(endedId));
   }
 
-  #update(): void {
-    this.#candidates.clear();
+  #refresh(): void {
+    this.#candidateLists.clear();
     const expired = this.#directory.expire(this.#options.clock.nowMs());
     expired.forEach((id) => {
       this.#loads.delete(id);
-      this.#warmups.forget(id);
+      this.#warmupGuard.forget(id);
     });
-    this.#ended.forget(expired);
+    this.#endedIncarnations.forget(expired);
     this.#changeHandlers.forEach((handler) => handler());
   }
 }
