--- a/src/domain/membership/caller_order.ts
+++ b/src/domain/membership/caller_order.ts
@@ -12,19 +12,19 @@
  *
  * @param hosts - all known entry hosts
  * @param availabilityZone - where the asked entry host stands
- * @param nextFraction - gives random numbers in [0, 1)
+ * @param nextRandom - gives random numbers in [0, 1)
  * @returns the live ones in the order to be tried
  */
 export function sortForCallers(
   hosts: readonly EntryHostView[],
   availabilityZone: string,
-  nextFraction: () => number,
+  nextRandom: () => number,
 ): readonly EntryHostView[] {
   return hosts
     .filter((host) => host.state === PeerState.Live)
     .map((host) => ({
       host,
-      rank: (host.identity.availabilityZone === availabilityZone ? 0 : 1) + nextFraction(),
+      rank: (host.identity.availabilityZone === availabilityZone ? 0 : 1) + nextRandom(),
     }))
     .sort((left, right) => left.rank - right.rank)
     .map(({ host }) => host);
--- a/src/domain/membership/entry_host_table.ts
+++ b/src/domain/membership/entry_host_table.ts
@@ -7,7 +7,7 @@
 import { PeerState } from './types.js';
 
 /** How long a replaced incarnation is remembered, in milliseconds. */
-const REPLACED_KEEP_MS = 3_600_000;
+const REPLACED_RETENTION_MS = 3_600_000;
 
 /** One peer. */
 export interface EntryHostRecord {
@@ -15,7 +15,7 @@
   /** When it last said anything, in milliseconds. */
   readonly heardAtMs: number;
   /** When the last question that it answered was sent, in milliseconds. */
-  readonly repliedAtMs: number;
+  readonly answeredRequestSentAtMs: number;
   /** Write of the host list that was about an earlier incarnation. */
   readonly staleListIndex: number;
 }
@@ -42,7 +42,7 @@
 
   readonly #records = new Map<string, EntryHostRecord>();
 
-  readonly #incarnations = new Map<string, string>();
+  readonly #idByIncarnation = new Map<string, string>();
 
   readonly #replacedAtMs = new Map<string, number>();
 
@@ -63,7 +63,7 @@
    * @returns whether it counts now, and whom it replaced
    */
   addIncarnation(identity: EntryHostIdentity, nowMs: number, listIndex: number): AddedIncarnation {
-    if (this.#incarnations.has(identity.incarnation))
+    if (this.#idByIncarnation.has(identity.incarnation))
       return { accepted: true, replaced: undefined };
     const known = this.#records.get(identity.id);
     const wasReplaced = this.#replacedAtMs.has(identity.incarnation);
@@ -75,10 +75,10 @@
     this.#records.set(identity.id, {
       identity,
       heardAtMs: nowMs,
-      repliedAtMs: nowMs,
+      answeredRequestSentAtMs: nowMs,
       staleListIndex: known ? listIndex : 0,
     });
-    this.#incarnations.set(identity.incarnation, identity.id);
+    this.#idByIncarnation.set(identity.incarnation, identity.id);
     return { accepted: true, replaced: known?.identity };
   }
 
@@ -92,12 +92,12 @@
    * was stuck on the way says nothing of the time after.
    *
    * @param incarnation - who answered
-   * @param askedAtMs - when the question was sent
+   * @param requestSentAtMs - when the question was sent
    */
-  noteReply(incarnation: string, askedAtMs: number): void {
+  noteReply(incarnation: string, requestSentAtMs: number): void {
     const record = this.find(incarnation);
-    if (!record || record.repliedAtMs >= askedAtMs) return;
-    this.#updateRecord(incarnation, { repliedAtMs: askedAtMs });
+    if (!record || record.answeredRequestSentAtMs >= requestSentAtMs) return;
+    this.#updateRecord(incarnation, { answeredRequestSentAtMs: requestSentAtMs });
   }
 
   /**
@@ -110,7 +110,9 @@
   noteWake(nowMs: number, wasAnswering: (incarnation: string) => boolean): void {
     this.list()
       .filter(({ identity }) => wasAnswering(identity.incarnation))
-      .forEach(({ identity }) => this.#updateRecord(identity.incarnation, { repliedAtMs: nowMs }));
+      .forEach(({ identity }) =>
+        this.#updateRecord(identity.incarnation, { answeredRequestSentAtMs: nowMs }),
+      );
   }
 
   /**
@@ -127,7 +129,7 @@
     );
     forgotten.forEach((record) => this.#removeRecord(record, nowMs));
     this.#replacedAtMs.forEach((atMs, incarnation) => {
-      if (nowMs - atMs > REPLACED_KEEP_MS) this.#replacedAtMs.delete(incarnation);
+      if (nowMs - atMs > REPLACED_RETENTION_MS) this.#replacedAtMs.delete(incarnation);
     });
     return forgotten.map(({ identity }) => identity);
   }
@@ -139,23 +141,23 @@
 
   /** @param incarnation - which one. @returns its record, unless it is gone or unknown */
   find(incarnation: string): EntryHostRecord | undefined {
-    const id = this.#incarnations.get(incarnation);
+    const id = this.#idByIncarnation.get(incarnation);
     return id === undefined ? undefined : this.#records.get(id);
   }
 
   /** @param record - whose silence. @param nowMs - monotonic time. @returns whether to suspect it */
   isSilent(record: EntryHostRecord, nowMs: number): boolean {
-    return nowMs - record.repliedAtMs > this.#options.suspectAfterMs;
+    return nowMs - record.answeredRequestSentAtMs > this.#options.suspectAfterMs;
   }
 
   /**
    * @param record - whose state
-   * @param claimed - what it and the host list say of it
+   * @param claimedState - what it and the host list say of it
    * @param nowMs - monotonic time
    * @returns its state; silence weighs more than any word
    */
-  getState(record: EntryHostRecord, claimed: PeerState, nowMs: number): PeerState {
-    return this.isSilent(record, nowMs) ? PeerState.Suspected : claimed;
+  getState(record: EntryHostRecord, claimedState: PeerState, nowMs: number): PeerState {
+    return this.isSilent(record, nowMs) ? PeerState.Suspected : claimedState;
   }
 
   #updateRecord(incarnation: string, change: Partial<EntryHostRecord>): void {
@@ -165,7 +167,7 @@
 
   #removeRecord({ identity }: EntryHostRecord, nowMs: number): void {
     this.#records.delete(identity.id);
-    this.#incarnations.delete(identity.incarnation);
+    this.#idByIncarnation.delete(identity.incarnation);
     this.#replacedAtMs.set(identity.incarnation, nowMs);
   }
 }
--- a/src/domain/membership/host_list.ts
+++ b/src/domain/membership/host_list.ts
@@ -21,14 +21,14 @@
 }
 
 const MAX_TEXT_LENGTH = 512;
-const text = z.string().min(1).max(MAX_TEXT_LENGTH);
+const textSchema = z.string().min(1).max(MAX_TEXT_LENGTH);
 
 const hostSchema = z.object({
-  id: text,
+  id: textSchema,
   role: z.enum(HostRole),
-  peerUrl: text.optional(),
-  url: text.optional(),
-  availabilityZone: text.optional(),
+  peerUrl: textSchema.optional(),
+  url: textSchema.optional(),
+  availabilityZone: textSchema.optional(),
   state: z.enum(HostState),
 });
 
--- a/src/domain/membership/host_list_order.ts
+++ b/src/domain/membership/host_list_order.ts
@@ -11,15 +11,15 @@
  * long means that the service was restored from a backup, and counts then.
  */
 export class HostListOrder {
-  readonly #restorePatienceMs: number;
+  readonly #restoreTimeoutMs: number;
 
   #index = -1;
 
   #lowerSinceMs: number | undefined;
 
-  /** @param restorePatienceMs - how long all reads must be lower before one is taken */
-  constructor(restorePatienceMs: number) {
-    this.#restorePatienceMs = restorePatienceMs;
+  /** @param restoreTimeoutMs - how long all reads must be lower before one is taken */
+  constructor(restoreTimeoutMs: number) {
+    this.#restoreTimeoutMs = restoreTimeoutMs;
   }
 
   /** Index of the read in force; -1 before the first. */
@@ -35,7 +35,7 @@
   acceptIndex(index: number, nowMs: number): boolean {
     if (index < this.#index) {
       this.#lowerSinceMs ??= nowMs;
-      if (nowMs - this.#lowerSinceMs < this.#restorePatienceMs) return false;
+      if (nowMs - this.#lowerSinceMs < this.#restoreTimeoutMs) return false;
     }
     this.#lowerSinceMs = undefined;
     this.#index = index;
--- a/src/domain/membership/leaving_backend_servers.ts
+++ b/src/domain/membership/leaving_backend_servers.ts
@@ -7,7 +7,7 @@
 import { HostRole, HostState } from './host_list.js';
 
 /** How long nobody must have repeated a note before an unchanged list entry may lift it. */
-export const NOTE_QUIET_MS = 10_000;
+export const NOTE_STALE_AFTER_MS = 10_000;
 
 /** For how long after the list showed a backend server live again load reports may be older. */
 export const LOAD_REPORT_LAG_MS = 5_000;
@@ -15,16 +15,16 @@
 const OWN_SOURCE = '';
 
 /** Before the first list. */
-const NO_INDEX = -1;
-const OVERRULED_KEEP_MS = 600_000;
+const NO_LIST_INDEX = -1;
+const OVERRULED_RETENTION_MS = 600_000;
 
 /** Somebody said that a backend server leaves. */
 interface LeavingNote {
   /** Index of the host list in force when it was first said. */
   readonly baselineIndex: number;
-  readonly toldAtMs: number;
+  readonly lastRepeatedAtMs: number;
   /** The host list has shown the backend server live since. */
-  readonly overruled: boolean;
+  readonly isOverruled: boolean;
 }
 
 /**
@@ -32,17 +32,17 @@
  * and what peers say. Any of them makes a backend server leave. A note is kept
  * until the host list, at a newer index than when the note was taken, shows the
  * entry written anew as live, or shows it as live or gone after nobody repeated
- * the note for {@link NOTE_QUIET_MS}. An entry that merely still stands as live in
+ * the note for {@link NOTE_STALE_AFTER_MS}. An entry that merely still stands as live in
  * a newer list proves nothing: the list lags, and an unrelated host changed it.
  */
 export class LeavingBackendServers {
   #listed: ReadonlyMap<string, ListedHost> = new Map();
 
-  #index = NO_INDEX;
+  #listIndex = NO_LIST_INDEX;
 
   readonly #notes = new Map<string, Map<string, LeavingNote>>();
 
-  readonly #liveAgainAtMs = new Map<string, number>();
+  readonly #returnedAtMs = new Map<string, number>();
 
   /**
    * Takes a load report or refusal that says that a backend server leaves.
@@ -52,13 +52,13 @@
    * @returns whether that was not known at first hand
    */
   noteOwn(id: string, nowMs: number): boolean {
-    const liveAgainAtMs = this.#liveAgainAtMs.get(id);
+    const returnedAtMs = this.#returnedAtMs.get(id);
     // A lagging load report would take a backend server that has just come back
     // out of service, and nothing newer in the list might ever lift the note.
-    if (liveAgainAtMs !== undefined && nowMs - liveAgainAtMs < LOAD_REPORT_LAG_MS) return false;
-    const isNews = !this.#isKnownAtFirstHand(id);
+    if (returnedAtMs !== undefined && nowMs - returnedAtMs < LOAD_REPORT_LAG_MS) return false;
+    const isNew = !this.#isKnownAtFirstHand(id);
     this.#putNote(id, OWN_SOURCE, nowMs);
-    return isNews;
+    return isNew;
   }
 
   /**
@@ -84,24 +84,24 @@
    * @param nowMs - monotonic time
    */
   applyHostList(list: HostList, nowMs: number): void {
-    const before = this.#listed;
+    const previous = this.#listed;
     const backendServers = list.hosts.filter((host) => host.role === HostRole.BackendServer);
     this.#listed = new Map(backendServers.map((host) => [host.id, host]));
-    this.#index = list.index;
+    this.#listIndex = list.index;
     this.#listed.forEach((host, id) => {
-      const wasLeaving = before.get(id)?.state === HostState.Leaving;
-      if (wasLeaving && host.state === HostState.Live) this.#liveAgainAtMs.set(id, nowMs);
+      const wasLeaving = previous.get(id)?.state === HostState.Leaving;
+      if (wasLeaving && host.state === HostState.Live) this.#returnedAtMs.set(id, nowMs);
     });
     this.#notes.forEach((sources, id) => this.#updateNotes(id, sources, nowMs));
-    this.#liveAgainAtMs.forEach((atMs, id) => {
-      if (nowMs - atMs >= LOAD_REPORT_LAG_MS) this.#liveAgainAtMs.delete(id);
+    this.#returnedAtMs.forEach((atMs, id) => {
+      if (nowMs - atMs >= LOAD_REPORT_LAG_MS) this.#returnedAtMs.delete(id);
     });
   }
 
   /** @param id - which one. @returns whether anybody within reach says that it leaves */
   isLeaving(id: string): boolean {
     if (this.#listed.get(id)?.state === HostState.Leaving) return true;
-    return [...(this.#notes.get(id)?.values() ?? [])].some((note) => !note.overruled);
+    return [...(this.#notes.get(id)?.values() ?? [])].some((note) => !note.isOverruled);
   }
 
   /** @returns those known to leave, sorted */
@@ -134,41 +134,43 @@
     const sources = this.#notes.get(id) ?? new Map<string, LeavingNote>();
     const known = sources.get(source);
     sources.set(source, {
-      baselineIndex: known?.baselineIndex ?? this.#index,
-      toldAtMs: nowMs,
-      overruled: known?.overruled ?? false,
+      baselineIndex: known?.baselineIndex ?? this.#listIndex,
+      lastRepeatedAtMs: nowMs,
+      isOverruled: known?.isOverruled ?? false,
     });
     this.#notes.set(id, sources);
   }
 
   #updateNotes(id: string, sources: Map<string, LeavingNote>, nowMs: number): void {
     sources.forEach((note, source) => {
-      const isLifted = note.overruled || this.#mayLift(id, note, nowMs);
-      const isOld = nowMs - note.toldAtMs > OVERRULED_KEEP_MS;
+      const isCleared = note.isOverruled || this.#mayClearNote(id, note, nowMs);
+      const isOld = nowMs - note.lastRepeatedAtMs > OVERRULED_RETENTION_MS;
       // A peer repeats its claim until it has read the newer list itself, so a
       // lifted claim is remembered as overruled; else it would be taken as news.
-      if (isLifted && (source === OWN_SOURCE || isOld)) sources.delete(source);
-      else sources.set(source, this.#buildNote(note, isLifted));
-      if (isLifted && source === OWN_SOURCE) this.#liveAgainAtMs.set(id, nowMs);
+      if (isCleared && (source === OWN_SOURCE || isOld)) sources.delete(source);
+      else sources.set(source, this.#rebaseNote(note, isCleared));
+      if (isCleared && source === OWN_SOURCE) this.#returnedAtMs.set(id, nowMs);
     });
     if (sources.size === 0) this.#notes.delete(id);
   }
 
-  #buildNote(note: LeavingNote, overruled: boolean): LeavingNote {
-    const isFirstList = note.baselineIndex === NO_INDEX;
-    const baselineIndex = isFirstList ? this.#index : Math.min(note.baselineIndex, this.#index);
-    return { ...note, overruled, baselineIndex };
+  #rebaseNote(note: LeavingNote, isOverruled: boolean): LeavingNote {
+    const isFirstList = note.baselineIndex === NO_LIST_INDEX;
+    const baselineIndex = isFirstList
+      ? this.#listIndex
+      : Math.min(note.baselineIndex, this.#listIndex);
+    return { ...note, isOverruled, baselineIndex };
   }
 
-  #mayLift(id: string, note: LeavingNote, nowMs: number): boolean {
+  #mayClearNote(id: string, note: LeavingNote, nowMs: number): boolean {
     const host = this.#listed.get(id);
     if (host?.state === HostState.Leaving) return false;
     // A restarted entry host hears of its peers before it has read any list. Each
     // entry of the first list is newer than no list, but not newer than the note:
     // work would go to the leaving backend server from this entry host alone.
-    if (note.baselineIndex === NO_INDEX) return false;
+    if (note.baselineIndex === NO_LIST_INDEX) return false;
     if (host && host.modifyIndex > note.baselineIndex) return true;
-    const isQuiet = nowMs - note.toldAtMs >= NOTE_QUIET_MS;
-    return isQuiet && this.#index > note.baselineIndex;
+    const isStale = nowMs - note.lastRepeatedAtMs >= NOTE_STALE_AFTER_MS;
+    return isStale && this.#listIndex > note.baselineIndex;
   }
 }
--- a/src/domain/membership/leaving_backend_servers_test.ts
+++ b/src/domain/membership/leaving_backend_servers_test.ts
@@ -5,7 +5,7 @@
   HostState,
   LeavingBackendServers,
   LOAD_REPORT_LAG_MS,
-  NOTE_QUIET_MS,
+  NOTE_STALE_AFTER_MS,
 } from './mod.js';
 import type { HostList, ListedHost } from './mod.js';
 
@@ -45,13 +45,13 @@
   ['its entry written anew as live', 1_000, buildList(11, buildHost(HostState.Live, 11)), false],
   [
     'a newer list that shows it live after nobody repeated the note',
-    NOTE_QUIET_MS,
+    NOTE_STALE_AFTER_MS,
     buildList(11, buildHost(HostState.Live, 5)),
     false,
   ],
   [
     'a newer list that lacks it after nobody repeated the note',
-    NOTE_QUIET_MS,
+    NOTE_STALE_AFTER_MS,
     buildList(11),
     false,
   ],
--- a/src/domain/membership/mod.ts
+++ b/src/domain/membership/mod.ts
@@ -17,7 +17,7 @@
 export {
   LeavingBackendServers,
   LOAD_REPORT_LAG_MS,
-  NOTE_QUIET_MS,
+  NOTE_STALE_AFTER_MS,
 } from './leaving_backend_servers.js';
 export { hasSameWord, PeerReports } from './peer_reports.js';
 export type { PeerReport } from './peer_reports.js';
--- a/src/domain/membership/pause_detector.ts
+++ b/src/domain/membership/pause_detector.ts
@@ -26,7 +26,7 @@
 
   #wokeAtMs: number;
 
-  #fresh = false;
+  #isFresh = false;
 
   /** @param options - how to judge; the process is not fresh at its start */
   constructor(options: PauseDetectorOptions) {
@@ -37,7 +37,7 @@
 
   /** Whether the view was confirmed since the start or the last pause. */
   get fresh(): boolean {
-    return this.#fresh;
+    return this.#isFresh;
   }
 
   /** When the process started or last woke, in milliseconds. */
@@ -57,20 +57,20 @@
     this.#lastCheckMs = nowMs;
     if (gapMs <= this.#maxGapMs) return 0;
     this.#wokeAtMs = nowMs;
-    this.#fresh = false;
+    this.#isFresh = false;
     return gapMs;
   }
 
   /**
    * Takes a confirmation of the view.
    *
-   * @param begunAtMs - when its question was sent or its read begun; one from
+   * @param startedAtMs - when its question was sent or its read begun; one from
    *   before the wake confirms nothing
    * @returns whether it made the process fresh
    */
-  acceptRefresh(begunAtMs: number): boolean {
-    if (this.#fresh || begunAtMs < this.#wokeAtMs) return false;
-    this.#fresh = true;
+  acceptRefresh(startedAtMs: number): boolean {
+    if (this.#isFresh || startedAtMs < this.#wokeAtMs) return false;
+    this.#isFresh = true;
     return true;
   }
 }
--- a/src/domain/membership/rendezvous.ts
+++ b/src/domain/membership/rendezvous.ts
@@ -19,16 +19,16 @@
 
 /** Two multiplicative 32-bit lanes over the text, mixed to 53 bits. */
 function hashText(text: string): number {
-  let one = LANE_ONE_SEED;
-  let two = LANE_TWO_SEED;
+  let laneOne = LANE_ONE_SEED;
+  let laneTwo = LANE_TWO_SEED;
   for (let index = 0; index < text.length; index += 1) {
-    const unit = text.charCodeAt(index);
-    one = Math.imul(one ^ unit, LANE_ONE_PRIME);
-    two = Math.imul(two ^ unit, LANE_TWO_PRIME);
+    const codeUnit = text.charCodeAt(index);
+    laneOne = Math.imul(laneOne ^ codeUnit, LANE_ONE_PRIME);
+    laneTwo = Math.imul(laneTwo ^ codeUnit, LANE_TWO_PRIME);
   }
-  const first = mixLanes(one, two);
-  const second = mixLanes(two, first);
-  return HIGH_LANE_FACTOR * (second & HIGH_LANE_MASK) + (first >>> 0);
+  const low = mixLanes(laneOne, laneTwo);
+  const high = mixLanes(laneTwo, low);
+  return HIGH_LANE_FACTOR * (high & HIGH_LANE_MASK) + (low >>> 0);
 }
 
 function mixLanes(lane: number, other: number): number {
--- a/src/domain/overlay/_known_host.ts
+++ b/src/domain/overlay/_known_host.ts
@@ -11,16 +11,16 @@
    * Incarnations of the processes that say that it is heard, its own among them where
    * it reports here, and whether each of them is itself heard.
    */
-  readonly #vouchers = new Map<string, boolean>();
+  readonly #reporters = new Map<string, boolean>();
 
   /** How many of them are heard. */
-  #liveCount = 0;
+  #liveReporterCount = 0;
 
   readonly #nextRevision: () => number;
 
   #state: HostState;
 
-  #wasHeard = false;
+  #hasBeenHeard = false;
 
   #silentSinceMs: number;
 
@@ -60,29 +60,29 @@
 
   /** Whether anybody who is heard vouches for it. */
   get isHeard(): boolean {
-    return this.#liveCount > 0;
+    return this.#liveReporterCount > 0;
   }
 
   /** Whether it reports here itself, and is heard. */
   get reportsItself(): boolean {
-    return this.findVoucher(this.incarnation) === true;
+    return this.isReporterLive(this.incarnation) === true;
   }
 
   /** Whether it was ever heard; one that was only told of may well be there. */
-  get wasHeard(): boolean {
-    return this.#wasHeard;
+  get hasBeenHeard(): boolean {
+    return this.#hasBeenHeard;
   }
 
   /** @param source - incarnation. @returns whether it vouches and is heard; undefined: it doesn't vouch */
-  findVoucher(source: string): boolean | undefined {
-    return this.#vouchers.get(source);
+  isReporterLive(source: string): boolean | undefined {
+    return this.#reporters.get(source);
   }
 
   /** @param state - what its process says; an older state than the present is ignored */
   updateState(state: HostState): void {
     if (state.version <= this.#state.version) return;
     this.#state = state;
-    this.noteChange();
+    this.bumpRevision();
   }
 
   /**
@@ -90,35 +90,35 @@
    * @param isLive - whether that one is itself heard
    * @param nowMs - monotonic time in milliseconds
    */
-  setVoucher(source: string, isLive: boolean, nowMs: number): void {
-    const former = this.#vouchers.get(source);
-    if (former === isLive) return;
+  setReporter(source: string, isLive: boolean, nowMs: number): void {
+    const wasLive = this.#reporters.get(source);
+    if (wasLive === isLive) return;
     const wasHeard = this.isHeard;
-    this.#vouchers.set(source, isLive);
-    this.#liveCount += (isLive ? 1 : 0) - (former === true ? 1 : 0);
-    this.#wasHeard ||= isLive;
-    this.#noteSilence(wasHeard, nowMs);
+    this.#reporters.set(source, isLive);
+    this.#liveReporterCount += (isLive ? 1 : 0) - (wasLive === true ? 1 : 0);
+    this.#hasBeenHeard ||= isLive;
+    this.#recordTransition(wasHeard, nowMs);
   }
 
   /** @param source - incarnation that vouches for it no more. @param nowMs - monotonic time */
-  removeVoucher(source: string, nowMs: number): void {
-    const former = this.#vouchers.get(source);
-    if (former === undefined) return;
+  removeReporter(source: string, nowMs: number): void {
+    const wasLive = this.#reporters.get(source);
+    if (wasLive === undefined) return;
     const wasHeard = this.isHeard;
-    this.#vouchers.delete(source);
-    if (former) this.#liveCount -= 1;
-    this.#noteSilence(wasHeard, nowMs);
+    this.#reporters.delete(source);
+    if (wasLive) this.#liveReporterCount -= 1;
+    this.#recordTransition(wasHeard, nowMs);
   }
 
-  /** @param stale - incarnations that are silent now. @param nowMs - monotonic time */
-  dropStale(stale: readonly string[], nowMs: number): void {
-    stale
-      .filter((source) => this.findVoucher(source) === true)
-      .forEach((source) => this.setVoucher(source, false, nowMs));
+  /** @param silentSources - incarnations that are silent now. @param nowMs - monotonic time */
+  markReportersSilent(silentSources: readonly string[], nowMs: number): void {
+    silentSources
+      .filter((source) => this.isReporterLive(source) === true)
+      .forEach((source) => this.setReporter(source, false, nowMs));
   }
 
   /** Has it told again to those that were told of it before. */
-  noteChange(): void {
+  bumpRevision(): void {
     this.#revision = this.#nextRevision();
   }
 
@@ -134,8 +134,8 @@
     return this.isHeard ? isHeard && isNewer : isHeard || isNewer;
   }
 
-  #noteSilence(wasHeard: boolean, nowMs: number): void {
+  #recordTransition(wasHeard: boolean, nowMs: number): void {
     if (wasHeard && !this.isHeard) this.#silentSinceMs = nowMs;
-    this.noteChange();
+    this.bumpRevision();
   }
 }
--- a/src/domain/overlay/_revision_lists.ts
+++ b/src/domain/overlay/_revision_lists.ts
@@ -6,7 +6,7 @@
 import type { HostState } from './types.js';
 
 /** Which list. */
-export enum RosterList {
+export enum RosterListName {
   Heard = 'heard',
   Known = 'known',
   Presumed = 'presumed',
@@ -17,8 +17,8 @@
  * Keeps lists of one revision. Hosts come and go a few times a minute; lists of hundreds of
  * them are asked for some hundred times a second.
  */
-export class RevisionLists {
-  readonly #lists = new Map<RosterList, readonly HostState[]>();
+export class RevisionCache {
+  readonly #lists = new Map<RosterListName, readonly HostState[]>();
 
   #revision = -1;
 
@@ -28,15 +28,15 @@
    * @param build - makes the list anew
    * @returns the list
    */
-  take(
-    name: RosterList,
+  getOrBuild(
+    name: RosterListName,
     revision: number,
     build: () => readonly HostState[],
   ): readonly HostState[] {
     if (revision !== this.#revision) this.#lists.clear();
     this.#revision = revision;
-    const kept = this.#lists.get(name);
-    if (kept) return kept;
+    const cached = this.#lists.get(name);
+    if (cached) return cached;
     const built = build();
     this.#lists.set(name, built);
     return built;
--- a/src/domain/overlay/pick_addresses.ts
+++ b/src/domain/overlay/pick_addresses.ts
@@ -28,7 +28,7 @@
 }
 
 /** Where a caller is, and where its calls may be handled. */
-export interface CallerPlace {
+export interface CallerLocation {
   /** Region of the caller; empty: unknown. */
   readonly callerRegion: string;
   /** Regions that its calls are bound to. */
@@ -48,12 +48,12 @@
  */
 export function pickNearHosts<Host extends PlannedHost>(
   hosts: readonly Host[],
-  { callerRegion, homeRegions, findRegion }: CallerPlace,
+  { callerRegion, homeRegions, findRegion }: CallerLocation,
 ): readonly Host[] {
-  const listIn = (regions: readonly string[]): readonly Host[] =>
+  const listInRegions = (regions: readonly string[]): readonly Host[] =>
     hosts.filter(({ identity }) => regions.includes(findRegion(identity.availabilityZone) ?? ''));
-  const near = callerRegion === '' ? [] : listIn([callerRegion]);
-  if (near.length > 0) return near;
-  const homes = listIn(homeRegions ?? []);
-  return homes.length > 0 ? homes : hosts;
+  const nearby = callerRegion === '' ? [] : listInRegions([callerRegion]);
+  if (nearby.length > 0) return nearby;
+  const inHomeRegions = listInRegions(homeRegions ?? []);
+  return inHomeRegions.length > 0 ? inHomeRegions : hosts;
 }
--- a/src/domain/overlay/relay_plan.ts
+++ b/src/domain/overlay/relay_plan.ts
@@ -54,9 +54,11 @@
  */
 export function rankRelays(member: PlannedHost, relays: readonly PlannedHost[]): readonly string[] {
   const { id, availabilityZone } = member.identity;
-  const near = relays.filter(({ identity }) => identity.availabilityZone === availabilityZone);
-  const far = relays.filter(({ identity }) => identity.availabilityZone !== availabilityZone);
-  return [near, far].flatMap((group) =>
+  const sameZone = relays.filter(({ identity }) => identity.availabilityZone === availabilityZone);
+  const otherZones = relays.filter(
+    ({ identity }) => identity.availabilityZone !== availabilityZone,
+  );
+  return [sameZone, otherZones].flatMap((group) =>
     sortByRendezvous(
       id,
       group.map(({ identity }) => identity.id),
--- a/src/domain/overlay/roster.ts
+++ b/src/domain/overlay/roster.ts
@@ -5,7 +5,7 @@
  */
 import type { EntryHostIdentity } from '../membership/mod.js';
 import { KnownHost } from './_known_host.js';
-import { RevisionLists, RosterList } from './_revision_lists.js';
+import { RevisionCache, RosterListName } from './_revision_lists.js';
 import type { HostState, RosterEntry } from './types.js';
 
 /**
@@ -42,12 +42,12 @@
   readonly #known = new Map<string, KnownHost>();
 
   /** Other processes of known hosts, by the hosts' names. */
-  readonly #rivals = new Map<string, KnownHost>();
+  readonly #alternates = new Map<string, KnownHost>();
 
-  readonly #heardAtMs = new Map<string, number>();
+  readonly #lastContactAtMs = new Map<string, number>();
 
   /** Those of them that weren't silent when last looked at. */
-  readonly #live = new Set<string>();
+  readonly #liveSources = new Set<string>();
 
   /** Incarnations that report here as members, and those that did. */
   readonly #members = new Set<string>();
@@ -57,7 +57,7 @@
   #selfRevision = 1;
 
   /** Lists that were made at the present revision; asked for with each report and each round. */
-  readonly #lists = new RevisionLists();
+  readonly #listCache = new RevisionCache();
 
   #revision = 1;
 
@@ -96,12 +96,12 @@
 
   /** @param source - incarnation that was heard. @param nowMs - monotonic time in milliseconds */
   noteHeard(source: string, nowMs: number): void {
-    this.#heardAtMs.set(source, nowMs);
-    if (this.#live.has(source)) return;
-    this.#live.add(source);
+    this.#lastContactAtMs.set(source, nowMs);
+    if (this.#liveSources.has(source)) return;
+    this.#liveSources.add(source);
     // Only changes are told: whom it vouched for before its silence isn't named again.
-    [...this.#known.values(), ...this.#rivals.values()].forEach((known) => {
-      if (known.findVoucher(source) === false) known.setVoucher(source, true, nowMs);
+    [...this.#known.values(), ...this.#alternates.values()].forEach((known) => {
+      if (known.isReporterLive(source) === false) known.setReporter(source, true, nowMs);
     });
   }
 
@@ -121,10 +121,10 @@
     const { known, isNew } = target;
     known.updateState(entry.state);
     if (entry.isHeard) {
-      this.#live.add(source);
-      known.setVoucher(source, true, nowMs);
-    } else known.removeVoucher(source, nowMs);
-    this.#settleRival(id);
+      this.#liveSources.add(source);
+      known.setReporter(source, true, nowMs);
+    } else known.removeReporter(source, nowMs);
+    this.#promoteAlternate(id);
     return isNew && this.#known.get(id) === known;
   }
 
@@ -135,28 +135,28 @@
    * @returns entry hosts that are newly silent, and those that are forgotten
    */
   expire(nowMs: number): RosterExpiry {
-    const silent: HostState[] = [];
+    const newlySilent: HostState[] = [];
     const forgotten: HostState[] = [];
-    const stale = this.#takeStale(nowMs);
+    const silentSources = this.#takeSilentSources(nowMs);
     this.#known.forEach((known, id) => {
       const wasHeard = known.isHeard;
-      if (stale.length > 0) {
-        known.dropStale(stale, nowMs);
-        this.#rivals.get(id)?.dropStale(stale, nowMs);
+      if (silentSources.length > 0) {
+        known.markReportersSilent(silentSources, nowMs);
+        this.#alternates.get(id)?.markReportersSilent(silentSources, nowMs);
       }
-      if (known.isHeard || this.#settleRival(id)) return;
-      if (wasHeard) silent.push(known.state);
+      if (known.isHeard || this.#promoteAlternate(id)) return;
+      if (wasHeard) newlySilent.push(known.state);
       if (nowMs - known.silentSinceMs <= FORGET_AFTER_MS) return;
       this.#known.delete(id);
-      this.#rivals.delete(id);
+      this.#alternates.delete(id);
       this.#members.delete(known.state.identity.incarnation);
       this.#revision += 1;
       forgotten.push(known.state);
     });
-    this.#heardAtMs.forEach((atMs, source) => {
-      if (nowMs - atMs > FORGET_AFTER_MS) this.#heardAtMs.delete(source);
+    this.#lastContactAtMs.forEach((atMs, source) => {
+      if (nowMs - atMs > FORGET_AFTER_MS) this.#lastContactAtMs.delete(source);
     });
-    return { silent, forgotten };
+    return { silent: newlySilent, forgotten };
   }
 
   /**
@@ -168,28 +168,31 @@
   addMember(member: EntryHostIdentity): void {
     if (this.#members.has(member.incarnation)) return;
     this.#members.add(member.incarnation);
-    if (this.knowsProcess(member)) this.#known.get(member.id)?.noteChange();
+    if (this.knowsProcess(member)) this.#known.get(member.id)?.bumpRevision();
   }
 
   /** @returns peers that are heard */
   listHeard(): readonly HostState[] {
-    return this.#list(RosterList.Heard, ({ isHeard }) => isHeard);
+    return this.#listCached(RosterListName.Heard, ({ isHeard }) => isHeard);
   }
 
   /** @returns how many peers are heard and serve callers */
   countServing(): number {
     const isServing = (known: KnownHost): boolean => known.isHeard && known.state.isServing;
-    return this.#list(RosterList.Serving, isServing).length;
+    return this.#listCached(RosterListName.Serving, isServing).length;
   }
 
   /** @returns peers that are heard, and those that others have told of and nobody was silent about */
   listPresumed(): readonly HostState[] {
-    return this.#list(RosterList.Presumed, ({ isHeard, wasHeard }) => isHeard || !wasHeard);
+    return this.#listCached(
+      RosterListName.Presumed,
+      ({ isHeard, hasBeenHeard: wasHeard }) => isHeard || !wasHeard,
+    );
   }
 
   /** @returns all peers that are known */
   listKnown(): readonly HostState[] {
-    return this.#list(RosterList.Known, () => true);
+    return this.#listCached(RosterListName.Known, () => true);
   }
 
   /** @param id - an entry host's name. @returns whether it is heard */
@@ -210,26 +213,26 @@
   /**
    * Lists what a receiver hasn't seen.
    *
-   * @param after - revision that it has; 0: none
+   * @param afterRevision - revision that it has; 0: none
    * @param isForMember - whether the receiver hears of everybody through this process;
    *   else this process speaks for its members, and others for all others
    * @returns entries; a receiver that has nothing yet is told of all that are heard
    */
-  listChanges(after: number, isForMember: boolean): RosterEntry[] {
-    if (after >= this.#revision) return [];
+  listChanges(afterRevision: number, isForMember: boolean): RosterEntry[] {
+    if (afterRevision >= this.#revision) return [];
     const changed = [...this.#known.values()]
-      .filter(({ revision }) => revision > after)
+      .filter(({ revision }) => revision > afterRevision)
       .flatMap((known) => {
         const { state, isHeard } = known;
         const { incarnation } = state.identity;
         if (isForMember) return [{ state, isHeard }];
         if (this.#members.has(incarnation)) {
-          return [{ state, isHeard: known.findVoucher(incarnation) === true }];
+          return [{ state, isHeard: known.isReporterLive(incarnation) === true }];
         }
         // Others vouch for these: it is enough to know of them.
-        return after === 0 && isHeard ? [{ state, isHeard: false }] : [];
+        return afterRevision === 0 && isHeard ? [{ state, isHeard: false }] : [];
       });
-    return this.#selfRevision > after
+    return this.#selfRevision > afterRevision
       ? [{ state: this.#self, isHeard: true }, ...changed]
       : changed;
   }
@@ -242,35 +245,35 @@
    */
   #pickTarget(source: string, entry: RosterEntry, nowMs: number): EntryTarget | undefined {
     const { id, incarnation } = entry.state.identity;
-    const present = this.#known.get(id);
-    if (present?.incarnation === incarnation) return { known: present, isNew: false };
-    const rival = this.#rivals.get(id);
-    const isRival = rival?.incarnation === incarnation;
-    const isPresent =
-      !present || source === incarnation || (!present.reportsItself && present.isReplacedBy(entry));
-    if (isRival && !isPresent) return { known: rival, isNew: true };
-    if (!isPresent && !entry.isHeard) return undefined;
-    const known = isRival ? rival : this.#create(entry.state, nowMs);
-    if (!isPresent) this.#rivals.set(id, known);
+    const current = this.#known.get(id);
+    if (current?.incarnation === incarnation) return { known: current, isNew: false };
+    const alternate = this.#alternates.get(id);
+    const isAlternate = alternate?.incarnation === incarnation;
+    const isCurrent =
+      !current || source === incarnation || (!current.reportsItself && current.isReplacedBy(entry));
+    if (isAlternate && !isCurrent) return { known: alternate, isNew: true };
+    if (!isCurrent && !entry.isHeard) return undefined;
+    const known = isAlternate ? alternate : this.#createKnownHost(entry.state, nowMs);
+    if (!isCurrent) this.#alternates.set(id, known);
     else {
       this.#known.set(id, known);
-      if (present?.isHeard) this.#rivals.set(id, present);
-      else this.#rivals.delete(id);
+      if (current?.isHeard) this.#alternates.set(id, current);
+      else this.#alternates.delete(id);
     }
     return { known, isNew: true };
   }
 
   /** Puts a rival that is heard in the place of a process that isn't. @returns whether it did */
-  #settleRival(id: string): boolean {
-    const rival = this.#rivals.get(id);
-    if (!rival?.isHeard || this.#known.get(id)?.isHeard) return false;
-    this.#rivals.delete(id);
-    this.#known.set(id, rival);
-    rival.noteChange();
+  #promoteAlternate(id: string): boolean {
+    const alternate = this.#alternates.get(id);
+    if (!alternate?.isHeard || this.#known.get(id)?.isHeard) return false;
+    this.#alternates.delete(id);
+    this.#known.set(id, alternate);
+    alternate.bumpRevision();
     return true;
   }
 
-  #create(state: HostState, nowMs: number): KnownHost {
+  #createKnownHost(state: HostState, nowMs: number): KnownHost {
     return new KnownHost(state, nowMs, () => {
       this.#revision += 1;
       return this.#revision;
@@ -278,18 +281,18 @@
   }
 
   /** Processes that were heard when last looked at, and have been silent for too long since. */
-  #takeStale(nowMs: number): readonly string[] {
-    const stale = [...this.#live].filter((source) => !this.#isFresh(source, nowMs));
-    stale.forEach((source) => this.#live.delete(source));
-    return stale;
+  #takeSilentSources(nowMs: number): readonly string[] {
+    const silentSources = [...this.#liveSources].filter((source) => !this.#isFresh(source, nowMs));
+    silentSources.forEach((source) => this.#liveSources.delete(source));
+    return silentSources;
   }
 
   #isFresh(source: string, nowMs: number): boolean {
-    return nowMs - (this.#heardAtMs.get(source) ?? -Infinity) <= SILENT_AFTER_MS;
+    return nowMs - (this.#lastContactAtMs.get(source) ?? -Infinity) <= SILENT_AFTER_MS;
   }
 
-  #list(name: RosterList, isWanted: (known: KnownHost) => boolean): readonly HostState[] {
-    return this.#lists.take(name, this.#revision, () =>
+  #listCached(name: RosterListName, isWanted: (known: KnownHost) => boolean): readonly HostState[] {
+    return this.#listCache.getOrBuild(name, this.#revision, () =>
       [...this.#known.values()].filter(isWanted).map(({ state }) => state),
     );
   }
--- a/src/domain/requests/content_hash.ts
+++ b/src/domain/requests/content_hash.ts
@@ -6,7 +6,7 @@
 import { createHash } from 'node:crypto';
 
 /** Hexadecimal digits of a content's name: 96 bits, so that callers can't make two that collide. */
-const NAME_LENGTH = 24;
+const CONTENT_ID_LENGTH = 24;
 
 /**
  * Hashes what makes two requests the same.
@@ -28,5 +28,5 @@
  * @returns the content's name
  */
 export function formatContentId(hash: string): string {
-  return hash.slice(0, NAME_LENGTH);
+  return hash.slice(0, CONTENT_ID_LENGTH);
 }
--- a/src/domain/requests/request_id.ts
+++ b/src/domain/requests/request_id.ts
@@ -87,22 +87,23 @@
  * @throws SchedulerError of kind RequestIdInvalid
  */
 export function parseRequestId(text: string, key: Uint8Array): RequestId {
-  if (!text.startsWith(PREFIX) || text.length > MAX_TEXT_LENGTH) throw buildInvalid('its form');
+  if (!text.startsWith(PREFIX) || text.length > MAX_TEXT_LENGTH)
+    throw buildInvalidIdError('its form');
   const bytes = Buffer.from(text.slice(PREFIX.length), 'base64url');
-  if (bytes.length <= MAC_BYTES + FIXED_BYTES) throw buildInvalid('its length');
+  if (bytes.length <= MAC_BYTES + FIXED_BYTES) throw buildInvalidIdError('its length');
   // base64url decoding is lenient: two texts may decode to the same bytes. One
   // request must have one name, so only the canonical text is taken.
-  if (PREFIX + bytes.toString('base64url') !== text) throw buildInvalid('its encoding');
+  if (PREFIX + bytes.toString('base64url') !== text) throw buildInvalidIdError('its encoding');
   const payload = bytes.subarray(MAC_BYTES);
   if (!timingSafeEqual(computeMac(payload, key), bytes.subarray(0, MAC_BYTES))) {
-    throw buildInvalid('its MAC');
+    throw buildInvalidIdError('its MAC');
   }
   return decodePayload(text, payload);
 }
 
-function buildInvalid(what: string): SchedulerError {
+function buildInvalidIdError(fault: string): SchedulerError {
   return new SchedulerError(ErrorKind.RequestIdInvalid, {
-    message: `Cannot parse request ID: ${what} does not match`,
+    message: `Cannot parse request ID: ${fault} does not match`,
   });
 }
 
@@ -115,10 +116,10 @@
 }
 
 function decodePayload(text: string, payload: Buffer): RequestId {
-  let at = 0;
+  let offset = 0;
   const readHex = (length: number): string => {
-    at += length;
-    return payload.subarray(at - length, at).toString('hex');
+    offset += length;
+    return payload.subarray(offset - length, offset).toString('hex');
   };
   const incarnation = readHex(INCARNATION_BYTES);
   const nonce = readHex(NONCE_BYTES);
@@ -128,7 +129,7 @@
     incarnation,
     nonce,
     accountHash,
-    expiresAtMs: payload.readUIntBE(at, EXPIRY_BYTES),
-    ownerId: payload.subarray(at + EXPIRY_BYTES).toString('utf8'),
+    expiresAtMs: payload.readUIntBE(offset, EXPIRY_BYTES),
+    ownerId: payload.subarray(offset + EXPIRY_BYTES).toString('utf8'),
   };
 }
--- a/src/domain/requests/request_ledger.ts
+++ b/src/domain/requests/request_ledger.ts
@@ -9,7 +9,7 @@
 import type { RequestId } from './request_id.js';
 
 /** Fingerprint of a record that was made without a call. */
-const VOIDED = '';
+const VOID_FINGERPRINT = '';
 
 /** What became of a call that came with a request ID. */
 export interface Acceptance {
@@ -54,11 +54,11 @@
     this.#checkOwner(id);
     const known = this.#records.get(id.nonce);
     if (known) {
-      if (known.fingerprint !== fingerprint && known.fingerprint !== VOIDED)
-        throw buildMismatch(known);
+      if (known.fingerprint !== fingerprint && known.fingerprint !== VOID_FINGERPRINT)
+        throw buildMismatchError(known);
       return { record: known, isFirst: false };
     }
-    if (this.isExpired(id, wallMs)) throw buildExpired(id);
+    if (this.isExpired(id, wallMs)) throw buildExpiredError(id);
     const record = new RequestRecord(id, fingerprint);
     this.#records.set(id.nonce, record);
     return { record, isFirst: true };
@@ -75,7 +75,7 @@
   find(id: RequestId, wallMs: number): RequestRecord | undefined {
     this.#checkOwner(id);
     const known = this.#records.get(id.nonce);
-    if (!known && this.isExpired(id, wallMs)) throw buildExpired(id);
+    if (!known && this.isExpired(id, wallMs)) throw buildExpiredError(id);
     return known;
   }
 
@@ -90,7 +90,7 @@
   void(id: RequestId, error: SchedulerError, wallMs: number): RequestRecord {
     const known = this.find(id, wallMs);
     if (known) return known;
-    const { record } = this.accept(id, VOIDED, wallMs);
+    const { record } = this.accept(id, VOID_FINGERPRINT, wallMs);
     record.refuse(error);
     return record;
   }
@@ -152,7 +152,7 @@
   }
 }
 
-function buildMismatch(known: RequestRecord): SchedulerError {
+function buildMismatchError(known: RequestRecord): SchedulerError {
   return new SchedulerError(ErrorKind.RequestIdMismatch, {
     message: 'Cannot take the call: its request ID was used for another call',
     run: known.run,
@@ -160,7 +160,7 @@
   });
 }
 
-function buildExpired(id: RequestId): SchedulerError {
+function buildExpiredError(id: RequestId): SchedulerError {
   return new SchedulerError(ErrorKind.RequestIdExpired, {
     message: 'Cannot take the call: its request ID has expired',
     run: RunOutcome.MayHaveRun,
--- a/src/domain/requests/request_record.ts
+++ b/src/domain/requests/request_record.ts
@@ -8,7 +8,7 @@
 import type { RequestId } from './request_id.js';
 
 /** The states that may follow each state. */
-const FOLLOWING: Readonly<Record<RequestState, readonly RequestState[]>> = {
+const TRANSITIONS: Readonly<Record<RequestState, readonly RequestState[]>> = {
   [RequestState.Assigned]: [RequestState.Accepted, RequestState.Refused],
   [RequestState.Accepted]: [RequestState.Queued, RequestState.Refused],
   // A backend server that refused before it had the body sends the request
@@ -54,7 +54,7 @@
 
   /** Whether nothing will change any more. */
   get isFinal(): boolean {
-    return FOLLOWING[this.#state].length === 0;
+    return TRANSITIONS[this.#state].length === 0;
   }
 
   /** Whether its body has left for a backend server. */
@@ -80,7 +80,7 @@
    * @throws SchedulerError of kind Internal where it may not follow
    */
   advance(next: RequestState): void {
-    if (!FOLLOWING[this.#state].includes(next)) {
+    if (!TRANSITIONS[this.#state].includes(next)) {
       throw new SchedulerError(ErrorKind.Internal, {
         message: `Cannot take request from ${this.#state} to ${next}: states move one way`,
         requestId: this.id.text,
--- a/src/domain/streams/event_splitter.ts
+++ b/src/domain/streams/event_splitter.ts
@@ -5,7 +5,7 @@
  */
 
 /** How an empty line looks behind the line before it. */
-const LINE_ENDS_OF_EVENTS: readonly string[] = ['\n\n', '\n\r\n'];
+const EVENT_TERMINATORS: readonly string[] = ['\n\n', '\n\r\n'];
 
 /** Most bytes of one event; a longer one is no event of an engine. */
 const MAX_EVENT_BYTES = 1_048_576;
@@ -13,7 +13,7 @@
 const ID_LINE = /(?:^|\n)id: ?([^\r\n]*)/;
 
 /** Whole events that a chunk has completed. */
-export interface WholeEvents {
+export interface CompleteEvents {
   /** The events' bytes as they came; empty when none is whole. */
   readonly bytes: Buffer;
   /** How many they are. */
@@ -22,7 +22,7 @@
   readonly lastId: string | undefined;
 }
 
-const NOTHING: WholeEvents = { bytes: Buffer.alloc(0), count: 0, lastId: undefined };
+const NO_EVENTS: CompleteEvents = { bytes: Buffer.alloc(0), count: 0, lastId: undefined };
 
 /**
  * Holds back an event until it is whole. A stream that breaks inside an event can
@@ -43,25 +43,25 @@
    * @returns the events that are whole now
    * @throws RangeError when an event exceeds every bound
    */
-  split(chunk: Buffer): WholeEvents {
+  split(chunk: Buffer): CompleteEvents {
     const bytes = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
-    const end = findLastEnd(bytes);
+    const end = findLastEventEnd(bytes);
     if (bytes.length - end > MAX_EVENT_BYTES) {
       throw new RangeError(`Cannot split events: one has more than ${MAX_EVENT_BYTES} bytes`);
     }
     this.#rest = bytes.subarray(end);
-    if (end === 0) return NOTHING;
-    const whole = bytes.subarray(0, end);
-    const text = whole.toString('latin1');
-    return { bytes: whole, count: countEnds(text), lastId: findLastId(text) };
+    if (end === 0) return NO_EVENTS;
+    const complete = bytes.subarray(0, end);
+    const text = complete.toString('latin1');
+    return { bytes: complete, count: countEventEnds(text), lastId: findLastId(text) };
   }
 }
 
 /** Index behind the last empty line; 0 when there is none. */
-function findLastEnd(bytes: Buffer): number {
+function findLastEventEnd(bytes: Buffer): number {
   return Math.max(
     0,
-    ...LINE_ENDS_OF_EVENTS.map((end) => {
+    ...EVENT_TERMINATORS.map((end) => {
       const index = bytes.lastIndexOf(end);
       return index < 0 ? 0 : index + end.length;
     }),
@@ -69,7 +69,7 @@
 }
 
 /** Counts the empty lines that end events. */
-function countEnds(text: string): number {
+function countEventEnds(text: string): number {
   let count = 0;
   for (let index = text.indexOf('\n'); index >= 0; index = text.indexOf('\n', index + 1)) {
     const next = text[index + 1] === '\r' ? index + 2 : index + 1;
--- a/src/domain/streams/mod.ts
+++ b/src/domain/streams/mod.ts
@@ -5,4 +5,4 @@
  * @module
  */
 export { EventSplitter } from './event_splitter.js';
-export type { WholeEvents } from './event_splitter.js';
+export type { CompleteEvents } from './event_splitter.js';
