--- a/src/domain/collections/mod.ts
+++ b/src/domain/collections/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Collections that stay bounded: `new RecentKeys<number>(100).set('a', 1)`.
+ * Collections with a bounded number of entries: `new RecentKeys<number>(100).set('a', 1)`.
  *
  * @module
  */
--- a/src/domain/collections/recent_keys.ts
+++ b/src/domain/collections/recent_keys.ts
@@ -1,31 +1,34 @@
 /**
- * A map that forgets what was set longest ago.
+ * A bounded map that evicts the least recently set key.
  *
  * @module
  */
 
-/** Keeps a bounded number of keys, so that what is remembered can't grow for ever. */
+/**
+ * Maps keys to values and evicts the least recently set key beyond the capacity, so that
+ * its memory stays bounded. Reading a key does not delay its eviction.
+ */
 export class RecentKeys<T> {
   readonly #values = new Map<string, T>();
 
   readonly #capacity: number;
 
-  /** @param capacity - most keys that are kept */
+  /** @param capacity - maximum number of keys */
   constructor(capacity: number) {
     this.#capacity = capacity;
   }
 
-  /** @param key - a key. @returns its value, unless it was forgotten */
+  /** @param key - key to look up. @returns its value; undefined if it is absent or was evicted */
   get(key: string): T | undefined {
     return this.#values.get(key);
   }
 
-  /** @param key - a key. @returns whether it is remembered */
+  /** @param key - key to look up. @returns whether the map holds it */
   has(key: string): boolean {
     return this.#values.has(key);
   }
 
-  /** @param key - counts as the most recent from now on. @param value - what it stands for */
+  /** @param key - key that becomes the most recently set one. @param value - its value */
   set(key: string, value: T): void {
     this.#values.delete(key);
     this.#values.set(key, value);
--- a/src/domain/errors/error_kind.ts
+++ b/src/domain/errors/error_kind.ts
@@ -1,22 +1,22 @@
 /**
- * The closed list of error kinds.
+ * The kinds of error that a caller can receive, and whether the request ran.
  *
  * @module
  */
 
-/** What a refusal says about the request's run. The values travel in answers. */
+/** Whether a refused or failed request ran. The values are sent in answers. */
 export enum RunOutcome {
-  /** No backend server ever had the request's body. */
+  /** No backend server received the request's body. */
   NotRun = 'not_run',
   /** A backend server ran the request. */
   Ran = 'ran',
-  /** The request may have run: nobody within reach can tell. */
+  /** Unknown: no reachable host can tell whether the request ran. */
   MayHaveRun = 'may_have_run',
 }
 
 /** Each reason for which the system refuses or fails a request. */
 export enum ErrorKind {
-  // The caller's fault; nothing ran.
+  // The call is invalid; it did not run.
   MalformedRequest = 'malformed_request',
   BodyTooLarge = 'body_too_large',
   HeaderTooLarge = 'header_too_large',
@@ -30,7 +30,7 @@
   RequestIdInvalid = 'request_id_invalid',
   RequestIdMismatch = 'request_id_mismatch',
   DeadlineTooLong = 'deadline_too_long',
-  // No room or no right to it now; nothing ran.
+  // Capacity or permission is missing at present, or the caller cancelled; it did not run.
   RateLimited = 'rate_limited',
   TokensLimited = 'tokens_limited',
   InFlightLimited = 'in_flight_limited',
@@ -48,18 +48,18 @@
   BackendServerRefused = 'backend_server_refused',
   RequestHeld = 'request_held',
   Cancelled = 'cancelled',
-  // The request ID has outlived its time; what became of it may be unknown.
+  // The request ID has expired; the request's outcome may be unknown.
   RequestIdExpired = 'request_id_expired',
-  // Nobody within reach can tell whether it ran.
+  // No reachable host can tell whether the request ran.
   OwnerUnreachable = 'owner_unreachable',
   OwnerGone = 'owner_gone',
   BackendServerLost = 'backend_server_lost',
   AnswerTimeout = 'answer_timeout',
-  // The request ran, and its answer can't be given (again, or whole).
+  // The body was handed over, and the answer is unavailable, incomplete or no longer wanted.
   BackendServerFailed = 'backend_server_failed',
   AnswerCut = 'answer_cut',
   AnswerNoLongerKept = 'answer_no_longer_kept',
   CancelledAfterDispatch = 'cancelled_after_dispatch',
-  // A fault of the system's own.
+  // An internal fault of the system.
   Internal = 'internal',
 }
--- a/src/domain/errors/error_table.ts
+++ b/src/domain/errors/error_table.ts
@@ -1,11 +1,11 @@
 /**
- * The one table from error kind to answer.
+ * Maps each error kind to the HTTP answer that the caller receives and to its log level.
  *
  * @module
  */
 import { ErrorKind, RunOutcome } from './error_kind.js';
 
-/** Log levels, by the names that the log library knows. */
+/** Log levels, named as in the log library. */
 export enum LogLevel {
   Debug = 'debug',
   Info = 'info',
@@ -13,20 +13,20 @@
   Error = 'error',
 }
 
-/** How one error kind is answered. */
+/** Answer to one error kind. */
 export interface ErrorAnswer {
   /** HTTP status code. */
   readonly status: number;
-  /** OpenAI-compatible error type, so that client libraries raise their own classes. */
+  /** OpenAI-compatible error type, from which client libraries choose their error class. */
   readonly type: string;
-  /** What the answer says about the run. */
+  /** Whether the request ran, as the answer states it. */
   readonly run: RunOutcome;
   /**
-   * Default advice when to come back, in milliseconds; 0 says not to repeat the
-   * request as it stands. A measured value at the place of refusal goes before it.
+   * Default time after which to retry, in milliseconds; 0 advises against repeating the
+   * unchanged request. A value that the refusing code has measured takes precedence.
    */
   readonly retryAfterMs: number;
-  /** Level of the log line that the refusal writes. */
+  /** Level of the log line about the refusal. */
   readonly logLevel: LogLevel;
 }
 
@@ -34,7 +34,7 @@
 const RATE = 'rate_limit_error';
 const SERVER = 'server_error';
 
-/** The table from kind to answer; a test walks all of it. */
+/** Answer to each error kind. */
 export const ERROR_TABLE: Readonly<Record<ErrorKind, ErrorAnswer>> = {
   [ErrorKind.MalformedRequest]: define(400, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
   [ErrorKind.BodyTooLarge]: define(413, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
--- a/src/domain/errors/mod.ts
+++ b/src/domain/errors/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The closed list of error kinds, the table from kind to answer, and the one
- * error class that carries a kind. Every refusal on any path is made here:
+ * The error kinds, the table that maps each kind to an answer, and the error class that
+ * carries a kind. All refusals are created with this class:
  * `throw new SchedulerError(ErrorKind.QueueFull, { retryAfterMs: 1200 })`.
  *
  * @module
--- a/src/domain/errors/scheduler_error.ts
+++ b/src/domain/errors/scheduler_error.ts
@@ -1,47 +1,47 @@
 /**
- * The error class that carries a kind, and the body of its answer.
+ * The error class that carries an error kind, and the body of an error answer.
  *
  * @module
  */
 import type { ErrorKind, RunOutcome } from './error_kind.js';
 import { ERROR_TABLE } from './error_table.js';
 
-/** What a place of refusal may add to the table's answer. */
+/** Values that override the defaults of the error table for one error. */
 export interface SchedulerErrorOptions {
-  /** Sentence for the caller: what could not be done, and why. Default: the kind in words. */
+  /** Message to the caller: what could not be done, and why. Default: the kind in words. */
   readonly message?: string;
-  /** Measured advice when to come back, in milliseconds. Default: the table's. */
+  /** Measured time after which to retry, in milliseconds. Default: that of the table. */
   readonly retryAfterMs?: number;
   /**
-   * What is known of the run, where more is known than the table says. It must
-   * never say `not_run` of a request whose body may have left the owner.
+   * Whether the request ran, where more is known than the table states. It must never be
+   * `not_run` for a request whose body may have left the owner.
    */
   readonly run?: RunOutcome;
-  /** The request ID to be given with the refusal, where there is one. */
+  /** Request ID to send with the refusal, if there is one. */
   readonly requestId?: string;
-  /** The error underneath. */
+  /** The underlying error. */
   readonly cause?: unknown;
 }
 
-/** A refusal or failure of the closed list of kinds. */
+/** A refusal or failure of a request, of one of the {@link ErrorKind} kinds. */
 export class SchedulerError extends Error {
   override readonly name = 'SchedulerError';
 
   /** Why the request was refused or failed. */
   readonly kind: ErrorKind;
 
-  /** What the answer says about the run. */
+  /** Whether the request ran, as the answer states it. */
   readonly run: RunOutcome;
 
-  /** When to come back, in milliseconds; 0: not as it stands. */
+  /** Time after which to retry, in milliseconds; 0 advises against repeating the request. */
   readonly retryAfterMs: number;
 
-  /** The request's ID, where there is one. */
+  /** The request's ID, if there is one. */
   readonly requestId: string | undefined;
 
   /**
    * @param kind - why the request is refused or failed
-   * @param options - what the place of refusal adds to the table's answer
+   * @param options - values that override the defaults of the error table
    */
   constructor(kind: ErrorKind, options: SchedulerErrorOptions = {}) {
     super(options.message ?? kind.replaceAll('_', ' '), { cause: options.cause });
@@ -69,10 +69,10 @@
 }
 
 /**
- * Builds the body of an error's answer.
+ * Builds the body of the answer to an error.
  *
  * @param error - the refusal or failure
- * @returns the body, ready for JSON
+ * @returns the body, to be serialized as JSON
  */
 export function buildErrorBody(error: SchedulerError): ErrorBody {
   return {
--- a/src/domain/membership/caller_order.ts
+++ b/src/domain/membership/caller_order.ts
@@ -1,5 +1,5 @@
 /**
- * The order in which callers are told of entry hosts.
+ * Orders the entry hosts that a caller may try.
  *
  * @module
  */
@@ -7,13 +7,13 @@
 import { PeerState } from './types.js';
 
 /**
- * Sorts entry hosts for a caller: those of the availability zone first, inside
- * each part in random order so that callers spread. Only live ones are named.
+ * Sorts the live entry hosts for a caller: hosts of the given availability zone come first.
+ * The order within the zone and among the other hosts is random, to spread callers evenly.
  *
  * @param hosts - all known entry hosts
- * @param availabilityZone - where the asked entry host stands
- * @param nextRandom - gives random numbers in [0, 1)
- * @returns the live ones in the order to be tried
+ * @param availabilityZone - availability zone of the entry host that the caller asked
+ * @param nextRandom - returns a random number in [0, 1)
+ * @returns the live entry hosts in the order in which to try them
  */
 export function sortForCallers(
   hosts: readonly EntryHostView[],
--- a/src/domain/membership/entry_host_table.ts
+++ b/src/domain/membership/entry_host_table.ts
@@ -1,42 +1,42 @@
 /**
- * The entry hosts that were ever heard of, one incarnation each.
+ * Tracks the peers of an entry host and detects those that have fallen silent.
  *
  * @module
  */
 import type { EntryHostIdentity } from './types.js';
 import { PeerState } from './types.js';
 
-/** How long a replaced incarnation is remembered, in milliseconds. */
+/** Time for which a replaced or forgotten incarnation is remembered, in milliseconds. */
 const REPLACED_RETENTION_MS = 3_600_000;
 
-/** One peer. */
+/** What is known of one peer. */
 export interface EntryHostRecord {
   readonly identity: EntryHostIdentity;
-  /** When it last said anything, in milliseconds. */
+  /** Monotonic time of the last message from the peer, in milliseconds. */
   readonly heardAtMs: number;
-  /** When the last question that it answered was sent, in milliseconds. */
+  /** Monotonic time at which the last request that the peer answered was sent, in milliseconds. */
   readonly answeredRequestSentAtMs: number;
-  /** Write of the host list that was about an earlier incarnation. */
+  /** Index of the host list write that described an earlier incarnation; 0 if there is none. */
   readonly staleListIndex: number;
 }
 
-/** How the table judges. */
+/** Time limits of an {@link EntryHostTable}. */
 export interface EntryHostTableOptions {
   /** Silence after which a peer is suspected, in milliseconds. */
   readonly suspectAfterMs: number;
-  /** Silence after which an unlisted peer is forgotten, in milliseconds. */
+  /** Silence after which a peer that the host list lacks is forgotten, in milliseconds. */
   readonly forgetAfterMs: number;
 }
 
-/** What became of an incarnation that was taken in. */
+/** Result of adding an incarnation. */
 export interface AddedIncarnation {
-  /** False when it was replaced before and its successor is not silent. */
+  /** False if the incarnation was replaced earlier and its successor is not silent. */
   readonly accepted: boolean;
-  /** Whom it replaced. */
+  /** The incarnation that it replaced, if any. */
   readonly replaced: EntryHostIdentity | undefined;
 }
 
-/** Keeps the newest incarnation of each entry host ID, this process left out. */
+/** Holds the current incarnation of each peer, by entry host ID; this process is not included. */
 export class EntryHostTable {
   readonly #options: EntryHostTableOptions;
 
@@ -46,21 +46,21 @@
 
   readonly #replacedAtMs = new Map<string, number>();
 
-  /** @param options - how to judge */
+  /** @param options - time limits */
   constructor(options: EntryHostTableOptions) {
     this.#options = options;
   }
 
   /**
-   * Takes in an incarnation whose link came up or that was heard. A new one of a
-   * known ID replaces the known one at once. One that was replaced stays so, since
-   * a frozen process that wakes after its successor started would else take its
-   * place again; it is taken back only when the successor is silent.
+   * Adds an incarnation whose link was established or that sent a message. A new incarnation
+   * of a known ID replaces the known one at once. A replaced incarnation is accepted again
+   * only if its successor is silent: otherwise a frozen process that resumes after its
+   * successor started would replace that successor.
    *
-   * @param identity - who it is
+   * @param identity - the incarnation's identity
    * @param nowMs - monotonic time
-   * @param listIndex - the host list's write for this ID, 0 if there is none
-   * @returns whether it counts now, and whom it replaced
+   * @param listIndex - index of the host list write for this ID, 0 if there is none
+   * @returns whether the incarnation is accepted, and which one it replaced
    */
   addIncarnation(identity: EntryHostIdentity, nowMs: number, listIndex: number): AddedIncarnation {
     if (this.#idByIncarnation.has(identity.incarnation))
@@ -82,17 +82,17 @@
     return { accepted: true, replaced: known?.identity };
   }
 
-  /** @param incarnation - who said something. @param nowMs - monotonic time */
+  /** @param incarnation - sender of a message. @param nowMs - monotonic time of its receipt */
   noteHeard(incarnation: string, nowMs: number): void {
     this.#updateRecord(incarnation, { heardAtMs: nowMs });
   }
 
   /**
-   * Takes an answer. What counts is when its question was sent: an answer that
-   * was stuck on the way says nothing of the time after.
+   * Records a reply. It proves the peer alive only at the time when the request was sent,
+   * since the reply itself may have been delayed on the way.
    *
-   * @param incarnation - who answered
-   * @param requestSentAtMs - when the question was sent
+   * @param incarnation - sender of the reply
+   * @param requestSentAtMs - monotonic time at which the request was sent
    */
   noteReply(incarnation: string, requestSentAtMs: number): void {
     const record = this.find(incarnation);
@@ -101,11 +101,11 @@
   }
 
   /**
-   * Starts the silence of some anew: it was this process that stood still, and all
-   * peers would be suspected at once although they never stopped answering.
+   * Restarts the silence timeout of the peers that answered before a pause of this process.
+   * Otherwise all peers would be suspected at once although they never stopped answering.
    *
-   * @param nowMs - monotonic time of the wake
-   * @param wasAnswering - whether an incarnation was not suspected before the pause
+   * @param nowMs - monotonic time at which the process resumed
+   * @param wasAnswering - returns whether an incarnation was not suspected before the pause
    */
   noteWake(nowMs: number, wasAnswering: (incarnation: string) => boolean): void {
     this.list()
@@ -116,11 +116,11 @@
   }
 
   /**
-   * Forgets peers that have been silent for long and are not listed any more.
+   * Forgets peers that sent no message for the configured time and that the host list lacks.
    *
    * @param nowMs - monotonic time
-   * @param isListed - whether the host list has an ID
-   * @returns who was forgotten
+   * @param isListed - returns whether the host list contains an ID
+   * @returns the forgotten peers
    */
   prune(nowMs: number, isListed: (id: string) => boolean): readonly EntryHostIdentity[] {
     const forgotten = [...this.#records.values()].filter(
@@ -134,27 +134,27 @@
     return forgotten.map(({ identity }) => identity);
   }
 
-  /** @returns all peers */
+  /** @returns the records of all peers */
   list(): readonly EntryHostRecord[] {
     return [...this.#records.values()];
   }
 
-  /** @param incarnation - which one. @returns its record, unless it is gone or unknown */
+  /** @param incarnation - a peer. @returns its record; undefined if it is gone or unknown */
   find(incarnation: string): EntryHostRecord | undefined {
     const id = this.#idByIncarnation.get(incarnation);
     return id === undefined ? undefined : this.#records.get(id);
   }
 
-  /** @param record - whose silence. @param nowMs - monotonic time. @returns whether to suspect it */
+  /** @param record - a peer. @param nowMs - monotonic time. @returns whether to suspect it */
   isSilent(record: EntryHostRecord, nowMs: number): boolean {
     return nowMs - record.answeredRequestSentAtMs > this.#options.suspectAfterMs;
   }
 
   /**
-   * @param record - whose state
-   * @param claimedState - what it and the host list say of it
+   * @param record - a peer
+   * @param claimedState - the peer's state according to itself and the host list
    * @param nowMs - monotonic time
-   * @returns its state; silence weighs more than any word
+   * @returns `suspected` for a silent peer, whatever state is claimed; else the claimed state
    */
   getState(record: EntryHostRecord, claimedState: PeerState, nowMs: number): PeerState {
     return this.isSilent(record, nowMs) ? PeerState.Suspected : claimedState;
--- a/src/domain/membership/entry_host_table_test.ts
+++ b/src/domain/membership/entry_host_table_test.ts
@@ -24,19 +24,23 @@
   return record && table.getState(record, PeerState.Live, nowMs);
 }
 
-t.test('EntryHostTable suspects by the sending time of the last answered question', async (t) => {
+t.test('EntryHostTable suspects by the send time of the last answered request', async (t) => {
   const table = buildTable();
   table.noteReply('b-1', 500);
   t.equal(getState(table, 'b-1', 500 + SUSPECT_MS), PeerState.Live);
   t.equal(getState(table, 'b-1', 501 + SUSPECT_MS), PeerState.Suspected);
   table.noteHeard('b-1', 501 + SUSPECT_MS);
-  t.equal(getState(table, 'b-1', 501 + SUSPECT_MS), PeerState.Suspected, 'one way is not enough');
+  t.equal(
+    getState(table, 'b-1', 501 + SUSPECT_MS),
+    PeerState.Suspected,
+    'a message without a reply is not enough',
+  );
 });
 
-t.test('addIncarnation() replaces at once, and a woken predecessor stays replaced', async (t) => {
-  // Symptom: requests go to a process that was replaced long ago.
-  // Sequence: it is frozen, its successor starts under the same ID, it wakes and speaks again.
-  // Cause: whoever spoke last is taken for the newest.
+t.test('addIncarnation() replaces at once; a resumed predecessor stays replaced', async (t) => {
+  // Guards against requests that go to a replaced process. The process is frozen, its
+  // successor starts under the same ID, and the frozen process resumes and sends messages
+  // again. Taking the last sender for the newest incarnation would undo the replacement.
   const table = buildTable();
   const second = table.addIncarnation(buildIdentity('b', 'b-2'), 100, 7);
   t.equal(second.replaced?.incarnation, 'b-1');
@@ -45,10 +49,10 @@
   t.equal(table.addIncarnation(buildIdentity('b', 'b-1'), 200, 7).accepted, false);
   t.ok(table.find('b-2'));
   const back = table.addIncarnation(buildIdentity('b', 'b-1'), 200 + SUSPECT_MS, 7);
-  t.equal(back.replaced?.incarnation, 'b-2', 'a silent successor gives way');
+  t.equal(back.replaced?.incarnation, 'b-2', 'a silent successor is replaced');
 });
 
-t.test('prune() forgets the silent that nobody lists', async (t) => {
+t.test('prune() forgets silent peers that the host list lacks', async (t) => {
   const table = buildTable();
   t.same(
     table.prune(FORGET_MS, () => false),
@@ -65,19 +69,23 @@
   t.equal(table.find('b-1'), undefined);
 });
 
-t.test('noteWake() does not suspect others for this process’s own pause', async (t) => {
+t.test('a pause of this process makes no answering peer suspected', async (t) => {
   const table = buildTable();
   table.addIncarnation(buildIdentity('c', 'c-1'), 0, 0);
   table.noteWake(90_000, (incarnation) => incarnation === 'b-1');
-  t.equal(getState(table, 'c-1', 90_000), PeerState.Suspected, 'it was silent before');
+  t.equal(
+    getState(table, 'c-1', 90_000),
+    PeerState.Suspected,
+    'the peer was silent before the pause',
+  );
   t.equal(getState(table, 'b-1', 90_000), PeerState.Live);
   t.equal(getState(table, 'b-1', 90_001 + SUSPECT_MS), PeerState.Suspected);
 });
 
-t.test('PauseDetector trusts only what was begun after the wake', async (t) => {
-  // Symptom: work goes to a backend server that left while this process was frozen.
-  // Sequence: frozen; woken; an answer that waited in a buffer is read.
-  // Cause: the old answer is taken for a sign that the view is up to date.
+t.test('PauseDetector accepts only confirmations that started after the pause', async (t) => {
+  // Guards against work that goes to a backend server which left while this process was
+  // frozen. After the pause the process reads a reply that waited in a buffer; this old
+  // reply must not count as a sign that the view is up to date.
   const pauses = new PauseDetector({ nowMs: 0, maxGapMs: 1_000 });
   t.equal(pauses.fresh, false);
   t.ok(pauses.acceptRefresh(0));
@@ -90,18 +98,18 @@
   t.ok(pauses.fresh);
 });
 
-t.test('HostListOrder refuses older reads until they must be a restore', async (t) => {
+t.test('older host list reads are rejected until the restore timeout is over', async (t) => {
   const order = new HostListOrder(60_000);
   t.ok(order.acceptIndex(10, 0));
   t.equal(order.acceptIndex(9, 1_000), false);
   t.ok(order.acceptIndex(10, 2_000));
   t.equal(order.acceptIndex(4, 50_000), false);
-  t.equal(order.acceptIndex(4, 109_999), false, 'the patience began anew');
+  t.equal(order.acceptIndex(4, 109_999), false, 'the restore timeout started again');
   t.ok(order.acceptIndex(5, 110_000));
   t.equal(order.index, 5);
 });
 
-t.test('sortForCallers() names the live, those of the zone first', async (t) => {
+t.test('sortForCallers() returns live hosts, those of the zone first', async (t) => {
   const states = [PeerState.Live, PeerState.Suspected, PeerState.Live, PeerState.Leaving];
   const views: EntryHostView[] = ['hall-b', 'hall-a'].flatMap((zone) =>
     states.map((state, index) => ({
--- a/src/domain/membership/host_list.ts
+++ b/src/domain/membership/host_list.ts
@@ -1,5 +1,5 @@
 /**
- * The host list as the platform publishes it.
+ * Parses the list of hosts that the platform publishes.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 /** Prefix of the host list's keys. */
 export const HOST_LIST_PREFIX = 'hosts/';
 
-/** What a listed host does. */
+/** Role of a listed host. */
 export enum HostRole {
   EntryHost = 'entry_host',
   BackendServer = 'backend_server',
 }
 
-/** What the host list says of a host. */
+/** State of a host according to the host list. */
 export enum HostState {
   Live = 'live',
   Leaving = 'leaving',
@@ -32,20 +32,20 @@
   state: z.enum(HostState),
 });
 
-/** One host of the list. */
+/** One host of the host list. */
 export interface ListedHost extends z.infer<typeof hostSchema> {
-  /** Index of the write that set it. */
+  /** Index of the store write that last set this entry. */
   readonly modifyIndex: number;
 }
 
-/** The whole list as one read gave it. */
+/** The whole host list as returned by one read. */
 export interface HostList {
-  /** Index of the read. */
+  /** Index of the store's state that the read returned. */
   readonly index: number;
   readonly hosts: readonly ListedHost[];
 }
 
-/** An entry of the list before it was parsed. */
+/** An unparsed entry of the host list. */
 export interface RawHostEntry {
   readonly key: string;
   readonly value: Uint8Array;
@@ -55,14 +55,14 @@
 /**
  * Parses one entry of the host list.
  *
- * @param entry - key and JSON document
+ * @param entry - key and JSON document of the entry
  * @returns the host
- * @throws Error that says why the entry can't be parsed
+ * @throws Error stating why the entry can't be parsed
  */
 export function parseListedHost(entry: RawHostEntry): ListedHost {
   const host = hostSchema.parse(JSON.parse(Buffer.from(entry.value).toString('utf8')));
   if (entry.key !== HOST_LIST_PREFIX + host.id) {
-    throw new Error(`Cannot parse host ${entry.key}: it names itself "${host.id}"`);
+    throw new Error(`Cannot parse host ${entry.key}: its document has the ID "${host.id}"`);
   }
   if (host.role === HostRole.EntryHost && host.peerUrl === undefined) {
     throw new Error(`Cannot parse host ${entry.key}: an entry host needs a peerUrl`);
--- a/src/domain/membership/host_list_order.ts
+++ b/src/domain/membership/host_list_order.ts
@@ -1,14 +1,14 @@
 /**
- * Which reads of a lagging host list are taken.
+ * Rejects outdated reads of the host list.
  *
  * @module
  */
 
 /**
- * Refuses reads that are older than the one in force. The list is served by
- * replicas that lag, so a read may show a leaving host as live again; one would
- * notice work sent to a host that is going away. An index that stays lower for
- * long means that the service was restored from a backup, and counts then.
+ * Rejects reads of the host list that are older than the applied one. Lagging replicas serve
+ * the list, so an older read may show a leaving host as live, and work would be sent to a
+ * host that is about to stop. If the index stays lower for the restore timeout, the
+ * service was restored from a backup, and the lower index is accepted.
  */
 export class HostListOrder {
   readonly #restoreTimeoutMs: number;
@@ -17,12 +17,12 @@
 
   #lowerSinceMs: number | undefined;
 
-  /** @param restoreTimeoutMs - how long all reads must be lower before one is taken */
+  /** @param restoreTimeoutMs - time for which all reads must be lower before one is accepted */
   constructor(restoreTimeoutMs: number) {
     this.#restoreTimeoutMs = restoreTimeoutMs;
   }
 
-  /** Index of the read in force; -1 before the first. */
+  /** Index of the last accepted read; -1 before the first. */
   get index(): number {
     return this.#index;
   }
@@ -30,7 +30,7 @@
   /**
    * @param index - index of a read
    * @param nowMs - monotonic time
-   * @returns whether the read is to be put in force
+   * @returns whether to apply the read
    */
   acceptIndex(index: number, nowMs: number): boolean {
     if (index < this.#index) {
--- a/src/domain/membership/leaving_backend_servers.ts
+++ b/src/domain/membership/leaving_backend_servers.ts
@@ -1,39 +1,44 @@
 /**
- * Which backend servers are leaving, as far as anybody within reach knows.
+ * Tracks which backend servers are leaving, according to the host list, load reports,
+ * refusals and reachable peers.
  *
  * @module
  */
 import type { HostList, ListedHost } from './host_list.js';
 import { HostRole, HostState } from './host_list.js';
 
-/** How long nobody must have repeated a note before an unchanged list entry may lift it. */
+/** Time without a repetition after which an unchanged host list entry may clear a note. */
 export const NOTE_STALE_AFTER_MS = 10_000;
 
-/** For how long after the list showed a backend server live again load reports may be older. */
+/** Time after a backend server's return during which load reports may predate the return. */
 export const LOAD_REPORT_LAG_MS = 5_000;
 
+/** Source of the notes that this process took itself; the other sources are peer incarnations. */
 const OWN_SOURCE = '';
 
-/** Before the first list. */
+/** List index before the first host list is applied. */
 const NO_LIST_INDEX = -1;
+
+/** Time for which an overruled note is kept after its last repetition, in milliseconds. */
 const OVERRULED_RETENTION_MS = 600_000;
 
-/** Somebody said that a backend server leaves. */
+/** A statement of one source that a backend server is leaving. */
 interface LeavingNote {
-  /** Index of the host list in force when it was first said. */
+  /** Index of the host list that was applied when the note was first taken. */
   readonly baselineIndex: number;
+  /** Monotonic time at which the source last made the statement. */
   readonly lastRepeatedAtMs: number;
-  /** The host list has shown the backend server live since. */
+  /** Whether a newer host list has since cleared the note. */
   readonly isOverruled: boolean;
 }
 
 /**
- * Joins three kinds of word: the host list, load reports and refusals met here,
- * and what peers say. Any of them makes a backend server leave. A note is kept
- * until the host list, at a newer index than when the note was taken, shows the
- * entry written anew as live, or shows it as live or gone after nobody repeated
- * the note for {@link NOTE_STALE_AFTER_MS}. An entry that merely still stands as live in
- * a newer list proves nothing: the list lags, and an unrelated host changed it.
+ * Combines three kinds of evidence: the host list, load reports and refusals that this process
+ * received, and the claims of peers. Any one of them marks a backend server as leaving. A note
+ * is kept until a host list with a newer index than the note's baseline either contains a new
+ * write of the entry as live, or shows the entry as live or missing after nobody has repeated
+ * the note for {@link NOTE_STALE_AFTER_MS}. An unchanged live entry in a newer list proves
+ * nothing: the list lags, and its index may have risen because of an unrelated host.
  */
 export class LeavingBackendServers {
   #listed: ReadonlyMap<string, ListedHost> = new Map();
@@ -45,16 +50,16 @@
   readonly #returnedAtMs = new Map<string, number>();
 
   /**
-   * Takes a load report or refusal that says that a backend server leaves.
+   * Records a load report or refusal which states that a backend server is leaving.
    *
-   * @param id - which one
+   * @param id - the backend server's ID
    * @param nowMs - monotonic time
-   * @returns whether that was not known at first hand
+   * @returns whether the statement is accepted and was not known at first hand before
    */
   noteOwn(id: string, nowMs: number): boolean {
     const returnedAtMs = this.#returnedAtMs.get(id);
-    // A lagging load report would take a backend server that has just come back
-    // out of service, and nothing newer in the list might ever lift the note.
+    // A lagging load report would take a backend server that has just returned out of
+    // service, and the host list might not change for long enough to clear the note.
     if (returnedAtMs !== undefined && nowMs - returnedAtMs < LOAD_REPORT_LAG_MS) return false;
     const isNew = !this.#isKnownAtFirstHand(id);
     this.#putNote(id, OWN_SOURCE, nowMs);
@@ -62,10 +67,10 @@
   }
 
   /**
-   * Takes the whole of what a peer says now; what it no longer says is withdrawn.
+   * Replaces all claims of a peer; claims that it no longer makes are withdrawn.
    *
-   * @param incarnation - which peer
-   * @param ids - backend servers that it knows at first hand to leave
+   * @param incarnation - the peer's incarnation
+   * @param ids - backend servers that the peer knows at first hand to be leaving
    * @param nowMs - monotonic time
    */
   applyClaims(incarnation: string, ids: readonly string[], nowMs: number): void {
@@ -78,9 +83,10 @@
   }
 
   /**
-   * Takes a host list that is to be in force.
+   * Applies a host list.
    *
-   * @param list - the list; an index lower than before means a restored service
+   * @param list - the list; an index lower than before means that the service was restored
+   *   from a backup
    * @param nowMs - monotonic time
    */
   applyHostList(list: HostList, nowMs: number): void {
@@ -98,22 +104,22 @@
     });
   }
 
-  /** @param id - which one. @returns whether anybody within reach says that it leaves */
+  /** @param id - a backend server's ID. @returns whether any source marks it as leaving */
   isLeaving(id: string): boolean {
     if (this.#listed.get(id)?.state === HostState.Leaving) return true;
     return [...(this.#notes.get(id)?.values() ?? [])].some((note) => !note.isOverruled);
   }
 
-  /** @returns those known to leave, sorted */
+  /** @returns the sorted IDs of all leaving backend servers */
   listLeaving(): readonly string[] {
     return this.#listWhere((id) => this.isLeaving(id));
   }
 
   /**
-   * Lists what is to be told to peers. Hearsay is left out: two entry hosts that
-   * told each other what each had from the other would never forget it.
+   * Lists the leaving backend servers to announce to peers. Claims of peers are left out:
+   * two entry hosts that announced each other's claims would never clear them.
    *
-   * @returns those known to leave from the host list, a load report or a refusal, sorted
+   * @returns the sorted IDs known from the host list, a load report or a refusal
    */
   listKnownAtFirstHand(): readonly string[] {
     return this.#listWhere((id) => this.#isKnownAtFirstHand(id));
@@ -145,8 +151,8 @@
     sources.forEach((note, source) => {
       const isCleared = note.isOverruled || this.#mayClearNote(id, note, nowMs);
       const isOld = nowMs - note.lastRepeatedAtMs > OVERRULED_RETENTION_MS;
-      // A peer repeats its claim until it has read the newer list itself, so a
-      // lifted claim is remembered as overruled; else it would be taken as news.
+      // A peer repeats its claim until it has read the newer list itself. The cleared claim
+      // is therefore kept as overruled; otherwise the repetition would count as a new claim.
       if (isCleared && (source === OWN_SOURCE || isOld)) sources.delete(source);
       else sources.set(source, this.#rebaseNote(note, isCleared));
       if (isCleared && source === OWN_SOURCE) this.#returnedAtMs.set(id, nowMs);
@@ -165,9 +171,9 @@
   #mayClearNote(id: string, note: LeavingNote, nowMs: number): boolean {
     const host = this.#listed.get(id);
     if (host?.state === HostState.Leaving) return false;
-    // A restarted entry host hears of its peers before it has read any list. Each
-    // entry of the first list is newer than no list, but not newer than the note:
-    // work would go to the leaving backend server from this entry host alone.
+    // A restarted entry host receives claims of its peers before it has read any list. Each
+    // entry of the first list is newer than no list, but not newer than the claim; clearing
+    // the note here would make this entry host alone send work to the leaving backend server.
     if (note.baselineIndex === NO_LIST_INDEX) return false;
     if (host && host.modifyIndex > note.baselineIndex) return true;
     const isStale = nowMs - note.lastRepeatedAtMs >= NOTE_STALE_AFTER_MS;
--- a/src/domain/membership/leaving_backend_servers_test.ts
+++ b/src/domain/membership/leaving_backend_servers_test.ts
@@ -19,18 +19,21 @@
   return { index, hosts };
 }
 
-/** Knows engine-1 as live from a list of index 10. */
+/** Builds an instance that knows engine-1 as live from a host list of index 10. */
 function buildKnowing(): LeavingBackendServers {
   const leaving = new LeavingBackendServers();
   leaving.applyHostList(buildList(10, buildHost(HostState.Live, 5)), 0);
   return leaving;
 }
 
-/** What may come after a load report at time 0 said that engine-1 leaves. */
+/**
+ * Host lists after a load report at time 0 which states that engine-1 is leaving: name, time
+ * in milliseconds, list, and whether engine-1 counts as leaving afterwards.
+ */
 const AFTER_NOTE: readonly [string, number, HostList, boolean][] = [
   ['the same list again', 60_000, buildList(10, buildHost(HostState.Live, 5)), true],
   [
-    'a newer list that changed elsewhere',
+    'a newer list in which another host changed',
     1_000,
     buildList(11, buildHost(HostState.Live, 5), buildHost(HostState.Live, 11, 'engine-2')),
     true,
@@ -42,7 +45,7 @@
     true,
   ],
   ['a newer list that lacks it', 1_000, buildList(11), true],
-  ['its entry written anew as live', 1_000, buildList(11, buildHost(HostState.Live, 11)), false],
+  ['a new write of its entry as live', 1_000, buildList(11, buildHost(HostState.Live, 11)), false],
   [
     'a newer list that shows it live after nobody repeated the note',
     NOTE_STALE_AFTER_MS,
@@ -59,48 +62,48 @@
 
 AFTER_NOTE.forEach(([name, atMs, list, expected]) => {
   t.test(`LeavingBackendServers after ${name}: ${expected ? 'leaving' : 'live'}`, async (t) => {
-    // Symptom: a backend server that goes away gets new work again.
-    // Sequence: its load report says that it leaves; then a read of the list shows it live.
-    // Cause: the list lags, and the later word is taken for the newer one.
+    // Guards against new work for a leaving backend server. Its load report states that it is
+    // leaving, then a read of the lagging host list shows it live. The statement received
+    // last is not necessarily the newest.
     const leaving = buildKnowing();
     t.ok(leaving.noteOwn('engine-1', 0));
-    t.equal(leaving.noteOwn('engine-1', 0), false, 'told twice, news once');
+    t.equal(leaving.noteOwn('engine-1', 0), false, 'a repetition is not new');
     leaving.applyHostList(list, atMs);
     t.equal(leaving.isLeaving('engine-1'), expected);
     t.same(leaving.listLeaving(), expected ? ['engine-1'] : []);
   });
 });
 
-t.test('LeavingBackendServers takes a load report as old right after a return', async (t) => {
-  // Symptom: a backend server that came back gets no work for hours.
-  // Sequence: the list shows it live; a lagging load report says once more that it leaves.
-  // Cause: the note stays until the list changes again, which may take long.
+t.test('LeavingBackendServers ignores load reports right after a return', async (t) => {
+  // Guards against a returned backend server that gets no work for hours. The list shows it
+  // live, then a lagging load report states once more that it is leaving. This note would
+  // stay until the list changes again, which may take long.
   const leaving = buildKnowing();
   leaving.applyHostList(buildList(11, buildHost(HostState.Leaving, 11)), 0);
   leaving.applyHostList(buildList(12, buildHost(HostState.Live, 12)), 1_000);
   t.equal(leaving.noteOwn('engine-1', 1_500), false);
   t.equal(leaving.isLeaving('engine-1'), false);
-  t.ok(leaving.noteOwn('engine-1', 1_000 + LOAD_REPORT_LAG_MS), 'it really leaves again');
+  t.ok(leaving.noteOwn('engine-1', 1_000 + LOAD_REPORT_LAG_MS), 'a later report counts');
   t.ok(leaving.isLeaving('engine-1'));
 });
 
-t.test('applyClaims() holds a peer’s word until it is withdrawn or overruled', async (t) => {
+t.test('applyClaims() keeps a claim until it is withdrawn or overruled', async (t) => {
   const leaving = buildKnowing();
   leaving.applyClaims('a', ['engine-1'], 0);
   leaving.applyClaims('b', ['engine-1'], 0);
-  t.same(leaving.listKnownAtFirstHand(), [], 'hearsay is not told on');
+  t.same(leaving.listKnownAtFirstHand(), [], 'claims of peers are not announced');
   leaving.applyClaims('a', [], 100);
-  t.ok(leaving.isLeaving('engine-1'), 'b still says so');
+  t.ok(leaving.isLeaving('engine-1'), 'b still claims it');
   leaving.applyHostList(buildList(11, buildHost(HostState.Live, 11)), 200);
   t.equal(leaving.isLeaving('engine-1'), false);
   leaving.applyClaims('b', ['engine-1'], 300);
   t.equal(leaving.isLeaving('engine-1'), false, 'b has not read the newer list yet');
   leaving.applyClaims('b', [], 400);
   leaving.applyClaims('b', ['engine-1'], 500);
-  t.ok(leaving.isLeaving('engine-1'), 'b says it anew');
+  t.ok(leaving.isLeaving('engine-1'), 'b makes a new claim');
 });
 
-t.test('LeavingBackendServers lifts its notes after a restored service', async (t) => {
+t.test('LeavingBackendServers clears notes after a restore from a backup', async (t) => {
   const leaving = buildKnowing();
   leaving.noteOwn('engine-1', 0);
   leaving.applyHostList(buildList(3, buildHost(HostState.Live, 2)), 100);
@@ -109,10 +112,10 @@
   t.equal(leaving.isLeaving('engine-1'), false);
 });
 
-t.test('LeavingBackendServers forgets everywhere once all have read the return', async (t) => {
-  // Symptom: a backend server that came back stays out of service for good.
-  // Sequence: entry hosts tell each other that it leaves, each because the other said so.
-  // Cause: hearsay is told on as if it were known at first hand.
+t.test('all hosts clear their notes once all have read the return', async (t) => {
+  // Guards against a returned backend server that stays out of service for good. Entry hosts
+  // would keep announcing to each other that it is leaving, each because of the other's
+  // claim, if claims of peers were announced as first-hand knowledge.
   const step = fc.record({ who: fc.nat(2), from: fc.nat(2), reads: fc.boolean() });
   fc.assert(
     fc.property(fc.array(step, { maxLength: 60 }), fc.nat(2), (steps, noticer) => {
@@ -137,14 +140,14 @@
   t.pass();
 });
 
-t.test('LeavingBackendServers keeps a claim that came before the first list', async (t) => {
-  // Symptom: one restarted entry host alone sent work to a leaving backend server.
-  // Sequence: it heard its peers' word, then read its first list, which lagged.
-  // Cause: every entry of a first list counted as newer than the word.
+t.test('LeavingBackendServers keeps a claim received before the first list', async (t) => {
+  // Guards against work that a restarted entry host alone sends to a leaving backend server.
+  // It receives its peers' claims, then reads its first list, which lags. The entries of a
+  // first list must not count as newer than the claims.
   const leaving = new LeavingBackendServers();
   leaving.applyClaims('a', ['engine-1'], 0);
   leaving.applyHostList(buildList(10, buildHost(HostState.Live, 5)), 100);
   t.ok(leaving.isLeaving('engine-1'));
   leaving.applyHostList(buildList(12, buildHost(HostState.Live, 12)), 200);
-  t.notOk(leaving.isLeaving('engine-1'), 'a list that shows it written anew lifts it');
+  t.notOk(leaving.isLeaving('engine-1'), 'a new write in the list clears the claim');
 });
--- a/src/domain/membership/mod.ts
+++ b/src/domain/membership/mod.ts
@@ -1,8 +1,8 @@
 /**
- * Pure decisions about who is there: which entry hosts are live, who is
- * responsible for a key, which backend servers leave, and whether this process
- * may trust its view. `pickByRendezvous('group-1', incarnations)` names the
- * same incarnation on every entry host that sees the same ones.
+ * Membership rules without I/O: which entry hosts are live, which one is responsible for a
+ * key, which backend servers are leaving, and whether this process may trust its view.
+ * `pickByRendezvous('group-1', incarnations)` returns the same incarnation on every entry
+ * host that knows the same incarnations.
  *
  * @module
  */
--- a/src/domain/membership/pause_detector.ts
+++ b/src/domain/membership/pause_detector.ts
@@ -1,23 +1,23 @@
 /**
- * Notices that this process stood still.
+ * Detects pauses of this process.
  *
  * @module
  */
 
-/** How the detector judges. */
+/** Settings of a {@link PauseDetector}. */
 export interface PauseDetectorOptions {
-  /** Time at the start, in milliseconds. */
+  /** Monotonic time at the start, in milliseconds. */
   readonly nowMs: number;
-  /** Longest gap between two checks that is no pause, in milliseconds. */
+  /** Longest gap between two checks that does not count as a pause, in milliseconds. */
   readonly maxGapMs: number;
 }
 
 /**
- * Compares the moments at which it is asked. A process that was frozen (stopped,
- * swapped out, its virtual machine moved) goes on as if no time had passed, with
- * an old view of who leaves and who is responsible. The one sign is a jump of the
- * monotonic clock. From the jump on the process is not fresh, until something
- * that was sent or begun after the wake has confirmed its view.
+ * Detects pauses by the time between two checks. A process that was frozen (stopped, swapped
+ * out, or its virtual machine migrated) continues as if no time had passed, with an outdated
+ * view of which hosts are leaving and which one is responsible for a key. The only sign is a
+ * jump of the monotonic clock. After the jump the process is not fresh until its view is
+ * confirmed by a reply or a read whose request started after the process resumed.
  */
 export class PauseDetector {
   readonly #maxGapMs: number;
@@ -28,29 +28,29 @@
 
   #isFresh = false;
 
-  /** @param options - how to judge; the process is not fresh at its start */
+  /** @param options - start time and longest gap; the process is not fresh at its start */
   constructor(options: PauseDetectorOptions) {
     this.#maxGapMs = options.maxGapMs;
     this.#lastCheckMs = options.nowMs;
     this.#wokeAtMs = options.nowMs;
   }
 
-  /** Whether the view was confirmed since the start or the last pause. */
+  /** Whether the view has been confirmed since the start or the last pause. */
   get fresh(): boolean {
     return this.#isFresh;
   }
 
-  /** When the process started or last woke, in milliseconds. */
+  /** Monotonic time at which the process started or last resumed, in milliseconds. */
   get wokeAtMs(): number {
     return this.#wokeAtMs;
   }
 
   /**
-   * Looks for a jump. To be asked at each tick, and right before the answer
-   * matters: after a wake other callbacks may run before the tick does.
+   * Checks for a pause. Callers check at each timer tick and right before the freshness
+   * matters, since other callbacks may run between the end of a pause and the next tick.
    *
    * @param nowMs - monotonic time
-   * @returns how long the process stood still since the last check, 0 if it did not
+   * @returns the length of the pause since the last check, in milliseconds; 0 if there was none
    */
   detectPause(nowMs: number): number {
     const gapMs = nowMs - this.#lastCheckMs;
@@ -62,11 +62,11 @@
   }
 
   /**
-   * Takes a confirmation of the view.
+   * Records a reply or read that confirms the view.
    *
-   * @param startedAtMs - when its question was sent or its read begun; one from
-   *   before the wake confirms nothing
-   * @returns whether it made the process fresh
+   * @param startedAtMs - monotonic time at which the request was sent or the read began; a
+   *   time before the process resumed confirms nothing
+   * @returns whether the process has become fresh by it
    */
   acceptRefresh(startedAtMs: number): boolean {
     if (this.#isFresh || startedAtMs < this.#wokeAtMs) return false;
--- a/src/domain/membership/peer_reports.ts
+++ b/src/domain/membership/peer_reports.ts
@@ -1,27 +1,27 @@
 /**
- * What peers told of themselves.
+ * Holds the newest report of each peer about itself.
  *
  * @module
  */
 
-/** The word of one incarnation, as one of its heartbeats carried it. */
+/** Report of one incarnation about itself, as sent in one of its heartbeats. */
 export interface PeerReport {
-  /** Number of the heartbeat; higher is newer. */
+  /** Sequence number of the heartbeat; higher is newer. */
   readonly sequence: number;
-  /** Whether that entry host serves callers. */
+  /** Whether the sender serves callers. */
   readonly ready: boolean;
-  /** Whether that entry host stops. */
+  /** Whether the sender is about to stop. */
   readonly leaving: boolean;
-  /** Backend servers that it knows at first hand to leave. */
+  /** Backend servers that the sender knows at first hand to be leaving. */
   readonly leavingBackendServers: readonly string[];
 }
 
 /**
- * Compares what two reports say, whatever their numbers.
+ * Compares two reports without their sequence numbers.
  *
  * @param left - one report, if there is one
  * @param right - the other report
- * @returns whether they say the same
+ * @returns whether all other fields are equal
  */
 export function hasSameWord(left: PeerReport | undefined, right: PeerReport): boolean {
   return (
@@ -32,8 +32,9 @@
 }
 
 /**
- * The newest word of each incarnation. Merging is a join: in whatever order
- * heartbeats arrive, lost, repeated and crossed, the same words remain.
+ * The newest report of each incarnation. Merging is a join: the result does not depend on the
+ * order in which heartbeats arrive or on repetitions, and a lost heartbeat is made up for by
+ * any later one.
  */
 export class PeerReports {
   readonly #newest = new Map<string, PeerReport>();
@@ -41,9 +42,9 @@
   /**
    * Merges one report.
    *
-   * @param incarnation - whose word it is
-   * @param report - the word
-   * @returns whether it is newer than what was known
+   * @param incarnation - the sender
+   * @param report - its report
+   * @returns whether the report is newer than the known one
    */
   merge(incarnation: string, report: PeerReport): boolean {
     const known = this.#newest.get(incarnation);
@@ -52,12 +53,12 @@
     return true;
   }
 
-  /** @param incarnation - whose word. @returns its newest word */
+  /** @param incarnation - a peer. @returns its newest report */
   find(incarnation: string): PeerReport | undefined {
     return this.#newest.get(incarnation);
   }
 
-  /** @param incarnation - whose word is not needed any more */
+  /** @param incarnation - a peer whose report is no longer needed */
   remove(incarnation: string): void {
     this.#newest.delete(incarnation);
   }
--- a/src/domain/membership/peer_reports_test.ts
+++ b/src/domain/membership/peer_reports_test.ts
@@ -6,7 +6,7 @@
 const OPTIONS = { seed: 42, numRuns: 300 };
 const INCARNATIONS = ['a', 'b', 'c'];
 
-/** What an incarnation said in its nth heartbeat; one heartbeat says one thing. */
+/** Builds the report of a heartbeat; equal arguments always give an equal report. */
 function buildReport(incarnation: string, sequence: number): PeerReport {
   const leavingBackendServers = sequence % 3 === 0 ? [`${incarnation}-${sequence}`] : [];
   return {
@@ -29,7 +29,7 @@
   return INCARNATIONS.map((incarnation) => reports.find(incarnation));
 }
 
-t.test('merge() is a join: order and repetition of heartbeats do not matter', async (t) => {
+t.test('merge() does not depend on order or repetition of heartbeats', async (t) => {
   const deliveries = fc.array(fc.tuple(fc.constantFrom(...INCARNATIONS), fc.nat(30)), {
     maxLength: 40,
   });
--- a/src/domain/membership/rendezvous.ts
+++ b/src/domain/membership/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
- * Rendezvous hashing: every entry host that sees the same candidates picks the
- * same one for a key, and a candidate that comes or goes moves only its own keys.
+ * Rendezvous hashing: every entry host that knows the same candidates picks the same one for
+ * a key, and adding or removing a candidate moves only that candidate's keys.
  *
  * @module
  */
@@ -14,10 +14,10 @@
 const HIGH_LANE_FACTOR = 4294967296;
 const HIGH_LANE_MASK = 0x1fffff;
 
-/** One more than the highest hash: 53 bits. */
+/** One more than the highest hash: 2 to the power of 53. */
 const HASH_RANGE = HIGH_LANE_FACTOR * (HIGH_LANE_MASK + 1);
 
-/** Two multiplicative 32-bit lanes over the text, mixed to 53 bits. */
+/** Hashes the text in two multiplicative 32-bit lanes and mixes them into 53 bits. */
 function hashText(text: string): number {
   let laneOne = LANE_ONE_SEED;
   let laneTwo = LANE_TWO_SEED;
@@ -37,19 +37,19 @@
 }
 
 /**
- * Picks the candidate whose hash together with the key is highest. The order of
- * the candidates does not matter.
+ * Picks the candidate with the highest hash of key and candidate. The order of the candidates
+ * does not matter.
  *
- * @param key - what somebody is to be responsible for
+ * @param key - the key to assign
  * @param candidates - names to pick from, such as incarnations
- * @returns the candidate; undefined when there is none
+ * @returns the candidate; undefined if there is none
  */
 export function pickByRendezvous(key: string, candidates: Iterable<string>): string | undefined {
   let best: string | undefined;
   let bestHash = -1;
   [...candidates].forEach((candidate) => {
     const hash = hashText(`${key}\n${candidate}`);
-    // Equal hashes are settled by name, or two entry hosts could pick differently.
+    // Ties are broken by name; otherwise two entry hosts could pick different candidates.
     if (hash < bestHash || (hash === bestHash && best !== undefined && candidate >= best)) return;
     best = candidate;
     bestHash = hash;
@@ -58,12 +58,13 @@
 }
 
 /**
- * Orders candidates for a key, the one that {@link pickByRendezvous} picks first. When
- * it goes, the next follows, and other keys' first candidates are spread likewise.
+ * Orders candidates for a key, starting with the one that {@link pickByRendezvous} picks. When
+ * that one is removed, the next one takes over the key; since the order differs from key to
+ * key, the keys of a removed candidate spread evenly over the others.
  *
- * @param key - what somebody is to be responsible for
+ * @param key - the key to assign
  * @param candidates - names to order
- * @returns the names, best first
+ * @returns the names, highest hash first
  */
 export function sortByRendezvous(key: string, candidates: readonly string[]): readonly string[] {
   return candidates
@@ -75,19 +76,19 @@
 /** A candidate with a weight. */
 export interface WeightedCandidate {
   readonly name: string;
-  /** How often it is to be picked, beside the others; above 0. */
+  /** How often to pick the candidate, relative to the weights of the others; above 0. */
   readonly weight: number;
 }
 
 /**
- * Picks several candidates for a key, each as often over many keys as its weight says,
- * as far as their number allows. A candidate that comes or goes changes no more than
- * one pick of a key.
+ * Picks several candidates for a key. Over many keys each candidate is picked in proportion to
+ * its weight, as far as the number of candidates allows. Adding or removing a candidate
+ * changes at most one pick of a key.
  *
- * @param key - whom they are picked for
- * @param candidates - who may be picked
- * @param count - how many
- * @returns their names
+ * @param key - the key to pick for, such as a caller
+ * @param candidates - candidates to pick from
+ * @param count - maximum number of picks
+ * @returns the picked names, best first
  */
 export function pickByWeight(
   key: string,
--- a/src/domain/membership/rendezvous_test.ts
+++ b/src/domain/membership/rendezvous_test.ts
@@ -8,7 +8,7 @@
   maxLength: 20,
 });
 
-t.test('pickByRendezvous() picks the same whatever the order of candidates', async (t) => {
+t.test('pickByRendezvous() does not depend on the order of candidates', async (t) => {
   const seen = names.chain((candidates) =>
     fc.tuple(
       fc.string(),
@@ -26,7 +26,7 @@
   t.equal(pickByRendezvous('key', []), undefined);
 });
 
-t.test('pickByRendezvous() moves only the keys of a candidate that goes', async (t) => {
+t.test('pickByRendezvous() moves only the keys of a removed candidate', async (t) => {
   fc.assert(
     fc.property(fc.string(), names, fc.nat(), (key, candidates, position) => {
       const gone = candidates[position % candidates.length];
@@ -47,11 +47,11 @@
     counts.set(picked, (counts.get(picked) ?? 0) + 1);
   }
   t.equal(counts.size, 8);
-  // Eight standard deviations of a fair draw are about 240.
+  // Eight standard deviations of a uniform distribution are about 240.
   counts.forEach((count, name) => t.ok(Math.abs(count - 1_000) < 240, `${name}: ${count}`));
 });
 
-t.test('sortByRendezvous() puts first what pickByRendezvous() picks', async (t) => {
+t.test('sortByRendezvous() starts with the pick of pickByRendezvous()', async (t) => {
   const candidates = ['a', 'b', 'c', 'd'];
   for (let key = 0; key < 50; key += 1) {
     const sorted = sortByRendezvous(String(key), candidates);
@@ -61,10 +61,9 @@
   }
 });
 
-t.test('pickByWeight() names each candidate as often as it can carry', async (t) => {
-  // Symptom: a machine with a quarter of the others' processor answers late all day.
-  // Sequence: callers are told of all entry hosts alike, and spread evenly.
-  // Cause: the machines are unlike.
+t.test('pickByWeight() picks candidates in proportion to their weights', async (t) => {
+  // Guards against permanently late answers of a machine with a quarter of the others'
+  // processor capacity, which happen when callers spread evenly over unequal machines.
   const strong = Array.from({ length: 6 }, (_, index) => ({ name: `s-${index}`, weight: 1.35 }));
   const weak = Array.from({ length: 56 }, (_, index) => ({ name: `w-${index}`, weight: 0.324 }));
   const counts = new Map<string, number>();
@@ -79,7 +78,7 @@
   t.ok(ratio > 2.8 && ratio < 4.2, String(ratio));
 });
 
-t.test('pickByWeight() keeps a caller with its entry hosts when one comes or goes', async (t) => {
+t.test('pickByWeight() keeps the other picks of a caller when one host is removed', async (t) => {
   const all = Array.from({ length: 30 }, (_, index) => ({ name: `h-${index}`, weight: 1 }));
   const before = pickByWeight('10.0.0.1', all, 12);
   const left = all.filter(({ name }) => name !== before[3]);
--- a/src/domain/membership/types.ts
+++ b/src/domain/membership/types.ts
@@ -1,37 +1,37 @@
 /**
- * Entry hosts as they know each other.
+ * Identity and state of entry hosts.
  *
  * @module
  */
 
-/** What an entry host tells of itself. It is new at each process start. */
+/** Identity that an entry host announces; each process start creates a new one. */
 export interface EntryHostIdentity {
-  /** Name from the settings; the same after a restart. */
+  /** Configured name, which stays the same across restarts. */
   readonly id: string;
-  /** Random at each process start, in lower-case hex. */
+  /** Random ID of the process in lower-case hex, chosen at each start. */
   readonly incarnation: string;
-  /** Base URL of the callers' listener. */
+  /** Base URL of the listener for callers. */
   readonly url: string;
-  /** URL of the peers' listener (`ws://…`). */
+  /** URL of the listener for peers (`ws://…`). */
   readonly peerUrl: string;
   readonly availabilityZone: string;
 }
 
-/** What an entry host believes of a peer. */
+/** State of a peer as an entry host sees it. */
 export enum PeerState {
   Live = 'live',
-  /** Awake, but serves no callers yet: gets no new work. */
+  /** Running, but not serving callers yet: gets no new work. */
   Starting = 'starting',
-  /** Silent for longer than the suspicion time: gets no new work. */
+  /** Silent for longer than the suspicion timeout: gets no new work. */
   Suspected = 'suspected',
-  /** Said that it stops, or the host list says so. */
+  /** Stopping, according to the peer itself or the host list. */
   Leaving = 'leaving',
 }
 
-/** One entry host, itself included, as this one sees it now. */
+/** One entry host, possibly this process itself, as this process sees it now. */
 export interface EntryHostView {
   readonly identity: EntryHostIdentity;
   readonly state: PeerState;
-  /** Time since anything was heard of it, in milliseconds; 0 for itself. */
+  /** Time since the last message from the entry host, in milliseconds; 0 for this process. */
   readonly silentMs: number;
 }
