--- a/src/domain/overlay/_known_host.ts
+++ b/src/domain/overlay/_known_host.ts
@@ -1,19 +1,22 @@
 /**
- * One other entry host, and by whose word it is there.
+ * Tracks one process of a peer and the processes that report it as heard.
  *
  * @module
  */
 import type { HostState, RosterEntry } from './types.js';
 
-/** Keeps the newest state of one process and who vouches for it. */
+/**
+ * Holds the newest state of one process of a peer, and its reporters: the processes that
+ * currently report it as heard. The process counts as heard while any reporter is live.
+ */
 export class KnownHost {
   /**
-   * Incarnations of the processes that say that it is heard, its own among them where
-   * it reports here, and whether each of them is itself heard.
+   * Reporters by incarnation, and whether each of them is live, that is, heard here itself.
+   * The process is its own reporter if it reports directly to this entry host.
    */
   readonly #reporters = new Map<string, boolean>();
 
-  /** How many of them are heard. */
+  /** Number of live reporters. */
   #liveReporterCount = 0;
 
   readonly #nextRevision: () => number;
@@ -27,9 +30,9 @@
   #revision: number;
 
   /**
-   * @param state - what its process says of itself
+   * @param state - state that the process announced about itself
    * @param nowMs - monotonic time in milliseconds
-   * @param nextRevision - gives the roster's next revision
+   * @param nextRevision - increments and returns the roster's revision
    */
   constructor(state: HostState, nowMs: number, nextRevision: () => number) {
     this.#state = state;
@@ -38,47 +41,47 @@
     this.#revision = nextRevision();
   }
 
-  /** What its process says of itself. */
+  /** Newest state that the process announced about itself. */
   get state(): HostState {
     return this.#state;
   }
 
-  /** Its process. */
+  /** Incarnation of the process. */
   get incarnation(): string {
     return this.#state.identity.incarnation;
   }
 
-  /** Roster's revision with which it last changed. */
+  /** Revision of the roster at the last change of this record. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Since when nobody vouches for it, in milliseconds. */
+  /** Monotonic time at which its last live reporter was lost, or at which it became known. */
   get silentSinceMs(): number {
     return this.#silentSinceMs;
   }
 
-  /** Whether anybody who is heard vouches for it. */
+  /** Whether any live reporter reports it as heard. */
   get isHeard(): boolean {
     return this.#liveReporterCount > 0;
   }
 
-  /** Whether it reports here itself, and is heard. */
+  /** Whether it reports directly to this entry host, and is live. */
   get reportsItself(): boolean {
     return this.isReporterLive(this.incarnation) === true;
   }
 
-  /** Whether it was ever heard; one that was only told of may well be there. */
+  /** Whether it was ever heard; a process that was only announced so far may still be running. */
   get hasBeenHeard(): boolean {
     return this.#hasBeenHeard;
   }
 
-  /** @param source - incarnation. @returns whether it vouches and is heard; undefined: it doesn't vouch */
+  /** @param source - an incarnation. @returns whether it is live; undefined if no reporter */
   isReporterLive(source: string): boolean | undefined {
     return this.#reporters.get(source);
   }
 
-  /** @param state - what its process says; an older state than the present is ignored */
+  /** @param state - state announced by the process; ignored unless newer than the known one */
   updateState(state: HostState): void {
     if (state.version <= this.#state.version) return;
     this.#state = state;
@@ -86,8 +89,10 @@
   }
 
   /**
-   * @param source - incarnation that vouches for it
-   * @param isLive - whether that one is itself heard
+   * Adds or updates a reporter.
+   *
+   * @param source - incarnation of the reporter
+   * @param isLive - whether the reporter is heard itself
    * @param nowMs - monotonic time in milliseconds
    */
   setReporter(source: string, isLive: boolean, nowMs: number): void {
@@ -100,7 +105,7 @@
     this.#recordTransition(wasHeard, nowMs);
   }
 
-  /** @param source - incarnation that vouches for it no more. @param nowMs - monotonic time */
+  /** @param source - incarnation that no longer reports it. @param nowMs - monotonic time */
   removeReporter(source: string, nowMs: number): void {
     const wasLive = this.#reporters.get(source);
     if (wasLive === undefined) return;
@@ -110,24 +115,24 @@
     this.#recordTransition(wasHeard, nowMs);
   }
 
-  /** @param silentSources - incarnations that are silent now. @param nowMs - monotonic time */
+  /** @param silentSources - incarnations that fell silent. @param nowMs - monotonic time */
   markReportersSilent(silentSources: readonly string[], nowMs: number): void {
     silentSources
       .filter((source) => this.isReporterLive(source) === true)
       .forEach((source) => this.setReporter(source, false, nowMs));
   }
 
-  /** Has it told again to those that were told of it before. */
+  /** Raises the revision, so that receivers of earlier revisions are sent this record again. */
   bumpRevision(): void {
     this.#revision = this.#nextRevision();
   }
 
   /**
-   * A restarted host's former process may still be named by those that haven't heard of
-   * the new one; its word must not bring the former back.
+   * Compares this process with another one of the same host. Peers that don't know the new
+   * process of a restarted host still announce the previous one, which must not return.
    *
    * @param entry - another process of the same host
-   * @returns whether that one is the newer
+   * @returns whether the other process replaces this one
    */
   isReplacedBy({ state, isHeard }: RosterEntry): boolean {
     const isNewer = state.bornAtMs > this.#state.bornAtMs;
--- a/src/domain/overlay/_revision_lists.ts
+++ b/src/domain/overlay/_revision_lists.ts
@@ -1,11 +1,11 @@
 /**
- * Lists that hold until anything changes.
+ * Caches lists of entry hosts until the roster changes.
  *
  * @module
  */
 import type { HostState } from './types.js';
 
-/** Which list. */
+/** Names of the cached lists. */
 export enum RosterListName {
   Heard = 'heard',
   Known = 'known',
@@ -14,8 +14,8 @@
 }
 
 /**
- * Keeps lists of one revision. Hosts come and go a few times a minute; lists of hundreds of
- * them are asked for some hundred times a second.
+ * Caches the lists of one revision of the roster. The roster changes a few times a minute, while
+ * lists of hundreds of hosts are read some hundred times a second.
  */
 export class RevisionCache {
   readonly #lists = new Map<RosterListName, readonly HostState[]>();
@@ -23,9 +23,11 @@
   #revision = -1;
 
   /**
-   * @param name - which list
-   * @param revision - the present revision
-   * @param build - makes the list anew
+   * Returns the cached list, or builds and caches it if the revision has changed.
+   *
+   * @param name - name of the list
+   * @param revision - the roster's current revision
+   * @param build - builds the list
    * @returns the list
    */
   getOrBuild(
--- a/src/domain/overlay/mod.ts
+++ b/src/domain/overlay/mod.ts
@@ -1,7 +1,7 @@
 /**
- * How entry hosts find and hear of each other when they are too many for everybody to
- * report to everybody: `pickRelays(hosts)` names those that pass reports on, and a
- * {@link Roster} keeps who is there by whose word.
+ * Membership of entry hosts when there are too many for a full mesh of reports:
+ * `pickRelays(hosts)` picks the hosts that relay reports, and a {@link Roster} tracks which
+ * hosts are heard and which processes report them.
  *
  * @module
  */
--- a/src/domain/overlay/pick_addresses.ts
+++ b/src/domain/overlay/pick_addresses.ts
@@ -1,5 +1,5 @@
 /**
- * Which entry hosts a caller is told of.
+ * Picks the entry hosts whose addresses a caller receives.
  *
  * @module
  */
@@ -8,18 +8,19 @@
 import type { PlannedHost } from './relay_plan.js';
 
 /**
- * Most addresses that a caller is told. Enough that some serve when most entry hosts are
- * lost at once, and few enough that weak ones among many are named more seldom.
+ * Maximum number of addresses per caller. It is high enough that some of them still serve when
+ * most entry hosts are lost at once, and low enough that weak entry hosts among many are
+ * returned less often than strong ones.
  */
 export const MAX_ADDRESSES = 12;
 
 /**
- * Picks addresses for a caller: all that there are, or some where they are many. Each is
- * named as often as its processor can carry; the same caller is named the same ones, and
+ * Picks addresses for a caller: up to {@link MAX_ADDRESSES} of them, each entry host in
+ * proportion to its processor cores. The same caller gets the same addresses, so that it
  * keeps its connections.
  *
- * @param hosts - entry hosts that serve
- * @param caller - who asks
+ * @param hosts - entry hosts that serve callers
+ * @param caller - identifies the caller, for example by its IP address
  * @returns the addresses
  */
 export function pickAddresses(hosts: readonly PlannedHost[], caller: string): readonly string[] {
@@ -27,23 +28,24 @@
   return pickByWeight(caller, weighted, MAX_ADDRESSES);
 }
 
-/** Where a caller is, and where its calls may be handled. */
+/** Region of a caller, and the regions in which its calls may be handled. */
 export interface CallerLocation {
-  /** Region of the caller; empty: unknown. */
+  /** Region of the caller; empty if unknown. */
   readonly callerRegion: string;
-  /** Regions that its calls are bound to. */
+  /** Regions to which the caller's calls are restricted; undefined without a restriction. */
   readonly homeRegions: Regions;
-  /** @returns region that a zone lies in; undefined for a zone that nobody knows */
+  /** @returns region of an availability zone; undefined if the zone is unknown */
   readonly findRegion: (zone: string) => string | undefined;
 }
 
 /**
- * Picks the entry hosts that a caller may be named: those of its own region, and where none
- * serves there, those of the regions that its calls are bound to. With neither, any that
- * serves: it knows best which backend servers may be used.
+ * Picks the entry hosts whose addresses a caller may receive: those of its own region, or if
+ * none serves there, those of the regions to which its calls are restricted. If none serves
+ * there either, all serving hosts qualify, since any of them knows which backend servers may
+ * be used.
  *
- * @param hosts - entry hosts that serve
- * @param place - where the caller is, and where its calls may be handled
+ * @param hosts - entry hosts that serve callers
+ * @param location - region of the caller, and the regions in which its calls may be handled
  * @returns the hosts
  */
 export function pickNearHosts<Host extends PlannedHost>(
--- a/src/domain/overlay/pick_addresses_test.ts
+++ b/src/domain/overlay/pick_addresses_test.ts
@@ -21,18 +21,19 @@
   return pickNearHosts(hosts, { callerRegion, homeRegions, findRegion });
 }
 
-t.test('pickNearHosts() names hosts of the caller’s own region', async (t) => {
-  // Guards against bodies that are sent to a region which is neither a home nor the caller's.
+t.test('pickNearHosts() returns hosts of the caller’s own region', async (t) => {
+  // Guards against request bodies sent to a region that is neither the caller's own nor one
+  // of its home regions.
   t.same(pick([NORTH, SOUTH], 'north', ['south']), [NORTH]);
   t.same(pick([NORTH, SOUTH], 'south', undefined), [SOUTH]);
 });
 
-t.test('pickNearHosts() names hosts of a home where none serves near the caller', async (t) => {
+t.test('pickNearHosts() falls back to hosts of the home regions', async (t) => {
   const third = buildHost('entry-3', 'nowhere');
   t.same(pick([NORTH, SOUTH, third], 'west', ['south']), [SOUTH]);
 });
 
-t.test('pickNearHosts() names any that serves where neither is known', async (t) => {
+t.test('pickNearHosts() returns all hosts if no region matches', async (t) => {
   t.same(pick([NORTH, SOUTH], '', undefined), [NORTH, SOUTH]);
   t.same(pick([NORTH], 'west', ['east']), [NORTH]);
 });
--- a/src/domain/overlay/relay_plan.ts
+++ b/src/domain/overlay/relay_plan.ts
@@ -1,5 +1,5 @@
 /**
- * Which entry hosts pass reports on for others.
+ * Picks the entry hosts that relay the reports of others.
  *
  * @module
  */
@@ -7,29 +7,30 @@
 import type { HostState } from './types.js';
 
 /**
- * Entry hosts up to which everybody reports to everybody. A report to a peer and its
- * answer take about half a millisecond of processor, so that at twelve entry hosts and
- * 6.7 reports a second each spends 0.04 cores on it; the cost of all together grows
- * with the square of their number.
+ * Maximum number of entry hosts that report to each other in a full mesh. A report to a peer
+ * and its answer take about half a millisecond of processor time, so that with twelve entry
+ * hosts and 6.7 reports a second each host spends 0.04 cores on reports. The total cost
+ * grows with the square of the number of hosts.
  */
 export const MAX_MESH_HOSTS = 12;
 
 /**
- * Fewest members that a relay is planned for. With as many groups as members in one,
- * a relay's links are fewest; below this size they are few in any case.
+ * Minimum group size for which a relay is planned. A relay has the fewest links when the
+ * number of groups equals the number of members per group; below this size it has few links
+ * in any case.
  */
 const MIN_GROUP_SIZE = 12;
 
-/** What a plan depends on. */
+/** Fields of an entry host on which the choice of relays and addresses depends. */
 export type PlannedHost = Pick<HostState, 'identity' | 'cores'>;
 
 /**
- * Picks the relays of each availability zone, the strongest entry hosts first. All that
- * see the same entry hosts pick the same relays; where views differ for a moment,
- * members find a relay by asking the next.
+ * Picks the relays of each availability zone, preferring the entry hosts with the most cores.
+ * Entry hosts that know the same hosts pick the same relays; while their views differ,
+ * members find a relay by trying one after the other.
  *
- * @param hosts - entry hosts that are heard and stay, this one included
- * @returns the relays' IDs; all IDs where everybody reports to everybody
+ * @param hosts - entry hosts that are heard and not leaving, this one included
+ * @returns the IDs of the relays; all IDs in a full mesh
  */
 export function pickRelays(hosts: readonly PlannedHost[]): ReadonlySet<string> {
   if (hosts.length <= MAX_MESH_HOSTS) return new Set(hosts.map(({ identity }) => identity.id));
@@ -44,13 +45,13 @@
 }
 
 /**
- * Orders relays by how well they suit a member: those of its own availability zone
- * first, whose reports cross no zone, and among these an order of the member's own, so
- * that members spread evenly and the relays of a lost one's members do too.
+ * Orders relays by preference for a member. Relays of its own availability zone come first, so
+ * that reports don't cross zones. Within each group the order differs from member to member,
+ * so that members spread evenly over relays, and so do the members of a lost relay.
  *
- * @param member - who looks for a relay
+ * @param member - entry host that needs a relay
  * @param relays - the relays
- * @returns the relays' IDs, best first
+ * @returns the IDs of the relays, most preferred first
  */
 export function rankRelays(member: PlannedHost, relays: readonly PlannedHost[]): readonly string[] {
   const { id, availabilityZone } = member.identity;
--- a/src/domain/overlay/relay_plan_test.ts
+++ b/src/domain/overlay/relay_plan_test.ts
@@ -11,11 +11,11 @@
   return Array.from({ length: count }, (_, index) => buildHost(`${zone}-${index}`, zone, cores));
 }
 
-t.test('pickRelays() has everybody report to everybody where they are few', async (t) => {
+t.test('pickRelays() returns all hosts up to the maximum mesh size', async (t) => {
   t.equal(pickRelays(buildZone('hall-a', MAX_MESH_HOSTS)).size, MAX_MESH_HOSTS);
 });
 
-t.test('pickRelays() picks the strongest of each availability zone', async (t) => {
+t.test('pickRelays() picks the hosts with the most cores of each zone', async (t) => {
   const hosts = [
     ...buildZone('hall-a', 20),
     buildHost('strong-a', 'hall-a', 2),
@@ -27,17 +27,14 @@
   t.equal(relays.size, 3);
 });
 
-t.test(
-  'pickRelays() keeps groups and relays both few at the size of two years from now',
-  async (t) => {
-    const hosts = ['a', 'b', 'c', 'd'].flatMap((zone) => buildZone(zone, 103));
-    const relays = pickRelays(hosts).size;
-    t.ok(relays <= 24, String(relays));
-    t.ok(412 / relays <= 21, String(412 / relays));
-  },
-);
+t.test('pickRelays() keeps the relays few and the groups small for 412 entry hosts', async (t) => {
+  const hosts = ['a', 'b', 'c', 'd'].flatMap((zone) => buildZone(zone, 103));
+  const relays = pickRelays(hosts).size;
+  t.ok(relays <= 24, String(relays));
+  t.ok(412 / relays <= 21, String(412 / relays));
+});
 
-t.test('rankRelays() puts the own availability zone first, and spreads members', async (t) => {
+t.test('rankRelays() starts with the member’s own zone and spreads members', async (t) => {
   const relays = [...buildZone('hall-a', 2), ...buildZone('hall-b', 2)];
   const firsts = new Map<string, number>();
   for (let index = 0; index < 200; index += 1) {
--- a/src/domain/overlay/roster.ts
+++ b/src/domain/overlay/roster.ts
@@ -1,5 +1,5 @@
 /**
- * Entry hosts as one of them knows all.
+ * The roster: the entry hosts that one of them knows, including hosts known through relays.
  *
  * @module
  */
@@ -9,79 +9,79 @@
 import type { HostState, RosterEntry } from './types.js';
 
 /**
- * Silence after which an entry host counts as gone, in milliseconds: six reports.
- * Callers are sent to nobody who has been silent for longer.
+ * Silence after which an entry host counts as gone, in milliseconds: six report intervals.
+ * Callers are not sent to a host that has been silent for longer.
  */
 export const SILENT_AFTER_MS = 900;
 
-/** Silence after which an entry host is forgotten, in milliseconds; a restart takes some seconds. */
+/** Silence after which a host is forgotten, in milliseconds; a restart takes a few seconds. */
 const FORGET_AFTER_MS = 20_000;
 
-/** What time has brought. */
+/** Entry hosts that fell silent or were forgotten in one check. */
 export interface RosterExpiry {
   readonly silent: readonly HostState[];
   readonly forgotten: readonly HostState[];
 }
 
-/** Whom an entry is about. */
+/** Record to which a received entry applies. */
 interface EntryTarget {
   readonly known: KnownHost;
-  /** Whether it is another process than the one that was known. */
+  /** Whether the entry's process differs from the host's current one. */
   readonly isNew: boolean;
 }
 
 /**
- * Who is there, by whose word, and what has changed since when.
+ * Tracks the known entry hosts, the processes that report each of them, and the revision of
+ * each host's last change.
  *
- * An entry host that moves from one relay to another is for a moment vouched for by
- * both, and the former reports it silent after it has long been heard again. It counts
- * as heard while anybody who is heard vouches for it, so that a move makes nobody
- * disappear.
+ * An entry host that moves from one relay to another is briefly reported by both, and the
+ * previous relay reports it silent after the new one has reported it as heard. The host counts
+ * as heard while any live process reports it, so that the move does not make it disappear.
  */
 export class Roster {
   readonly #known = new Map<string, KnownHost>();
 
-  /** Other processes of known hosts, by the hosts' names. */
+  /** By host ID: a second process, which replaces the current one when that falls silent. */
   readonly #alternates = new Map<string, KnownHost>();
 
   readonly #lastContactAtMs = new Map<string, number>();
 
-  /** Those of them that weren't silent when last looked at. */
+  /** Incarnations that were not silent at the last check. */
   readonly #liveSources = new Set<string>();
 
-  /** Incarnations that report here as members, and those that did. */
+  /** Incarnations that are or were members, that is, use this process as their relay. */
   readonly #members = new Set<string>();
 
   #self: HostState;
 
   #selfRevision = 1;
 
-  /** Lists that were made at the present revision; asked for with each report and each round. */
+  /** Lists of the current revision, which are read with each report and each report round. */
   readonly #listCache = new RevisionCache();
 
   #revision = 1;
 
-  /** @param self - what this process says of itself */
+  /** @param self - state that this process announces about itself */
   constructor(self: HostState) {
     this.#self = self;
   }
 
-  /** Rises with each change. */
+  /** Number that rises with each change. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Entry hosts that are known, this one included. */
+  /** Number of known entry hosts, this one included. */
   get size(): number {
     return this.#known.size + 1;
   }
 
-  /** What this process says of itself. */
+  /** State that this process announces about itself. */
   get self(): HostState {
     return this.#self;
   }
 
-  /** @param changes - what has changed about this process; its version rises only if something has */
+  /** @param changes - state of this process; its version rises only if a value differs */
   updateSelf(changes: Pick<HostState, 'isServing' | 'isInTouch' | 'isLeaving'>): void {
     const { isServing, isInTouch, isLeaving } = this.#self;
     const isSame =
@@ -94,24 +94,24 @@
     this.#selfRevision = this.#revision;
   }
 
-  /** @param source - incarnation that was heard. @param nowMs - monotonic time in milliseconds */
+  /** @param source - sender of a report. @param nowMs - monotonic time in milliseconds */
   noteHeard(source: string, nowMs: number): void {
     this.#lastContactAtMs.set(source, nowMs);
     if (this.#liveSources.has(source)) return;
     this.#liveSources.add(source);
-    // Only changes are told: whom it vouched for before its silence isn't named again.
+    // Reports contain changes only, so hosts reported before the silence are not repeated.
     [...this.#known.values(), ...this.#alternates.values()].forEach((known) => {
       if (known.isReporterLive(source) === false) known.setReporter(source, true, nowMs);
     });
   }
 
   /**
-   * Takes in what a process says of an entry host.
+   * Applies an entry that a process has sent about an entry host.
    *
-   * @param source - incarnation of who says it
-   * @param entry - what it says
+   * @param source - incarnation of the sender
+   * @param entry - the entry
    * @param nowMs - monotonic time in milliseconds
-   * @returns whether the entry host's process wasn't known before
+   * @returns whether the entry's process has become the current one of its host
    */
   apply(source: string, entry: RosterEntry, nowMs: number): boolean {
     const { id } = entry.state.identity;
@@ -129,10 +129,10 @@
   }
 
   /**
-   * Finds who has been silent for too long.
+   * Checks for silent entry hosts, and forgets those that have been silent for long.
    *
    * @param nowMs - monotonic time in milliseconds
-   * @returns entry hosts that are newly silent, and those that are forgotten
+   * @returns entry hosts that have fallen silent, and those that were forgotten
    */
   expire(nowMs: number): RosterExpiry {
     const newlySilent: HostState[] = [];
@@ -160,10 +160,10 @@
   }
 
   /**
-   * Notes that this process speaks for another one from now on: receivers that were told
-   * of it before, without that word, are told again.
+   * Adds a member, which this process reports to other relays from now on. Receivers are sent
+   * its entry again, since an earlier one did not report the host as heard.
    *
-   * @param member - the member's process
+   * @param member - identity of the member's process
    */
   addMember(member: EntryHostIdentity): void {
     if (this.#members.has(member.incarnation)) return;
@@ -182,7 +182,7 @@
     return this.#listCached(RosterListName.Serving, isServing).length;
   }
 
-  /** @returns peers that are heard, and those that others have told of and nobody was silent about */
+  /** @returns peers that are heard, and announced peers that were never heard so far */
   listPresumed(): readonly HostState[] {
     return this.#listCached(
       RosterListName.Presumed,
@@ -190,33 +190,33 @@
     );
   }
 
-  /** @returns all peers that are known */
+  /** @returns all known peers */
   listKnown(): readonly HostState[] {
     return this.#listCached(RosterListName.Known, () => true);
   }
 
-  /** @param id - an entry host's name. @returns whether it is heard */
+  /** @param id - an entry host's ID. @returns whether it is heard */
   isHeard(id: string): boolean {
     return this.#known.get(id)?.isHeard === true;
   }
 
-  /** @param id - an entry host's name. @returns its process */
+  /** @param id - a peer's ID. @returns state of its current process; undefined if unknown */
   find(id: string): HostState | undefined {
     return this.#known.get(id)?.state;
   }
 
-  /** @param identity - a process. @returns whether its entry host is known by it */
+  /** @param identity - a process. @returns whether it is the current one of its host */
   knowsProcess({ id, incarnation }: EntryHostIdentity): boolean {
     return this.find(id)?.identity.incarnation === incarnation;
   }
 
   /**
-   * Lists what a receiver hasn't seen.
+   * Lists the entries that have changed since a receiver's revision.
    *
-   * @param afterRevision - revision that it has; 0: none
-   * @param isForMember - whether the receiver hears of everybody through this process;
-   *   else this process speaks for its members, and others for all others
-   * @returns entries; a receiver that has nothing yet is told of all that are heard
+   * @param afterRevision - last revision that the receiver has; 0 if none
+   * @param isForMember - whether the receiver is a member, which receives all hosts through
+   *   this process; for other receivers this process reports only its own members as heard
+   * @returns the entries; a receiver without a revision gets all hosts that are heard
    */
   listChanges(afterRevision: number, isForMember: boolean): RosterEntry[] {
     if (afterRevision >= this.#revision) return [];
@@ -229,7 +229,7 @@
         if (this.#members.has(incarnation)) {
           return [{ state, isHeard: known.isReporterLive(incarnation) === true }];
         }
-        // Others vouch for these: it is enough to know of them.
+        // Other relays report these hosts as heard; the receiver only learns that they exist.
         return afterRevision === 0 && isHeard ? [{ state, isHeard: false }] : [];
       });
     return this.#selfRevision > afterRevision
@@ -238,10 +238,11 @@
   }
 
   /**
-   * Finds whom an entry is about. Of two processes of one host one is over. The wall clock says
-   * which only as long as nobody sets it back, so the later start decides among those that are
-   * only told of; whoever reports itself is there; and the other one is kept as a rival until
-   * the present one is silent, since nobody tells of it again while nothing changes.
+   * Finds the record for an entry. Of two processes of one host, one has ended. The wall clock
+   * tells which one only if it was not set back, so a process that reports itself directly is
+   * the current one, and the later start decides between processes that were only announced.
+   * The other process is kept as the alternate until the current one is silent, since its entry
+   * is not sent again while nothing changes.
    */
   #pickTarget(source: string, entry: RosterEntry, nowMs: number): EntryTarget | undefined {
     const { id, incarnation } = entry.state.identity;
@@ -263,7 +264,7 @@
     return { known, isNew: true };
   }
 
-  /** Puts a rival that is heard in the place of a process that isn't. @returns whether it did */
+  /** Replaces a silent process by an alternate that is heard. @returns whether it did so */
   #promoteAlternate(id: string): boolean {
     const alternate = this.#alternates.get(id);
     if (!alternate?.isHeard || this.#known.get(id)?.isHeard) return false;
@@ -280,7 +281,7 @@
     });
   }
 
-  /** Processes that were heard when last looked at, and have been silent for too long since. */
+  /** Removes and returns the live sources that have been silent for too long. */
   #takeSilentSources(nowMs: number): readonly string[] {
     const silentSources = [...this.#liveSources].filter((source) => !this.#isFresh(source, nowMs));
     silentSources.forEach((source) => this.#liveSources.delete(source));
--- a/src/domain/overlay/roster_test.ts
+++ b/src/domain/overlay/roster_test.ts
@@ -30,10 +30,10 @@
   return roster.listHeard().map(({ identity }) => identity.id);
 }
 
-t.test('Roster hears an entry host while anybody who is heard vouches for it', async (t) => {
-  // Symptom: an entry host disappears from callers' addresses while it serves.
-  // Sequence: it moves from one relay to another; the former says that it is silent.
-  // Cause: the last word counted, whoever's it was.
+t.test('Roster counts a host as heard while any live process reports it', async (t) => {
+  // Guards against a serving entry host that disappears from callers' addresses. It moves
+  // from one relay to another, and the previous relay reports it silent. The last report must
+  // not count regardless of its sender.
   const roster = new Roster(buildState('self'));
   roster.noteHeard('r1', 0);
   roster.noteHeard('r2', 0);
@@ -45,10 +45,10 @@
   t.same(listHeardIds(roster), []);
 });
 
-t.test('Roster loses all that a silent relay vouched for, and has them back with it', async (t) => {
-  // Symptom: after a relay's short silence its members stay unknown.
-  // Sequence: the relay is silent for a second; it goes on and tells changes only.
-  // Cause: whom it vouched for before isn't named again.
+t.test('Roster drops the hosts of a silent relay, and restores them with it', async (t) => {
+  // Guards against members that stay unknown after a short silence of their relay. After a
+  // second of silence the relay continues and reports changes only, so it does not repeat the
+  // members that it reported before.
   const roster = new Roster(buildState('self'));
   roster.noteHeard('r1', 0);
   roster.apply('r1', { state: buildState('m'), isHeard: true }, 0);
@@ -62,7 +62,7 @@
   t.same(listHeardIds(roster), ['m']);
 });
 
-t.test('Roster believes a newer process of a host, and not the former one', async (t) => {
+t.test('Roster keeps the newer process of a host when the previous one is reported', async (t) => {
   const roster = new Roster(buildState('self'));
   roster.noteHeard('r1', 0);
   t.ok(roster.apply('r1', { state: buildState('m'), isHeard: true }, 0));
@@ -72,7 +72,7 @@
   t.equal(roster.find('m')?.identity.incarnation, 'm-2');
 });
 
-t.test('Roster believes a process told of by others once the former is silent', async (t) => {
+t.test('Roster accepts an announced process once the previous one is silent', async (t) => {
   const roster = new Roster(buildState('self'));
   roster.noteHeard('m-1', 0);
   roster.apply('m-1', { state: buildState('m'), isHeard: true }, 0);
@@ -86,12 +86,11 @@
 });
 
 t.test(
-  'a process that started on a clock set back is believed when it reports itself',
+  'a process that started after its clock was set back is accepted when it reports itself',
   async (t) => {
-    // Symptom: a restarted entry host serves, and callers are never sent to it.
-    // Sequence: its clock is set back, it restarts, and reports to a relay; another relay still
-    // hears the former process and tells of it.
-    // Cause: the later start by the wall clock counted as the newer process.
+    // Guards against a restarted entry host that serves but gets no callers. Its clock is set
+    // back, it restarts and reports to a relay, while another relay still hears and announces
+    // the previous process. The later start by the wall clock is not always the newer process.
     const roster = new Roster(buildState('self'));
     const former = buildState('m', { bornAtMs: 9_000 }, 'm-1');
     const next = buildState('m', { bornAtMs: 1_000 }, 'm-2');
@@ -106,11 +105,11 @@
   },
 );
 
-t.test('a process that was told of while its former one was heard follows it', async (t) => {
-  // Symptom: an entry host that restarted on a clock set back is unknown to all but its relay.
-  // Sequence: its relay tells of the new process while another still vouches for the former;
-  // then the former falls silent, and the new one isn't told again, since nothing changed.
-  // Cause: what was told of the new process was thrown away.
+t.test('a process announced while the previous one is heard replaces it later', async (t) => {
+  // Guards against an entry host that stays unknown to all but its relay after a restart with
+  // its clock set back. Its relay announces the new process while another relay still reports
+  // the previous one. When that one falls silent, the new one isn't announced again, since it
+  // has not changed; its first entry must therefore be kept.
   const roster = new Roster(buildState('self'));
   const former = buildState('m', { bornAtMs: 9_000 }, 'm-1');
   const next = buildState('m', { bornAtMs: 1_000 }, 'm-2');
@@ -124,9 +123,9 @@
   t.same(listHeardIds(roster), ['m']);
 });
 
-t.test('whatever the clocks did, all believe in the process that is heard in the end', async () => {
-  // Two relays tell of two processes of one host in any order, with any starts by the clock;
-  // in the end one process reports to one of the relays, and the other one to nobody.
+t.test('the process heard last is the current one, whatever the start times', async () => {
+  // Two relays announce two processes of one host in any order, with any start times. In the
+  // end one process reports to one of the relays, and the other process to none.
   const wordArbitrary = fc.record({
     relay: fc.constantFrom('r1', 'r2'),
     process: fc.constantFrom('m-1', 'm-2'),
@@ -159,7 +158,7 @@
   );
 });
 
-t.test('Roster tells changes since a revision, and of itself only what is new', async (t) => {
+t.test('Roster lists changes since a revision, and itself only after a change', async (t) => {
   const roster = new Roster(buildState('self'));
   roster.noteHeard('m-1', 0);
   roster.apply('m-1', { state: buildState('m'), isHeard: true }, 0);
@@ -175,10 +174,10 @@
   );
 });
 
-t.test('Roster speaks for its members only, and tells of the others that they exist', async (t) => {
-  // Symptom: an entry host that died long ago is named to callers for ever.
-  // Sequence: two relays each tell the other that they hear it, by the other's word.
-  // Cause: word of others was passed on as one's own.
+t.test('Roster reports only its members as heard, and announces other hosts', async (t) => {
+  // Guards against a dead entry host whose address callers get for good. Two relays would keep
+  // reporting it to each other as heard, each because of the other's report, if reports of
+  // others were passed on as first-hand knowledge.
   const roster = new Roster(buildState('self'));
   ['m-1', 'r2'].forEach((source) => roster.noteHeard(source, 0));
   roster.apply('m-1', { state: buildState('m'), isHeard: true }, 0);
@@ -194,10 +193,10 @@
   ]);
 });
 
-t.test('Roster tells a member again that it told as a stranger before', async (t) => {
-  // Symptom: one relay's members are unknown to another relay for good.
-  // Sequence: a stranger reports here and is told of to nobody; it becomes a member.
-  // Cause: nothing about it had changed since, so that it wasn't told.
+t.test('Roster lists a host again when it becomes a member', async (t) => {
+  // Guards against members of one relay that stay unknown to another relay. An unknown peer
+  // reports here and is announced to no other relay. Then it becomes a member, and must be
+  // listed although its state has not changed since.
   const roster = new Roster(buildState('self'));
   roster.noteHeard('m-1', 0);
   roster.apply('m-1', { state: buildState('m'), isHeard: true }, 0);
--- a/src/domain/overlay/types.ts
+++ b/src/domain/overlay/types.ts
@@ -1,40 +1,40 @@
 /**
- * What entry hosts tell each other of each other.
+ * What entry hosts report to each other about entry hosts.
  *
  * @module
  */
 import type { EntryHostIdentity } from '../membership/mod.js';
 
-/** Which entry hosts' figures a report contains. */
+/** Which entry hosts' stats a report contains. */
 export enum ReportScope {
-  /** The sender alone, who asks the receiver for the figures of all others. */
+  /** The sender alone, which requests the stats of all other hosts from the receiver. */
   Member = 'member',
   /** The sender and its members, from one relay to another. */
   Group = 'group',
-  /** Everybody but the receiver, from a relay to its member. */
+  /** All entry hosts but the receiver, from a relay to its member. */
   Fleet = 'fleet',
 }
 
-/** What one process of an entry host says of itself; its own process alone changes it. */
+/** State that a process of an entry host announces about itself; no other process changes it. */
 export interface HostState {
   readonly identity: EntryHostIdentity;
-  /** When the process began, in milliseconds of the wall clock; tells two processes of one host apart. */
+  /** Wall clock time of the process start, in milliseconds; orders two processes of one host. */
   readonly bornAtMs: number;
   /** Rises with each change that the process makes to its state. */
   readonly version: number;
-  /** Processor cores that it may use: how much it can carry beside the others. */
+  /** Processor cores that it may use: its capacity relative to other entry hosts. */
   readonly cores: number;
   /** Whether callers may be sent to it. */
   readonly isServing: boolean;
-  /** Whether its own reads reach the shared store. */
+  /** Whether its reads of the shared store succeed. */
   readonly isInTouch: boolean;
   /** Whether it is about to stop. */
   readonly isLeaving: boolean;
 }
 
-/** An entry host as one that knows it passes it on. */
+/** Entry about an entry host in a report. */
 export interface RosterEntry {
   readonly state: HostState;
-  /** Whether the sender has heard of it a short while ago, directly or by its own relay. */
+  /** Whether the sender has recently received a report from it, directly or through a relay. */
   readonly isHeard: boolean;
 }
--- a/src/domain/requests/mod.ts
+++ b/src/domain/requests/mod.ts
@@ -1,7 +1,7 @@
 /**
- * Request IDs, the one-way states of requests and the ledger of their owner.
- * `new RequestLedger(incarnation).accept(parseRequestId(text, key), hash, now)`
- * tells whether this call is the one that may run.
+ * Request IDs, the one-way states of requests and the ledger of an owner's requests.
+ * `new RequestLedger(incarnation).accept(parseRequestId(text, key), hash, now)` returns
+ * whether this call is the first with its ID, which is the only one that may run.
  *
  * @module
  */
--- a/src/domain/requests/request_id.ts
+++ b/src/domain/requests/request_id.ts
@@ -1,5 +1,6 @@
 /**
- * Request IDs: who owns a request, for whom, and until when.
+ * Creates and parses request IDs, which carry the owner, the client account and the expiry time
+ * of a request.
  *
  * @module
  */
@@ -15,37 +16,37 @@
 const FIXED_BYTES = INCARNATION_BYTES + NONCE_BYTES + ACCOUNT_BYTES + EXPIRY_BYTES;
 const MAX_TEXT_LENGTH = 256;
 
-/** What a request ID says. */
+/** A request ID and its fields. */
 export interface RequestId {
-  /** The whole ID as it travels. */
+  /** The whole ID as sent in headers and messages. */
   readonly text: string;
   /** Entry host that owns the request. */
   readonly ownerId: string;
-  /** The one incarnation of it that may dispatch the request, in lower-case hex. */
+  /** The only incarnation of the owner that may dispatch the request, in lower-case hex. */
   readonly incarnation: string;
-  /** Tells requests of one owner apart, in lower-case hex. */
+  /** Distinguishes the requests of one owner, in lower-case hex. */
   readonly nonce: string;
-  /** Hash of the client account that it was given to, in lower-case hex. */
+  /** Hash of the ID of the client account to which the ID was issued, in lower-case hex. */
   readonly accountHash: string;
-  /** End of its life, wall clock of the owner, in milliseconds since the Unix epoch. */
+  /** Expiry time by the owner's wall clock, in milliseconds since the Unix epoch. */
   readonly expiresAtMs: number;
 }
 
-/** What goes into a new request ID. */
+/** Fields of a new request ID. */
 export interface RequestIdFields {
   readonly ownerId: string;
   /** 8 bytes in lower-case hex. */
   readonly incarnation: string;
-  /** 12 unpredictable bytes. */
+  /** 12 random bytes that callers can't predict. */
   readonly nonce: Uint8Array;
   readonly accountId: string;
   readonly expiresAtMs: number;
 }
 
 /**
- * Hashes a client account's ID as request IDs carry it.
+ * Hashes the ID of a client account for use in request IDs.
  *
- * @param accountId - the account
+ * @param accountId - ID of the client account
  * @returns 8 bytes in lower-case hex
  */
 export function hashAccountId(accountId: string): string {
@@ -56,10 +57,10 @@
 }
 
 /**
- * Creates a request ID. Any entry host may create one for any owner, since the
- * nonce needs no agreement; only the owner ever acts on it.
+ * Creates a request ID. Any entry host may create one for any owner, since the random nonce
+ * needs no coordination and only the owner dispatches the request.
  *
- * @param fields - what it says
+ * @param fields - fields of the ID
  * @param key - the key that all entry hosts share
  * @returns the ID
  */
@@ -78,32 +79,32 @@
 }
 
 /**
- * Parses a request ID and checks its MAC. It does not check the expiry: only
- * the owner's clock decides that.
+ * Parses a request ID and checks its MAC. It does not check the expiry time, which only the
+ * owner's clock decides.
  *
- * @param text - the ID as it came
+ * @param text - the ID as received
  * @param key - the key that all entry hosts share
- * @returns what the ID says
+ * @returns the ID and its fields
  * @throws SchedulerError of kind RequestIdInvalid
  */
 export function parseRequestId(text: string, key: Uint8Array): RequestId {
   if (!text.startsWith(PREFIX) || text.length > MAX_TEXT_LENGTH)
-    throw buildInvalidIdError('its form');
+    throw buildInvalidIdError('prefix or length');
   const bytes = Buffer.from(text.slice(PREFIX.length), 'base64url');
-  if (bytes.length <= MAC_BYTES + FIXED_BYTES) throw buildInvalidIdError('its length');
-  // base64url decoding is lenient: two texts may decode to the same bytes. One
-  // request must have one name, so only the canonical text is taken.
-  if (PREFIX + bytes.toString('base64url') !== text) throw buildInvalidIdError('its encoding');
+  if (bytes.length <= MAC_BYTES + FIXED_BYTES) throw buildInvalidIdError('payload length');
+  // base64url decoding is lenient: two texts may decode to the same bytes. A request must
+  // have only one ID, so only the canonical text is accepted.
+  if (PREFIX + bytes.toString('base64url') !== text) throw buildInvalidIdError('encoding');
   const payload = bytes.subarray(MAC_BYTES);
   if (!timingSafeEqual(computeMac(payload, key), bytes.subarray(0, MAC_BYTES))) {
-    throw buildInvalidIdError('its MAC');
+    throw buildInvalidIdError('MAC');
   }
   return decodePayload(text, payload);
 }
 
 function buildInvalidIdError(fault: string): SchedulerError {
   return new SchedulerError(ErrorKind.RequestIdInvalid, {
-    message: `Cannot parse request ID: ${fault} does not match`,
+    message: `Cannot parse request ID: invalid ${fault}`,
   });
 }
 
--- a/src/domain/requests/request_id_test.ts
+++ b/src/domain/requests/request_id_test.ts
@@ -12,7 +12,7 @@
   expiresAtMs: 1_800_000_000_123,
 };
 
-/** Tells the kind of error that a text is refused with. */
+/** Finds the kind of error with which a text is refused; undefined if it is accepted. */
 function findRefusal(text: string, key = KEY): ErrorKind | undefined {
   try {
     parseRequestId(text, key);
@@ -22,7 +22,7 @@
   }
 }
 
-t.test('parseRequestId() gives back what createRequestId() was told', async (t) => {
+t.test('parseRequestId() returns the fields given to createRequestId()', async (t) => {
   const id = createRequestId(FIELDS, KEY);
   t.same(parseRequestId(id.text, KEY), id);
   t.equal(id.ownerId, 'entry-1');
@@ -30,15 +30,14 @@
   t.equal(id.accountHash, hashAccountId('firm-a'));
 });
 
-t.test('parseRequestId() refuses an ID under another key', async (t) => {
+t.test('parseRequestId() refuses an ID created with another key', async (t) => {
   const { text } = createRequestId(FIELDS, KEY);
   t.equal(findRefusal(text, Buffer.alloc(32, 8)), ErrorKind.RequestIdInvalid);
 });
 
-t.test('parseRequestId() takes one text for one request', async (t) => {
-  // Symptom: a request ran twice under one ID. Sequence: the same ID came in two
-  // spellings that decode alike. Cause: base64url decoding ignores padding bits
-  // and foreign characters.
+t.test('parseRequestId() accepts only one text per request', async (t) => {
+  // Guards against a request that runs twice under one ID, which arrives in two spellings
+  // that decode alike, since base64url decoding ignores padding bits and foreign characters.
   const { text } = createRequestId(FIELDS, KEY);
   [`${text}=`, `${text}.`, `${text} `, text.replace('mh1_', 'MH1_')].forEach((other) => {
     t.equal(findRefusal(other), ErrorKind.RequestIdInvalid, other);
@@ -57,7 +56,7 @@
   );
 });
 
-t.test('parseRequestId() survives any text', async (t) => {
+t.test('parseRequestId() refuses arbitrary text', async (t) => {
   fc.assert(
     fc.property(fc.string({ maxLength: 300 }), (text) => {
       t.equal(findRefusal(`mh1_${text}`), ErrorKind.RequestIdInvalid);
--- a/src/domain/requests/request_ledger.ts
+++ b/src/domain/requests/request_ledger.ts
@@ -1,5 +1,5 @@
 /**
- * Every request that one incarnation of an entry host owns.
+ * The ledger of all requests that one incarnation of an entry host owns.
  *
  * @module
  */
@@ -8,20 +8,20 @@
 import { RequestState } from './request_state.js';
 import type { RequestId } from './request_id.js';
 
-/** Fingerprint of a record that was made without a call. */
+/** Fingerprint of a record that was created without a call. */
 const VOID_FINGERPRINT = '';
 
-/** What became of a call that came with a request ID. */
+/** Result of accepting a call with a request ID. */
 export interface Acceptance {
   readonly record: RequestRecord;
-  /** True for the one call that may run; false for each later copy of it. */
+  /** Whether this is the first call with the ID, which may run; false for each later copy. */
   readonly isFirst: boolean;
 }
 
 /**
- * Requests by nonce. A record stays until its ID has expired, so that no copy
- * of a call can find its ID forgotten and run again. IDs that were given out
- * and never used take no room: the MAC proves them.
+ * Holds an owner's requests by nonce. A record is kept until its ID has expired, so that a
+ * late copy of a call can't run again because its ID was forgotten. Issued IDs that were never
+ * used take no memory, since their MAC proves their origin.
  */
 export class RequestLedger {
   readonly #incarnation: string;
@@ -30,24 +30,24 @@
 
   #latestWallMs = 0;
 
-  /** @param incarnation - the owner's; IDs of any other are turned away */
+  /** @param incarnation - the owner's incarnation; IDs of any other incarnation are refused */
   constructor(incarnation: string) {
     this.#incarnation = incarnation;
   }
 
-  /** Records that are kept now. */
+  /** Number of records that are kept now. */
   get size(): number {
     return this.#records.size;
   }
 
   /**
-   * Takes in a call. The first call with an ID makes the record, later ones
-   * find it, whatever became of the first.
+   * Accepts a call. The first call with an ID creates the record; later calls find that record,
+   * whatever the outcome of the first one.
    *
-   * @param id - the call's ID, its MAC checked
+   * @param id - the call's request ID, whose MAC has been checked
    * @param fingerprint - hash of the call
    * @param wallMs - the owner's wall clock
-   * @returns the record, and whether this call is the one that may run
+   * @returns the record, and whether this call is the first one, which may run
    * @throws SchedulerError of kind OwnerGone, RequestIdMismatch or RequestIdExpired
    */
   accept(id: RequestId, fingerprint: string, wallMs: number): Acceptance {
@@ -67,9 +67,9 @@
   /**
    * Finds a request.
    *
-   * @param id - its ID, the MAC checked
+   * @param id - the request's ID, whose MAC has been checked
    * @param wallMs - the owner's wall clock
-   * @returns the record; undefined when the ID was never used and still may be
+   * @returns the record; undefined if the ID is unused and has not expired
    * @throws SchedulerError of kind OwnerGone or RequestIdExpired
    */
   find(id: RequestId, wallMs: number): RequestRecord | undefined {
@@ -80,12 +80,12 @@
   }
 
   /**
-   * Uses an ID up without a call, so that a copy still on its way won't run.
+   * Refuses an unused ID, so that a call with that ID which is still on its way won't run.
    *
-   * @param id - its ID, the MAC checked
-   * @param error - what later copies are told
+   * @param id - the request ID, whose MAC has been checked
+   * @param error - error that later calls with the ID receive
    * @param wallMs - the owner's wall clock
-   * @returns the record
+   * @returns the existing record of the ID, or a new one that is refused
    */
   void(id: RequestId, error: SchedulerError, wallMs: number): RequestRecord {
     const known = this.find(id, wallMs);
@@ -96,13 +96,13 @@
   }
 
   /**
-   * The last check, right before the body leaves. A process that was paused
-   * between its decision and this moment finds its ID expired here, when its
-   * callers may have been told long ago that it can't be reached.
+   * Checks a request right before the hand-over of its body. If the process was paused after
+   * it had decided to dispatch the request, the ID may have expired meanwhile, and the caller
+   * may have been told long ago that the owner is unreachable.
    *
    * @param record - the request
    * @param wallMs - the owner's wall clock
-   * @returns whether the body may leave
+   * @returns whether the body may be handed over
    */
   mayHandOver(record: RequestRecord, wallMs: number): boolean {
     return (
@@ -115,20 +115,20 @@
   /**
    * @param id - a request ID
    * @param wallMs - the owner's wall clock
-   * @returns whether its life is over
+   * @returns whether the ID has expired
    */
   isExpired(id: RequestId, wallMs: number): boolean {
-    // A wall clock that is set back would bring an expired ID, whose record is
-    // gone, to life again. The latest time ever seen decides.
+    // The latest time ever seen decides: otherwise a wall clock that is set back would make an
+    // expired ID, whose record has been removed, valid again.
     this.#latestWallMs = Math.max(this.#latestWallMs, wallMs);
     return this.#latestWallMs >= id.expiresAtMs;
   }
 
   /**
-   * Forgets final requests whose IDs have expired.
+   * Removes the records of final requests whose IDs have expired.
    *
    * @param wallMs - the owner's wall clock
-   * @returns the forgotten records
+   * @returns the removed records
    */
   prune(wallMs: number): readonly RequestRecord[] {
     const pruned = [...this.#records.values()].filter(
@@ -138,7 +138,7 @@
     return pruned;
   }
 
-  /** @returns requests that are not final */
+  /** @returns the records of all requests that are not in a final state */
   listOpen(): readonly RequestRecord[] {
     return [...this.#records.values()].filter((record) => !record.isFinal);
   }
@@ -146,7 +146,7 @@
   #checkOwner(id: RequestId): void {
     if (id.incarnation === this.#incarnation) return;
     throw new SchedulerError(ErrorKind.OwnerGone, {
-      message: `Cannot tell what became of the request: incarnation ${id.incarnation} of ${id.ownerId} is gone`,
+      message: `Cannot tell the outcome of the request: incarnation ${id.incarnation} of ${id.ownerId} is gone`,
       requestId: id.text,
     });
   }
@@ -154,7 +154,7 @@
 
 function buildMismatchError(known: RequestRecord): SchedulerError {
   return new SchedulerError(ErrorKind.RequestIdMismatch, {
-    message: 'Cannot take the call: its request ID was used for another call',
+    message: 'Cannot accept the call: its request ID was used for another call',
     run: known.run,
     requestId: known.id.text,
   });
@@ -162,7 +162,7 @@
 
 function buildExpiredError(id: RequestId): SchedulerError {
   return new SchedulerError(ErrorKind.RequestIdExpired, {
-    message: 'Cannot take the call: its request ID has expired',
+    message: 'Cannot accept the call: its request ID has expired',
     run: RunOutcome.MayHaveRun,
     requestId: id.text,
   });
--- a/src/domain/requests/request_record.ts
+++ b/src/domain/requests/request_record.ts
@@ -1,5 +1,5 @@
 /**
- * One request as its owner knows it.
+ * State and outcome of one request at its owner.
  *
  * @module
  */
@@ -7,13 +7,12 @@
 import { RequestState } from './request_state.js';
 import type { RequestId } from './request_id.js';
 
-/** The states that may follow each state. */
+/** Permitted next states of each state. */
 const TRANSITIONS: Readonly<Record<RequestState, readonly RequestState[]>> = {
   [RequestState.Assigned]: [RequestState.Accepted, RequestState.Refused],
   [RequestState.Accepted]: [RequestState.Queued, RequestState.Refused],
-  // A backend server that refused before it had the body sends the request
-  // back to the queue: nothing left the owner, so this is no step back past
-  // the point of no return.
+  // If a backend server refuses before the hand-over of the body, the request returns to the
+  // queue. The body has not left the owner, so the request can't have run.
   [RequestState.Queued]: [RequestState.Dispatching, RequestState.Refused],
   [RequestState.Dispatching]: [RequestState.Queued, RequestState.Dispatched, RequestState.Refused],
   [RequestState.Dispatched]: [RequestState.Answered, RequestState.Failed],
@@ -22,11 +21,11 @@
   [RequestState.Failed]: [],
 };
 
-/** One request: its one-way state and what became of it. */
+/** A request with its one-way state and its error, if it was refused or failed. */
 export class RequestRecord {
   readonly id: RequestId;
 
-  /** Hash of the call, so that an ID can't be used for two calls. */
+  /** Hash of the call, by which a second call with the same ID but other content is refused. */
   readonly fingerprint: string;
 
   #state = RequestState.Accepted;
@@ -42,22 +41,22 @@
     this.fingerprint = fingerprint;
   }
 
-  /** Its state now. */
+  /** Current state. */
   get state(): RequestState {
     return this.#state;
   }
 
-  /** Why it was refused or failed. */
+  /** Reason for which the request was refused or failed; undefined otherwise. */
   get error(): SchedulerError | undefined {
     return this.#error;
   }
 
-  /** Whether nothing will change any more. */
+  /** Whether the state is final. */
   get isFinal(): boolean {
     return TRANSITIONS[this.#state].length === 0;
   }
 
-  /** Whether its body has left for a backend server. */
+  /** Whether the body has been handed over to a backend server. */
   get hasLeft(): boolean {
     return [RequestState.Dispatched, RequestState.Answered, RequestState.Failed].includes(
       this.#state,
@@ -65,8 +64,8 @@
   }
 
   /**
-   * What can be said of its run now. Only a refused request is said not to
-   * have run: any other may still run a moment later.
+   * Whether the request ran, as far as known now. Only a refused request can count as not run,
+   * since any other may still run later.
    */
   get run(): RunOutcome {
     if (this.#state === RequestState.Answered) return RunOutcome.Ran;
@@ -74,15 +73,15 @@
   }
 
   /**
-   * Takes the next state.
+   * Moves to the next state.
    *
-   * @param next - the state
-   * @throws SchedulerError of kind Internal where it may not follow
+   * @param next - the next state
+   * @throws SchedulerError of kind Internal if the transition is not permitted
    */
   advance(next: RequestState): void {
     if (!TRANSITIONS[this.#state].includes(next)) {
       throw new SchedulerError(ErrorKind.Internal, {
-        message: `Cannot take request from ${this.#state} to ${next}: states move one way`,
+        message: `Cannot move request from ${this.#state} to ${next}: transition not permitted`,
         requestId: this.id.text,
       });
     }
@@ -90,12 +89,12 @@
   }
 
   /**
-   * Ends it without an answer. A body that has left makes it failed, never
-   * refused; an error that says `not_run` is corrected then, since a false
-   * `not_run` makes the caller send the work again and doubles it.
+   * Ends the request without an answer. After the hand-over of the body the request fails
+   * instead of being refused, and an error that states `not_run` is corrected, since a false
+   * `not_run` makes the caller send the request again and the work is done twice.
    *
-   * @param error - why
-   * @returns the error as it is to be told
+   * @param error - reason for the refusal or failure
+   * @returns the error to send to the caller
    */
   refuse(error: SchedulerError): SchedulerError {
     if (this.isFinal) return this.#error ?? error;
--- a/src/domain/requests/request_state.ts
+++ b/src/domain/requests/request_state.ts
@@ -4,22 +4,22 @@
  * @module
  */
 
-/** States of a request, in the only order in which they may follow each other. */
+/** States of a request; a request moves forward only, except from dispatching back to queued. */
 export enum RequestState {
-  /** The ID was given out; no call has come with it. */
+  /** The ID was issued; no call with it has arrived. */
   Assigned = 'assigned',
-  /** The owner has the call. */
+  /** The owner has received the call. */
   Accepted = 'accepted',
-  /** The owner waits for a slot. */
+  /** The request waits for a slot at a backend server. */
   Queued = 'queued',
-  /** A connection to a backend server is tried; the body has not left. */
+  /** The owner is connecting to a backend server; the body has not been handed over. */
   Dispatching = 'dispatching',
-  /** The body left: from here on `not_run` is never said. */
+  /** The body has been handed over; from here on the outcome is never `not_run`. */
   Dispatched = 'dispatched',
-  /** The whole answer is there. */
+  /** The answer is complete. */
   Answered = 'answered',
-  /** Refused; nothing ran. */
+  /** The request was refused and did not run. */
   Refused = 'refused',
-  /** It ran and its answer failed, or nobody can tell whether it ran. */
+  /** The request ran and its answer failed, or it is unknown whether it ran. */
   Failed = 'failed',
 }
--- a/src/domain/streams/event_splitter.ts
+++ b/src/domain/streams/event_splitter.ts
@@ -1,53 +1,54 @@
 /**
- * Cuts a stream of server-sent events at the ends of its events.
+ * Splits a stream of server-sent events at event boundaries.
  *
  * @module
  */
 
-/** How an empty line looks behind the line before it. */
+/** End of a line and the empty line after it, which ends an event. */
 const EVENT_TERMINATORS: readonly string[] = ['\n\n', '\n\r\n'];
 
-/** Most bytes of one event; a longer one is no event of an engine. */
+/** Maximum bytes of one event; engines send no longer ones. */
 const MAX_EVENT_BYTES = 1_048_576;
 
 const ID_LINE = /(?:^|\n)id: ?([^\r\n]*)/;
 
-/** Whole events that a chunk has completed. */
+/** Events that a chunk has completed. */
 export interface CompleteEvents {
-  /** The events' bytes as they came; empty when none is whole. */
+  /** Unchanged bytes of the complete events; empty if there is none. */
   readonly bytes: Buffer;
-  /** How many they are. */
+  /** Number of complete events. */
   readonly count: number;
-  /** ID of the last of them that has one. */
+  /** ID of the last complete event that has one; undefined if none has. */
   readonly lastId: string | undefined;
 }
 
 const NO_EVENTS: CompleteEvents = { bytes: Buffer.alloc(0), count: 0, lastId: undefined };
 
 /**
- * Holds back an event until it is whole. A stream that breaks inside an event can
- * then go on elsewhere after the last whole one, without half an event before it.
+ * Buffers an event until it is complete. If a stream breaks inside an event, another backend
+ * server can then continue it after the last complete event, and the caller never receives a
+ * partial one.
  */
 export class EventSplitter {
   #rest: Buffer = Buffer.alloc(0);
 
-  /** What has come of the event that isn't whole yet. */
+  /** Bytes received so far of the event that is incomplete. */
   get rest(): Buffer {
     return this.#rest;
   }
 
   /**
-   * Takes the next bytes.
+   * Appends the next chunk of the stream.
    *
-   * @param chunk - bytes as they came
-   * @returns the events that are whole now
-   * @throws RangeError when an event exceeds every bound
+   * @param chunk - bytes as received
+   * @returns the events that the chunk has completed
+   * @throws RangeError if an incomplete event exceeds the maximum size
    */
   split(chunk: Buffer): CompleteEvents {
     const bytes = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
     const end = findLastEventEnd(bytes);
     if (bytes.length - end > MAX_EVENT_BYTES) {
-      throw new RangeError(`Cannot split events: one has more than ${MAX_EVENT_BYTES} bytes`);
+      throw new RangeError(`Cannot split events: an event has more than ${MAX_EVENT_BYTES} bytes`);
     }
     this.#rest = bytes.subarray(end);
     if (end === 0) return NO_EVENTS;
@@ -57,7 +58,7 @@
   }
 }
 
-/** Index behind the last empty line; 0 when there is none. */
+/** Returns the index after the last complete event; 0 if there is none. */
 function findLastEventEnd(bytes: Buffer): number {
   return Math.max(
     0,
--- a/src/domain/streams/event_splitter_test.ts
+++ b/src/domain/streams/event_splitter_test.ts
@@ -10,9 +10,9 @@
   return text;
 }
 
-/** Cuts a text at the given places. */
-function cutText(text: string, places: readonly number[]): Buffer[] {
-  const ends = [...places.map((place) => place % (text.length + 1)), text.length];
+/** Cuts a text at the given positions, each taken modulo the text's length plus 1. */
+function cutText(text: string, positions: readonly number[]): Buffer[] {
+  const ends = [...positions.map((position) => position % (text.length + 1)), text.length];
   ends.sort((a, b) => a - b);
   let start = 0;
   return ends.map((end) => {
@@ -22,7 +22,7 @@
   });
 }
 
-t.test('EventSplitter passes events on whole, and names the last one', async (t) => {
+t.test('EventSplitter returns complete events and the ID of the last one', async (t) => {
   const splitter = new EventSplitter();
   t.same(splitter.split(Buffer.from('id: 1\ndata: a\n')).bytes.length, 0);
   const { bytes, lastId } = splitter.split(Buffer.from('\nid: 2\ndata'));
@@ -31,20 +31,20 @@
   t.equal(splitter.rest.toString(), 'id: 2\ndata');
 });
 
-t.test('EventSplitter knows events whose lines end with a carriage return', async (t) => {
+t.test('EventSplitter splits events whose lines end with CR LF', async (t) => {
   const { bytes, lastId } = new EventSplitter().split(Buffer.from('id:7\r\ndata: a\r\n\r\nid'));
   t.equal(bytes.toString(), 'id:7\r\ndata: a\r\n\r\n');
   t.equal(lastId, '7');
 });
 
-t.test('EventSplitter counts the events that are whole', async (t) => {
+t.test('EventSplitter counts the complete events', async (t) => {
   const splitter = new EventSplitter();
   t.equal(splitter.split(Buffer.from('id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid')).count, 2);
   t.equal(splitter.split(Buffer.from(': 3\ndata: c\n')).count, 0);
   t.equal(splitter.split(Buffer.from('\n')).count, 1);
 });
 
-t.test('EventSplitter refuses an event without an end', async (t) => {
+t.test('EventSplitter refuses an event that exceeds the maximum size', async (t) => {
   const splitter = new EventSplitter();
   const chunk = Buffer.alloc(600_000, 'x');
   splitter.split(chunk);
@@ -52,7 +52,7 @@
 });
 
 t.test(
-  'a stream that breaks anywhere and goes on behind the last whole event has each event once',
+  'a stream that breaks anywhere and continues after the last event has each event once',
   async () => {
     fc.assert(
       fc.property(
--- a/src/domain/streams/mod.ts
+++ b/src/domain/streams/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Streams of events that may go on at another backend server:
- * `new EventSplitter().split(chunk).bytes` holds whole events only.
+ * Event streams that another backend server can continue:
+ * `new EventSplitter().split(chunk).bytes` contains complete events only.
  *
  * @module
  */
