--- a/src/domain/membership/entry_host_table.ts
+++ b/src/domain/membership/entry_host_table.ts
@@ -44,6 +44,7 @@
 
   readonly #idByIncarnation = new Map<string, string>();
 
+  /** Monotonic time of replacement or removal, by incarnation. */
   readonly #replacedAtMs = new Map<string, number>();
 
   /** @param options - time limits */
--- a/src/domain/membership/host_list_order.ts
+++ b/src/domain/membership/host_list_order.ts
@@ -15,6 +15,7 @@
 
   #index = -1;
 
+  /** Monotonic time of the first in an unbroken series of reads with a lower index. */
   #lowerSinceMs: number | undefined;
 
   /** @param restoreTimeoutMs - time for which all reads must be lower before one is accepted */
--- a/src/domain/membership/leaving_backend_servers.ts
+++ b/src/domain/membership/leaving_backend_servers.ts
@@ -45,8 +45,10 @@
 
   #listIndex = NO_LIST_INDEX;
 
+  /** Notes by backend server ID and source. */
   readonly #notes = new Map<string, Map<string, LeavingNote>>();
 
+  /** Monotonic time at which a backend server returned to service, by its ID. */
   readonly #returnedAtMs = new Map<string, number>();
 
   /**
@@ -160,6 +162,7 @@
     if (sources.size === 0) this.#notes.delete(id);
   }
 
+  /** Sets the baseline to the first list's index, or to a lower index after a restore. */
   #rebaseNote(note: LeavingNote, isOverruled: boolean): LeavingNote {
     const isFirstList = note.baselineIndex === NO_LIST_INDEX;
     const baselineIndex = isFirstList
--- a/src/domain/membership/leaving_backend_servers_test.ts
+++ b/src/domain/membership/leaving_backend_servers_test.ts
@@ -123,8 +123,8 @@
       const returned = buildList(20, buildHost(HostState.Live, 20));
       const exchange = (who: number, from: number, nowMs: number): void => {
         if (who === from) return;
-        const told = hosts[from as 0].listKnownAtFirstHand();
-        hosts[who as 0].applyClaims(`host-${from}`, told, nowMs);
+        const claims = hosts[from as 0].listKnownAtFirstHand();
+        hosts[who as 0].applyClaims(`host-${from}`, claims, nowMs);
       };
       hosts[noticer as 0].noteOwn('engine-1', 0);
       steps.forEach(({ who, from, reads }, nowMs) => {
--- a/src/domain/membership/rendezvous.ts
+++ b/src/domain/membership/rendezvous.ts
@@ -17,7 +17,7 @@
 /** One more than the highest hash: 2 to the power of 53. */
 const HASH_RANGE = HIGH_LANE_FACTOR * (HIGH_LANE_MASK + 1);
 
-/** Hashes the text in two multiplicative 32-bit lanes and mixes them into 53 bits. */
+/** Hashes the text in two multiplicative 32-bit lanes and mixes them into 53 bits (cyrb53). */
 function hashText(text: string): number {
   let laneOne = LANE_ONE_SEED;
   let laneTwo = LANE_TWO_SEED;
--- a/src/domain/overlay/_known_host.ts
+++ b/src/domain/overlay/_known_host.ts
@@ -139,6 +139,7 @@
     return this.isHeard ? isHeard && isNewer : isHeard || isNewer;
   }
 
+  /** Records the start of the silence if the last live reporter was lost; raises the revision. */
   #recordTransition(wasHeard: boolean, nowMs: number): void {
     if (wasHeard && !this.isHeard) this.#silentSinceMs = nowMs;
     this.bumpRevision();
--- a/src/domain/overlay/roster_test.ts
+++ b/src/domain/overlay/roster_test.ts
@@ -126,30 +126,32 @@
 t.test('the process heard last is the current one, whatever the start times', async () => {
   // Two relays announce two processes of one host in any order, with any start times. In the
   // end one process reports to one of the relays, and the other process to none.
-  const wordArbitrary = fc.record({
+  const entryArbitrary = fc.record({
     relay: fc.constantFrom('r1', 'r2'),
     process: fc.constantFrom('m-1', 'm-2'),
     isHeard: fc.boolean(),
   });
   fc.assert(
     fc.property(
-      fc.array(wordArbitrary, { maxLength: 12 }),
+      fc.array(entryArbitrary, { maxLength: 12 }),
       fc.integer({ min: 0, max: 3 }),
       fc.integer({ min: 0, max: 3 }),
-      (words, firstBorn, nextBorn) => {
+      (entries, firstBornAtMs, nextBornAtMs) => {
         const roster = new Roster(buildState('self'));
         const states: Readonly<Record<string, HostState>> = {
-          'm-1': buildState('m', { bornAtMs: firstBorn }, 'm-1'),
-          'm-2': buildState('m', { bornAtMs: nextBorn }, 'm-2'),
+          'm-1': buildState('m', { bornAtMs: firstBornAtMs }, 'm-1'),
+          'm-2': buildState('m', { bornAtMs: nextBornAtMs }, 'm-2'),
         };
-        const tell = (relay: string, process: string, isHeard: boolean, nowMs: number): void => {
+        const report = (relay: string, process: string, isHeard: boolean, nowMs: number): void => {
           roster.noteHeard(relay, nowMs);
           roster.apply(relay, { state: states[process] as HostState, isHeard }, nowMs);
         };
-        words.forEach(({ relay, process, isHeard }, index) => tell(relay, process, isHeard, index));
-        tell('r2', 'm-2', true, 100);
-        tell('r1', 'm-1', false, 101);
-        tell('r2', 'm-1', false, 102);
+        entries.forEach(({ relay, process, isHeard }, index) =>
+          report(relay, process, isHeard, index),
+        );
+        report('r2', 'm-2', true, 100);
+        report('r1', 'm-1', false, 101);
+        report('r2', 'm-1', false, 102);
         roster.expire(103);
         return roster.find('m')?.identity.incarnation === 'm-2' && roster.isHeard('m');
       },
@@ -183,10 +185,10 @@
   roster.apply('m-1', { state: buildState('m'), isHeard: true }, 0);
   roster.apply('r2', { state: buildState('n'), isHeard: true }, 0);
   roster.addMember(buildState('m').identity);
-  const told = roster
+  const listed = roster
     .listChanges(0, false)
     .map(({ state, isHeard }) => [state.identity.id, isHeard]);
-  t.same(told, [
+  t.same(listed, [
     ['self', true],
     ['m', true],
     ['n', false],
--- a/src/domain/requests/request_id.ts
+++ b/src/domain/requests/request_id.ts
@@ -7,12 +7,15 @@
 import { createHash, createHmac, timingSafeEqual } from 'node:crypto';
 import { ErrorKind, SchedulerError } from '../errors/mod.js';
 
+// An ID is the prefix and the base64url text of: MAC, incarnation, nonce, account hash, expiry
+// time and owner ID.
 const PREFIX = 'mh1_';
 const INCARNATION_BYTES = 8;
 const NONCE_BYTES = 12;
 const ACCOUNT_BYTES = 8;
 const EXPIRY_BYTES = 6;
 const MAC_BYTES = 16;
+/** Bytes of the payload before the owner ID, whose length varies. */
 const FIXED_BYTES = INCARNATION_BYTES + NONCE_BYTES + ACCOUNT_BYTES + EXPIRY_BYTES;
 const MAX_TEXT_LENGTH = 256;
 
