--- a/src/domain/errors/error_table.ts
+++ b/src/domain/errors/error_table.ts
@@ -1,11 +1,11 @@
 /**
- * The one table from error kind to answer.
+ * Maps each error kind to the HTTP answer that the caller receives and to its log level.
  *
  * @module
  */
 import { ErrorKind, RunOutcome } from './error_kind.js';
 
-/** Log levels, by the names that the log library knows. */
+/** Log levels, named as in the log library. */
 export enum LogLevel {
   Debug = 'debug',
   Info = 'info',
@@ -13,20 +13,20 @@
   Error = 'error',
 }
 
-/** How one error kind is answered. */
+/** Answer to one error kind. */
 export interface ErrorAnswer {
   /** HTTP status code. */
   readonly status: number;
-  /** OpenAI-compatible error type, so that client libraries raise their own classes. */
+  /** OpenAI-compatible error type, from which client libraries choose their error class. */
   readonly type: string;
-  /** What the answer says about the run. */
+  /** Whether the request ran, as the answer states it. */
   readonly run: RunOutcome;
   /**
-   * Default advice when to come back, in milliseconds; 0 says not to repeat the
-   * request as it stands. A measured value at the place of refusal goes before it.
+   * Default time after which to retry, in milliseconds; 0 advises against repeating the
+   * unchanged request. A value that the refusing code has measured takes precedence.
    */
   readonly retryAfterMs: number;
-  /** Level of the log line that the refusal writes. */
+  /** Level of the log line about the refusal. */
   readonly logLevel: LogLevel;
 }
 
@@ -34,63 +34,63 @@
 const RATE = 'rate_limit_error';
 const SERVER = 'server_error';
 
-/** The table from kind to answer; a test walks all of it. */
+/** Answer to each error kind. */
 export const ERROR_TABLE: Readonly<Record<ErrorKind, ErrorAnswer>> = {
-  [ErrorKind.MalformedRequest]: answer(400, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
-  [ErrorKind.BodyTooLarge]: answer(413, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
-  [ErrorKind.HeaderTooLarge]: answer(431, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
-  [ErrorKind.RequestTimeout]: answer(408, INVALID, RunOutcome.NotRun, 1000, LogLevel.Info),
-  [ErrorKind.NotFound]: answer(404, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
-  [ErrorKind.MethodNotAllowed]: answer(405, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
-  [ErrorKind.Unauthenticated]: answer(
+  [ErrorKind.MalformedRequest]: define(400, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
+  [ErrorKind.BodyTooLarge]: define(413, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
+  [ErrorKind.HeaderTooLarge]: define(431, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
+  [ErrorKind.RequestTimeout]: define(408, INVALID, RunOutcome.NotRun, 1000, LogLevel.Info),
+  [ErrorKind.NotFound]: define(404, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
+  [ErrorKind.MethodNotAllowed]: define(405, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
+  [ErrorKind.Unauthenticated]: define(
     401,
     'authentication_error',
     RunOutcome.NotRun,
     0,
     LogLevel.Info,
   ),
-  [ErrorKind.ServiceNotAllowed]: answer(
+  [ErrorKind.ServiceNotAllowed]: define(
     403,
     'permission_error',
     RunOutcome.NotRun,
     0,
     LogLevel.Info,
   ),
-  [ErrorKind.UnknownModel]: answer(404, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
-  [ErrorKind.RequestIdRequired]: answer(428, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
-  [ErrorKind.RequestIdInvalid]: answer(400, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
-  [ErrorKind.RequestIdMismatch]: answer(409, INVALID, RunOutcome.NotRun, 0, LogLevel.Warn),
-  [ErrorKind.DeadlineTooLong]: answer(400, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
-  [ErrorKind.RateLimited]: answer(429, RATE, RunOutcome.NotRun, 1000, LogLevel.Info),
-  [ErrorKind.TokensLimited]: answer(429, RATE, RunOutcome.NotRun, 1000, LogLevel.Info),
-  [ErrorKind.InFlightLimited]: answer(429, RATE, RunOutcome.NotRun, 1000, LogLevel.Info),
-  [ErrorKind.TierClosed]: answer(503, SERVER, RunOutcome.NotRun, 2000, LogLevel.Info),
-  [ErrorKind.QueueFull]: answer(503, SERVER, RunOutcome.NotRun, 2000, LogLevel.Info),
-  [ErrorKind.DeadlineUnreachable]: answer(503, SERVER, RunOutcome.NotRun, 2000, LogLevel.Info),
-  [ErrorKind.DeadlineExpired]: answer(504, SERVER, RunOutcome.NotRun, 1000, LogLevel.Info),
-  [ErrorKind.TooManyConnections]: answer(503, SERVER, RunOutcome.NotRun, 1000, LogLevel.Warn),
-  [ErrorKind.EntryHostStopping]: answer(503, SERVER, RunOutcome.NotRun, 100, LogLevel.Info),
-  [ErrorKind.EntryHostCutOff]: answer(503, SERVER, RunOutcome.NotRun, 1000, LogLevel.Warn),
-  [ErrorKind.ConfigurationMissing]: answer(503, SERVER, RunOutcome.NotRun, 1000, LogLevel.Error),
-  [ErrorKind.NoBackendServer]: answer(503, SERVER, RunOutcome.NotRun, 1000, LogLevel.Warn),
-  [ErrorKind.ServiceClosed]: answer(503, SERVER, RunOutcome.NotRun, 2000, LogLevel.Warn),
-  [ErrorKind.RegionUnavailable]: answer(503, SERVER, RunOutcome.NotRun, 2000, LogLevel.Warn),
-  [ErrorKind.BackendServerRefused]: answer(503, SERVER, RunOutcome.NotRun, 1000, LogLevel.Warn),
-  [ErrorKind.RequestHeld]: answer(503, SERVER, RunOutcome.NotRun, 600_000, LogLevel.Warn),
-  [ErrorKind.Cancelled]: answer(499, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
-  [ErrorKind.RequestIdExpired]: answer(410, INVALID, RunOutcome.MayHaveRun, 0, LogLevel.Info),
-  [ErrorKind.OwnerUnreachable]: answer(502, SERVER, RunOutcome.MayHaveRun, 1000, LogLevel.Warn),
-  [ErrorKind.OwnerGone]: answer(502, SERVER, RunOutcome.MayHaveRun, 0, LogLevel.Warn),
-  [ErrorKind.BackendServerLost]: answer(502, SERVER, RunOutcome.MayHaveRun, 0, LogLevel.Warn),
-  [ErrorKind.AnswerTimeout]: answer(504, SERVER, RunOutcome.MayHaveRun, 0, LogLevel.Info),
-  [ErrorKind.BackendServerFailed]: answer(502, SERVER, RunOutcome.Ran, 0, LogLevel.Warn),
-  [ErrorKind.AnswerCut]: answer(502, SERVER, RunOutcome.Ran, 0, LogLevel.Warn),
-  [ErrorKind.AnswerNoLongerKept]: answer(410, INVALID, RunOutcome.Ran, 0, LogLevel.Info),
-  [ErrorKind.CancelledAfterDispatch]: answer(499, INVALID, RunOutcome.MayHaveRun, 0, LogLevel.Info),
-  [ErrorKind.Internal]: answer(500, SERVER, RunOutcome.MayHaveRun, 0, LogLevel.Error),
+  [ErrorKind.UnknownModel]: define(404, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
+  [ErrorKind.RequestIdRequired]: define(428, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
+  [ErrorKind.RequestIdInvalid]: define(400, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
+  [ErrorKind.RequestIdMismatch]: define(409, INVALID, RunOutcome.NotRun, 0, LogLevel.Warn),
+  [ErrorKind.DeadlineTooLong]: define(400, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
+  [ErrorKind.RateLimited]: define(429, RATE, RunOutcome.NotRun, 1000, LogLevel.Info),
+  [ErrorKind.TokensLimited]: define(429, RATE, RunOutcome.NotRun, 1000, LogLevel.Info),
+  [ErrorKind.InFlightLimited]: define(429, RATE, RunOutcome.NotRun, 1000, LogLevel.Info),
+  [ErrorKind.TierClosed]: define(503, SERVER, RunOutcome.NotRun, 2000, LogLevel.Info),
+  [ErrorKind.QueueFull]: define(503, SERVER, RunOutcome.NotRun, 2000, LogLevel.Info),
+  [ErrorKind.DeadlineUnreachable]: define(503, SERVER, RunOutcome.NotRun, 2000, LogLevel.Info),
+  [ErrorKind.DeadlineExpired]: define(504, SERVER, RunOutcome.NotRun, 1000, LogLevel.Info),
+  [ErrorKind.TooManyConnections]: define(503, SERVER, RunOutcome.NotRun, 1000, LogLevel.Warn),
+  [ErrorKind.EntryHostStopping]: define(503, SERVER, RunOutcome.NotRun, 100, LogLevel.Info),
+  [ErrorKind.EntryHostCutOff]: define(503, SERVER, RunOutcome.NotRun, 1000, LogLevel.Warn),
+  [ErrorKind.ConfigurationMissing]: define(503, SERVER, RunOutcome.NotRun, 1000, LogLevel.Error),
+  [ErrorKind.NoBackendServer]: define(503, SERVER, RunOutcome.NotRun, 1000, LogLevel.Warn),
+  [ErrorKind.ServiceClosed]: define(503, SERVER, RunOutcome.NotRun, 2000, LogLevel.Warn),
+  [ErrorKind.RegionUnavailable]: define(503, SERVER, RunOutcome.NotRun, 2000, LogLevel.Warn),
+  [ErrorKind.BackendServerRefused]: define(503, SERVER, RunOutcome.NotRun, 1000, LogLevel.Warn),
+  [ErrorKind.RequestHeld]: define(503, SERVER, RunOutcome.NotRun, 600_000, LogLevel.Warn),
+  [ErrorKind.Cancelled]: define(499, INVALID, RunOutcome.NotRun, 0, LogLevel.Info),
+  [ErrorKind.RequestIdExpired]: define(410, INVALID, RunOutcome.MayHaveRun, 0, LogLevel.Info),
+  [ErrorKind.OwnerUnreachable]: define(502, SERVER, RunOutcome.MayHaveRun, 1000, LogLevel.Warn),
+  [ErrorKind.OwnerGone]: define(502, SERVER, RunOutcome.MayHaveRun, 0, LogLevel.Warn),
+  [ErrorKind.BackendServerLost]: define(502, SERVER, RunOutcome.MayHaveRun, 0, LogLevel.Warn),
+  [ErrorKind.AnswerTimeout]: define(504, SERVER, RunOutcome.MayHaveRun, 0, LogLevel.Info),
+  [ErrorKind.BackendServerFailed]: define(502, SERVER, RunOutcome.Ran, 0, LogLevel.Warn),
+  [ErrorKind.AnswerCut]: define(502, SERVER, RunOutcome.Ran, 0, LogLevel.Warn),
+  [ErrorKind.AnswerNoLongerKept]: define(410, INVALID, RunOutcome.Ran, 0, LogLevel.Info),
+  [ErrorKind.CancelledAfterDispatch]: define(499, INVALID, RunOutcome.MayHaveRun, 0, LogLevel.Info),
+  [ErrorKind.Internal]: define(500, SERVER, RunOutcome.MayHaveRun, 0, LogLevel.Error),
 };
 
-function answer(
+function define(
   status: number,
   type: string,
   run: RunOutcome,
--- a/src/domain/membership/host_list_order.ts
+++ b/src/domain/membership/host_list_order.ts
@@ -1,28 +1,29 @@
 /**
- * Which reads of a lagging host list are taken.
+ * Rejects outdated reads of the host list.
  *
  * @module
  */
 
 /**
- * Refuses reads that are older than the one in force. The list is served by
- * replicas that lag, so a read may show a leaving host as live again; one would
- * notice work sent to a host that is going away. An index that stays lower for
- * long means that the service was restored from a backup, and counts then.
+ * Rejects reads of the host list that are older than the applied one. Lagging replicas serve
+ * the list, so an older read may show a leaving host as live, and work would be sent to a
+ * host that is about to stop. If the index stays lower for the restore timeout, the
+ * service was restored from a backup, and the lower index is accepted.
  */
 export class HostListOrder {
-  readonly #restorePatienceMs: number;
+  readonly #restoreTimeoutMs: number;
 
   #index = -1;
 
+  /** Monotonic time of the first in an unbroken series of reads with a lower index. */
   #lowerSinceMs: number | undefined;
 
-  /** @param restorePatienceMs - how long all reads must be lower before one is taken */
-  constructor(restorePatienceMs: number) {
-    this.#restorePatienceMs = restorePatienceMs;
+  /** @param restoreTimeoutMs - time for which all reads must be lower before one is accepted */
+  constructor(restoreTimeoutMs: number) {
+    this.#restoreTimeoutMs = restoreTimeoutMs;
   }
 
-  /** Index of the read in force; -1 before the first. */
+  /** Index of the last accepted read; -1 before the first. */
   get index(): number {
     return this.#index;
   }
@@ -30,12 +31,12 @@
   /**
    * @param index - index of a read
    * @param nowMs - monotonic time
-   * @returns whether the read is to be put in force
+   * @returns whether to apply the read
    */
   acceptIndex(index: number, nowMs: number): boolean {
     if (index < this.#index) {
       this.#lowerSinceMs ??= nowMs;
-      if (nowMs - this.#lowerSinceMs < this.#restorePatienceMs) return false;
+      if (nowMs - this.#lowerSinceMs < this.#restoreTimeoutMs) return false;
     }
     this.#lowerSinceMs = undefined;
     this.#index = index;
--- a/src/domain/membership/leaving_backend_servers.ts
+++ b/src/domain/membership/leaving_backend_servers.ts
@@ -1,71 +1,78 @@
 /**
- * Which backend servers are leaving, as far as anybody within reach knows.
+ * Tracks which backend servers are leaving, according to the host list, load reports,
+ * refusals and reachable peers.
  *
  * @module
  */
 import type { HostList, ListedHost } from './host_list.js';
 import { HostRole, HostState } from './host_list.js';
 
-/** How long nobody must have repeated a note before an unchanged list entry may lift it. */
-export const NOTE_QUIET_MS = 10_000;
+/** Time without a repetition after which an unchanged host list entry may clear a note. */
+export const NOTE_STALE_AFTER_MS = 10_000;
 
-/** For how long after the list showed a backend server live again load reports may be older. */
+/** Time after a backend server's return during which load reports may predate the return. */
 export const LOAD_REPORT_LAG_MS = 5_000;
 
+/** Source of the notes that this process took itself; the other sources are peer incarnations. */
 const OWN_SOURCE = '';
 
-/** Before the first list. */
-const NO_INDEX = -1;
-const OVERRULED_KEEP_MS = 600_000;
+/** List index before the first host list is applied. */
+const NO_LIST_INDEX = -1;
 
-/** Somebody said that a backend server leaves. */
+/** Time for which an overruled note is kept after its last repetition, in milliseconds. */
+const OVERRULED_RETENTION_MS = 600_000;
+
+/** A statement of one source that a backend server is leaving. */
 interface LeavingNote {
-  /** Index of the host list in force when it was first said. */
+  /** Index of the host list that was applied when the note was first taken. */
   readonly baselineIndex: number;
-  readonly toldAtMs: number;
-  /** The host list has shown the backend server live since. */
-  readonly overruled: boolean;
+  /** Monotonic time at which the source last made the statement. */
+  readonly lastRepeatedAtMs: number;
+  /** Whether a newer host list has since cleared the note. */
+  readonly isOverruled: boolean;
 }
 
 /**
- * Joins three kinds of word: the host list, load reports and refusals met here,
- * and what peers say. Any of them makes a backend server leave. A note is kept
- * until the host list, at a newer index than when the note was taken, shows the
- * entry written anew as live, or shows it as live or gone after nobody repeated
- * the note for {@link NOTE_QUIET_MS}. An entry that merely still stands as live in
- * a newer list proves nothing: the list lags, and an unrelated host changed it.
+ * Combines three kinds of evidence: the host list, load reports and refusals that this process
+ * received, and the claims of peers. Any one of them marks a backend server as leaving. A note
+ * is kept until a host list with a newer index than the note's baseline either contains a new
+ * write of the entry as live, or shows the entry as live or missing after nobody has repeated
+ * the note for {@link NOTE_STALE_AFTER_MS}. An unchanged live entry in a newer list proves
+ * nothing: the list lags, and its index may have risen because of an unrelated host.
  */
 export class LeavingBackendServers {
   #listed: ReadonlyMap<string, ListedHost> = new Map();
 
-  #index = NO_INDEX;
+  #listIndex = NO_LIST_INDEX;
 
+  /** Notes by backend server ID and source. */
   readonly #notes = new Map<string, Map<string, LeavingNote>>();
 
-  readonly #liveAgainAtMs = new Map<string, number>();
+  /** Monotonic time at which a backend server returned to service, by its ID. */
+  readonly #returnedAtMs = new Map<string, number>();
 
   /**
-   * Takes a load report or refusal that says that a backend server leaves.
+   * Records a load report or refusal which states that a backend server is leaving.
    *
-   * @param id - which one
+   * @param id - the backend server's ID
    * @param nowMs - monotonic time
-   * @returns whether that was not known at first hand
+   * @returns whether the statement is accepted and was not known at first hand before
    */
   noteOwn(id: string, nowMs: number): boolean {
-    const liveAgainAtMs = this.#liveAgainAtMs.get(id);
-    // A lagging load report would take a backend server that has just come back
-    // out of service, and nothing newer in the list might ever lift the note.
-    if (liveAgainAtMs !== undefined && nowMs - liveAgainAtMs < LOAD_REPORT_LAG_MS) return false;
-    const isNews = !this.#isKnownAtFirstHand(id);
+    const returnedAtMs = this.#returnedAtMs.get(id);
+    // A lagging load report would take a backend server that has just returned out of
+    // service, and the host list might not change for long enough to clear the note.
+    if (returnedAtMs !== undefined && nowMs - returnedAtMs < LOAD_REPORT_LAG_MS) return false;
+    const isNew = !this.#isKnownAtFirstHand(id);
     this.#putNote(id, OWN_SOURCE, nowMs);
-    return isNews;
+    return isNew;
   }
 
   /**
-   * Takes the whole of what a peer says now; what it no longer says is withdrawn.
+   * Replaces all claims of a peer; claims that it no longer makes are withdrawn.
    *
-   * @param incarnation - which peer
-   * @param ids - backend servers that it knows at first hand to leave
+   * @param incarnation - the peer's incarnation
+   * @param ids - backend servers that the peer knows at first hand to be leaving
    * @param nowMs - monotonic time
    */
   applyClaims(incarnation: string, ids: readonly string[], nowMs: number): void {
@@ -78,42 +85,43 @@
   }
 
   /**
-   * Takes a host list that is to be in force.
+   * Applies a host list.
    *
-   * @param list - the list; an index lower than before means a restored service
+   * @param list - the list; an index lower than before means that the service was restored
+   *   from a backup
    * @param nowMs - monotonic time
    */
   applyHostList(list: HostList, nowMs: number): void {
-    const before = this.#listed;
+    const previous = this.#listed;
     const backendServers = list.hosts.filter((host) => host.role === HostRole.BackendServer);
     this.#listed = new Map(backendServers.map((host) => [host.id, host]));
-    this.#index = list.index;
+    this.#listIndex = list.index;
     this.#listed.forEach((host, id) => {
-      const wasLeaving = before.get(id)?.state === HostState.Leaving;
-      if (wasLeaving && host.state === HostState.Live) this.#liveAgainAtMs.set(id, nowMs);
+      const wasLeaving = previous.get(id)?.state === HostState.Leaving;
+      if (wasLeaving && host.state === HostState.Live) this.#returnedAtMs.set(id, nowMs);
     });
     this.#notes.forEach((sources, id) => this.#updateNotes(id, sources, nowMs));
-    this.#liveAgainAtMs.forEach((atMs, id) => {
-      if (nowMs - atMs >= LOAD_REPORT_LAG_MS) this.#liveAgainAtMs.delete(id);
+    this.#returnedAtMs.forEach((atMs, id) => {
+      if (nowMs - atMs >= LOAD_REPORT_LAG_MS) this.#returnedAtMs.delete(id);
     });
   }
 
-  /** @param id - which one. @returns whether anybody within reach says that it leaves */
+  /** @param id - a backend server's ID. @returns whether any source marks it as leaving */
   isLeaving(id: string): boolean {
     if (this.#listed.get(id)?.state === HostState.Leaving) return true;
-    return [...(this.#notes.get(id)?.values() ?? [])].some((note) => !note.overruled);
+    return [...(this.#notes.get(id)?.values() ?? [])].some((note) => !note.isOverruled);
   }
 
-  /** @returns those known to leave, sorted */
+  /** @returns the sorted IDs of all leaving backend servers */
   listLeaving(): readonly string[] {
     return this.#listWhere((id) => this.isLeaving(id));
   }
 
   /**
-   * Lists what is to be told to peers. Hearsay is left out: two entry hosts that
-   * told each other what each had from the other would never forget it.
+   * Lists the leaving backend servers to announce to peers. Claims of peers are left out:
+   * two entry hosts that announced each other's claims would never clear them.
    *
-   * @returns those known to leave from the host list, a load report or a refusal, sorted
+   * @returns the sorted IDs known from the host list, a load report or a refusal
    */
   listKnownAtFirstHand(): readonly string[] {
     return this.#listWhere((id) => this.#isKnownAtFirstHand(id));
@@ -134,41 +142,44 @@
     const sources = this.#notes.get(id) ?? new Map<string, LeavingNote>();
     const known = sources.get(source);
     sources.set(source, {
-      baselineIndex: known?.baselineIndex ?? this.#index,
-      toldAtMs: nowMs,
-      overruled: known?.overruled ?? false,
+      baselineIndex: known?.baselineIndex ?? this.#listIndex,
+      lastRepeatedAtMs: nowMs,
+      isOverruled: known?.isOverruled ?? false,
     });
     this.#notes.set(id, sources);
   }
 
   #updateNotes(id: string, sources: Map<string, LeavingNote>, nowMs: number): void {
     sources.forEach((note, source) => {
-      const isLifted = note.overruled || this.#mayLift(id, note, nowMs);
-      const isOld = nowMs - note.toldAtMs > OVERRULED_KEEP_MS;
-      // A peer repeats its claim until it has read the newer list itself, so a
-      // lifted claim is remembered as overruled; else it would be taken as news.
-      if (isLifted && (source === OWN_SOURCE || isOld)) sources.delete(source);
-      else sources.set(source, this.#buildNote(note, isLifted));
-      if (isLifted && source === OWN_SOURCE) this.#liveAgainAtMs.set(id, nowMs);
+      const isCleared = note.isOverruled || this.#mayClearNote(id, note, nowMs);
+      const isOld = nowMs - note.lastRepeatedAtMs > OVERRULED_RETENTION_MS;
+      // A peer repeats its claim until it has read the newer list itself. The cleared claim
+      // is therefore kept as overruled; otherwise the repetition would count as a new claim.
+      if (isCleared && (source === OWN_SOURCE || isOld)) sources.delete(source);
+      else sources.set(source, this.#rebaseNote(note, isCleared));
+      if (isCleared && source === OWN_SOURCE) this.#returnedAtMs.set(id, nowMs);
     });
     if (sources.size === 0) this.#notes.delete(id);
   }
 
-  #buildNote(note: LeavingNote, overruled: boolean): LeavingNote {
-    const isFirstList = note.baselineIndex === NO_INDEX;
-    const baselineIndex = isFirstList ? this.#index : Math.min(note.baselineIndex, this.#index);
-    return { ...note, overruled, baselineIndex };
+  /** Sets the baseline to the first list's index, or to a lower index after a restore. */
+  #rebaseNote(note: LeavingNote, isOverruled: boolean): LeavingNote {
+    const isFirstList = note.baselineIndex === NO_LIST_INDEX;
+    const baselineIndex = isFirstList
+      ? this.#listIndex
+      : Math.min(note.baselineIndex, this.#listIndex);
+    return { ...note, isOverruled, baselineIndex };
   }
 
-  #mayLift(id: string, note: LeavingNote, nowMs: number): boolean {
+  #mayClearNote(id: string, note: LeavingNote, nowMs: number): boolean {
     const host = this.#listed.get(id);
     if (host?.state === HostState.Leaving) return false;
-    // A restarted entry host hears of its peers before it has read any list. Each
-    // entry of the first list is newer than no list, but not newer than the note:
-    // work would go to the leaving backend server from this entry host alone.
-    if (note.baselineIndex === NO_INDEX) return false;
+    // A restarted entry host receives claims of its peers before it has read any list. Each
+    // entry of the first list is newer than no list, but not newer than the claim; clearing
+    // the note here would make this entry host alone send work to the leaving backend server.
+    if (note.baselineIndex === NO_LIST_INDEX) return false;
     if (host && host.modifyIndex > note.baselineIndex) return true;
-    const isQuiet = nowMs - note.toldAtMs >= NOTE_QUIET_MS;
-    return isQuiet && this.#index > note.baselineIndex;
+    const isStale = nowMs - note.lastRepeatedAtMs >= NOTE_STALE_AFTER_MS;
+    return isStale && this.#listIndex > note.baselineIndex;
   }
 }
--- a/src/domain/overlay/_revision_lists.ts
+++ b/src/domain/overlay/_revision_lists.ts
@@ -1,12 +1,12 @@
 /**
- * Lists that hold until anything changes.
+ * Caches lists of entry hosts until the roster changes.
  *
  * @module
  */
 import type { HostState } from './types.js';
 
-/** Which list. */
-export enum RosterList {
+/** Names of the cached lists. */
+export enum RosterListName {
   Heard = 'heard',
   Known = 'known',
   Presumed = 'presumed',
@@ -14,29 +14,31 @@
 }
 
 /**
- * Keeps lists of one revision. Hosts come and go a few times a minute; lists of hundreds of
- * them are asked for some hundred times a second.
+ * Caches the lists of one revision of the roster. The roster changes a few times a minute, while
+ * lists of hundreds of hosts are read some hundred times a second.
  */
-export class RevisionLists {
-  readonly #lists = new Map<RosterList, readonly HostState[]>();
+export class RevisionCache {
+  readonly #lists = new Map<RosterListName, readonly HostState[]>();
 
   #revision = -1;
 
   /**
-   * @param name - which list
-   * @param revision - the present revision
-   * @param build - makes the list anew
+   * Returns the cached list, or builds and caches it if the revision has changed.
+   *
+   * @param name - name of the list
+   * @param revision - the roster's current revision
+   * @param build - builds the list
    * @returns the list
    */
-  take(
-    name: RosterList,
+  getOrBuild(
+    name: RosterListName,
     revision: number,
     build: () => readonly HostState[],
   ): readonly HostState[] {
     if (revision !== this.#revision) this.#lists.clear();
     this.#revision = revision;
-    const kept = this.#lists.get(name);
-    if (kept) return kept;
+    const cached = this.#lists.get(name);
+    if (cached) return cached;
     const built = build();
     this.#lists.set(name, built);
     return built;
--- a/src/domain/overlay/roster.ts
+++ b/src/domain/overlay/roster.ts
@@ -1,87 +1,87 @@
 /**
- * Entry hosts as one of them knows all.
+ * The roster: the entry hosts that one of them knows, including hosts known through relays.
  *
  * @module
  */
 import type { EntryHostIdentity } from '../membership/mod.js';
 import { KnownHost } from './_known_host.js';
-import { RevisionLists, RosterList } from './_revision_lists.js';
+import { RevisionCache, RosterListName } from './_revision_lists.js';
 import type { HostState, RosterEntry } from './types.js';
 
 /**
- * Silence after which an entry host counts as gone, in milliseconds: six reports.
- * Callers are sent to nobody who has been silent for longer.
+ * Silence after which an entry host counts as gone, in milliseconds: six report intervals.
+ * Callers are not sent to a host that has been silent for longer.
  */
 export const SILENT_AFTER_MS = 900;
 
-/** Silence after which an entry host is forgotten, in milliseconds; a restart takes some seconds. */
+/** Silence after which a host is forgotten, in milliseconds; a restart takes a few seconds. */
 const FORGET_AFTER_MS = 20_000;
 
-/** What time has brought. */
+/** Entry hosts that fell silent or were forgotten in one check. */
 export interface RosterExpiry {
   readonly silent: readonly HostState[];
   readonly forgotten: readonly HostState[];
 }
 
-/** Whom an entry is about. */
+/** Record to which a received entry applies. */
 interface EntryTarget {
   readonly known: KnownHost;
-  /** Whether it is another process than the one that was known. */
+  /** Whether the entry's process differs from the host's current one. */
   readonly isNew: boolean;
 }
 
 /**
- * Who is there, by whose word, and what has changed since when.
+ * Tracks the known entry hosts, the processes that report each of them, and the revision of
+ * each host's last change.
  *
- * An entry host that moves from one relay to another is for a moment vouched for by
- * both, and the former reports it silent after it has long been heard again. It counts
- * as heard while anybody who is heard vouches for it, so that a move makes nobody
- * disappear.
+ * An entry host that moves from one relay to another is briefly reported by both, and the
+ * previous relay reports it silent after the new one has reported it as heard. The host counts
+ * as heard while any live process reports it, so that the move does not make it disappear.
  */
 export class Roster {
   readonly #known = new Map<string, KnownHost>();
 
-  /** Other processes of known hosts, by the hosts' names. */
-  readonly #rivals = new Map<string, KnownHost>();
+  /** By host ID: a second process, which replaces the current one when that falls silent. */
+  readonly #alternates = new Map<string, KnownHost>();
 
-  readonly #heardAtMs = new Map<string, number>();
+  readonly #lastContactAtMs = new Map<string, number>();
 
-  /** Those of them that weren't silent when last looked at. */
-  readonly #live = new Set<string>();
+  /** Incarnations that were not silent at the last check. */
+  readonly #liveSources = new Set<string>();
 
-  /** Incarnations that report here as members, and those that did. */
+  /** Incarnations that are or were members, that is, use this process as their relay. */
   readonly #members = new Set<string>();
 
   #self: HostState;
 
   #selfRevision = 1;
 
-  /** Lists that were made at the present revision; asked for with each report and each round. */
-  readonly #lists = new RevisionLists();
+  /** Lists of the current revision, which are read with each report and each report round. */
+  readonly #listCache = new RevisionCache();
 
   #revision = 1;
 
-  /** @param self - what this process says of itself */
+  /** @param self - state that this process announces about itself */
   constructor(self: HostState) {
     this.#self = self;
   }
 
-  /** Rises with each change. */
+  /** Number that rises with each change. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Entry hosts that are known, this one included. */
+  /** Number of known entry hosts, this one included. */
   get size(): number {
     return this.#known.size + 1;
   }
 
-  /** What this process says of itself. */
+  /** State that this process announces about itself. */
   get self(): HostState {
     return this.#self;
   }
 
-  /** @param changes - what has changed about this process; its version rises only if something has */
+  /** @param changes - state of this process; its version rises only if a value differs */
   updateSelf(changes: Pick<HostState, 'isServing' | 'isInTouch' | 'isLeaving'>): void {
     const { isServing, isInTouch, isLeaving } = this.#self;
     const isSame =
@@ -94,24 +94,24 @@
     this.#selfRevision = this.#revision;
   }
 
-  /** @param source - incarnation that was heard. @param nowMs - monotonic time in milliseconds */
+  /** @param source - sender of a report. @param nowMs - monotonic time in milliseconds */
   noteHeard(source: string, nowMs: number): void {
-    this.#heardAtMs.set(source, nowMs);
-    if (this.#live.has(source)) return;
-    this.#live.add(source);
-    // Only changes are told: whom it vouched for before its silence isn't named again.
-    [...this.#known.values(), ...this.#rivals.values()].forEach((known) => {
-      if (known.findVoucher(source) === false) known.setVoucher(source, true, nowMs);
+    this.#lastContactAtMs.set(source, nowMs);
+    if (this.#liveSources.has(source)) return;
+    this.#liveSources.add(source);
+    // Reports contain changes only, so hosts reported before the silence are not repeated.
+    [...this.#known.values(), ...this.#alternates.values()].forEach((known) => {
+      if (known.isReporterLive(source) === false) known.setReporter(source, true, nowMs);
     });
   }
 
   /**
-   * Takes in what a process says of an entry host.
+   * Applies an entry that a process has sent about an entry host.
    *
-   * @param source - incarnation of who says it
-   * @param entry - what it says
+   * @param source - incarnation of the sender
+   * @param entry - the entry
    * @param nowMs - monotonic time in milliseconds
-   * @returns whether the entry host's process wasn't known before
+   * @returns whether the entry's process has become the current one of its host
    */
   apply(source: string, entry: RosterEntry, nowMs: number): boolean {
     const { id } = entry.state.identity;
@@ -121,175 +121,179 @@
     const { known, isNew } = target;
     known.updateState(entry.state);
     if (entry.isHeard) {
-      this.#live.add(source);
-      known.setVoucher(source, true, nowMs);
-    } else known.removeVoucher(source, nowMs);
-    this.#settleRival(id);
+      this.#liveSources.add(source);
+      known.setReporter(source, true, nowMs);
+    } else known.removeReporter(source, nowMs);
+    this.#promoteAlternate(id);
     return isNew && this.#known.get(id) === known;
   }
 
   /**
-   * Finds who has been silent for too long.
+   * Checks for silent entry hosts, and forgets those that have been silent for long.
    *
    * @param nowMs - monotonic time in milliseconds
-   * @returns entry hosts that are newly silent, and those that are forgotten
+   * @returns entry hosts that have fallen silent, and those that were forgotten
    */
   expire(nowMs: number): RosterExpiry {
-    const silent: HostState[] = [];
+    const newlySilent: HostState[] = [];
     const forgotten: HostState[] = [];
-    const stale = this.#takeStale(nowMs);
+    const silentSources = this.#takeSilentSources(nowMs);
     this.#known.forEach((known, id) => {
       const wasHeard = known.isHeard;
-      if (stale.length > 0) {
-        known.dropStale(stale, nowMs);
-        this.#rivals.get(id)?.dropStale(stale, nowMs);
+      if (silentSources.length > 0) {
+        known.markReportersSilent(silentSources, nowMs);
+        this.#alternates.get(id)?.markReportersSilent(silentSources, nowMs);
       }
-      if (known.isHeard || this.#settleRival(id)) return;
-      if (wasHeard) silent.push(known.state);
+      if (known.isHeard || this.#promoteAlternate(id)) return;
+      if (wasHeard) newlySilent.push(known.state);
       if (nowMs - known.silentSinceMs <= FORGET_AFTER_MS) return;
       this.#known.delete(id);
-      this.#rivals.delete(id);
+      this.#alternates.delete(id);
       this.#members.delete(known.state.identity.incarnation);
       this.#revision += 1;
       forgotten.push(known.state);
     });
-    this.#heardAtMs.forEach((atMs, source) => {
-      if (nowMs - atMs > FORGET_AFTER_MS) this.#heardAtMs.delete(source);
+    this.#lastContactAtMs.forEach((atMs, source) => {
+      if (nowMs - atMs > FORGET_AFTER_MS) this.#lastContactAtMs.delete(source);
     });
-    return { silent, forgotten };
+    return { silent: newlySilent, forgotten };
   }
 
   /**
-   * Notes that this process speaks for another one from now on: receivers that were told
-   * of it before, without that word, are told again.
+   * Adds a member, which this process reports to other relays from now on. Receivers are sent
+   * its entry again, since an earlier one did not report the host as heard.
    *
-   * @param member - the member's process
+   * @param member - identity of the member's process
    */
   addMember(member: EntryHostIdentity): void {
     if (this.#members.has(member.incarnation)) return;
     this.#members.add(member.incarnation);
-    if (this.knowsProcess(member)) this.#known.get(member.id)?.noteChange();
+    if (this.knowsProcess(member)) this.#known.get(member.id)?.bumpRevision();
   }
 
   /** @returns peers that are heard */
   listHeard(): readonly HostState[] {
-    return this.#list(RosterList.Heard, ({ isHeard }) => isHeard);
+    return this.#listCached(RosterListName.Heard, ({ isHeard }) => isHeard);
   }
 
   /** @returns how many peers are heard and serve callers */
   countServing(): number {
     const isServing = (known: KnownHost): boolean => known.isHeard && known.state.isServing;
-    return this.#list(RosterList.Serving, isServing).length;
+    return this.#listCached(RosterListName.Serving, isServing).length;
   }
 
-  /** @returns peers that are heard, and those that others have told of and nobody was silent about */
+  /** @returns peers that are heard, and announced peers that were never heard so far */
   listPresumed(): readonly HostState[] {
-    return this.#list(RosterList.Presumed, ({ isHeard, wasHeard }) => isHeard || !wasHeard);
+    return this.#listCached(
+      RosterListName.Presumed,
+      ({ isHeard, hasBeenHeard: wasHeard }) => isHeard || !wasHeard,
+    );
   }
 
-  /** @returns all peers that are known */
+  /** @returns all known peers */
   listKnown(): readonly HostState[] {
-    return this.#list(RosterList.Known, () => true);
+    return this.#listCached(RosterListName.Known, () => true);
   }
 
-  /** @param id - an entry host's name. @returns whether it is heard */
+  /** @param id - an entry host's ID. @returns whether it is heard */
   isHeard(id: string): boolean {
     return this.#known.get(id)?.isHeard === true;
   }
 
-  /** @param id - an entry host's name. @returns its process */
+  /** @param id - a peer's ID. @returns state of its current process; undefined if unknown */
   find(id: string): HostState | undefined {
     return this.#known.get(id)?.state;
   }
 
-  /** @param identity - a process. @returns whether its entry host is known by it */
+  /** @param identity - a process. @returns whether it is the current one of its host */
   knowsProcess({ id, incarnation }: EntryHostIdentity): boolean {
     return this.find(id)?.identity.incarnation === incarnation;
   }
 
   /**
-   * Lists what a receiver hasn't seen.
+   * Lists the entries that have changed since a receiver's revision.
    *
-   * @param after - revision that it has; 0: none
-   * @param isForMember - whether the receiver hears of everybody through this process;
-   *   else this process speaks for its members, and others for all others
-   * @returns entries; a receiver that has nothing yet is told of all that are heard
+   * @param afterRevision - last revision that the receiver has; 0 if none
+   * @param isForMember - whether the receiver is a member, which receives all hosts through
+   *   this process; for other receivers this process reports only its own members as heard
+   * @returns the entries; a receiver without a revision gets all hosts that are heard
    */
-  listChanges(after: number, isForMember: boolean): RosterEntry[] {
-    if (after >= this.#revision) return [];
+  listChanges(afterRevision: number, isForMember: boolean): RosterEntry[] {
+    if (afterRevision >= this.#revision) return [];
     const changed = [...this.#known.values()]
-      .filter(({ revision }) => revision > after)
+      .filter(({ revision }) => revision > afterRevision)
       .flatMap((known) => {
         const { state, isHeard } = known;
         const { incarnation } = state.identity;
         if (isForMember) return [{ state, isHeard }];
         if (this.#members.has(incarnation)) {
-          return [{ state, isHeard: known.findVoucher(incarnation) === true }];
+          return [{ state, isHeard: known.isReporterLive(incarnation) === true }];
         }
-        // Others vouch for these: it is enough to know of them.
-        return after === 0 && isHeard ? [{ state, isHeard: false }] : [];
+        // Other relays report these hosts as heard; the receiver only learns that they exist.
+        return afterRevision === 0 && isHeard ? [{ state, isHeard: false }] : [];
       });
-    return this.#selfRevision > after
+    return this.#selfRevision > afterRevision
       ? [{ state: this.#self, isHeard: true }, ...changed]
       : changed;
   }
 
   /**
-   * Finds whom an entry is about. Of two processes of one host one is over. The wall clock says
-   * which only as long as nobody sets it back, so the later start decides among those that are
-   * only told of; whoever reports itself is there; and the other one is kept as a rival until
-   * the present one is silent, since nobody tells of it again while nothing changes.
+   * Finds the record for an entry. Of two processes of one host, one has ended. The wall clock
+   * tells which one only if it was not set back, so a process that reports itself directly is
+   * the current one, and the later start decides between processes that were only announced.
+   * The other process is kept as the alternate until the current one is silent, since its entry
+   * is not sent again while nothing changes.
    */
   #pickTarget(source: string, entry: RosterEntry, nowMs: number): EntryTarget | undefined {
     const { id, incarnation } = entry.state.identity;
-    const present = this.#known.get(id);
-    if (present?.incarnation === incarnation) return { known: present, isNew: false };
-    const rival = this.#rivals.get(id);
-    const isRival = rival?.incarnation === incarnation;
-    const isPresent =
-      !present || source === incarnation || (!present.reportsItself && present.isReplacedBy(entry));
-    if (isRival && !isPresent) return { known: rival, isNew: true };
-    if (!isPresent && !entry.isHeard) return undefined;
-    const known = isRival ? rival : this.#create(entry.state, nowMs);
-    if (!isPresent) this.#rivals.set(id, known);
+    const current = this.#known.get(id);
+    if (current?.incarnation === incarnation) return { known: current, isNew: false };
+    const alternate = this.#alternates.get(id);
+    const isAlternate = alternate?.incarnation === incarnation;
+    const isCurrent =
+      !current || source === incarnation || (!current.reportsItself && current.isReplacedBy(entry));
+    if (isAlternate && !isCurrent) return { known: alternate, isNew: true };
+    if (!isCurrent && !entry.isHeard) return undefined;
+    const known = isAlternate ? alternate : this.#createKnownHost(entry.state, nowMs);
+    if (!isCurrent) this.#alternates.set(id, known);
     else {
       this.#known.set(id, known);
-      if (present?.isHeard) this.#rivals.set(id, present);
-      else this.#rivals.delete(id);
+      if (current?.isHeard) this.#alternates.set(id, current);
+      else this.#alternates.delete(id);
     }
     return { known, isNew: true };
   }
 
-  /** Puts a rival that is heard in the place of a process that isn't. @returns whether it did */
-  #settleRival(id: string): boolean {
-    const rival = this.#rivals.get(id);
-    if (!rival?.isHeard || this.#known.get(id)?.isHeard) return false;
-    this.#rivals.delete(id);
-    this.#known.set(id, rival);
-    rival.noteChange();
+  /** Replaces a silent process by an alternate that is heard. @returns whether it did so */
+  #promoteAlternate(id: string): boolean {
+    const alternate = this.#alternates.get(id);
+    if (!alternate?.isHeard || this.#known.get(id)?.isHeard) return false;
+    this.#alternates.delete(id);
+    this.#known.set(id, alternate);
+    alternate.bumpRevision();
     return true;
   }
 
-  #create(state: HostState, nowMs: number): KnownHost {
+  #createKnownHost(state: HostState, nowMs: number): KnownHost {
     return new KnownHost(state, nowMs, () => {
       this.#revision += 1;
       return this.#revision;
     });
   }
 
-  /** Processes that were heard when last looked at, and have been silent for too long since. */
-  #takeStale(nowMs: number): readonly string[] {
-    const stale = [...this.#live].filter((source) => !this.#isFresh(source, nowMs));
-    stale.forEach((source) => this.#live.delete(source));
-    return stale;
+  /** Removes and returns the live sources that have been silent for too long. */
+  #takeSilentSources(nowMs: number): readonly string[] {
+    const silentSources = [...this.#liveSources].filter((source) => !this.#isFresh(source, nowMs));
+    silentSources.forEach((source) => this.#liveSources.delete(source));
+    return silentSources;
   }
 
   #isFresh(source: string, nowMs: number): boolean {
-    return nowMs - (this.#heardAtMs.get(source) ?? -Infinity) <= SILENT_AFTER_MS;
+    return nowMs - (this.#lastContactAtMs.get(source) ?? -Infinity) <= SILENT_AFTER_MS;
   }
 
-  #list(name: RosterList, isWanted: (known: KnownHost) => boolean): readonly HostState[] {
-    return this.#lists.take(name, this.#revision, () =>
+  #listCached(name: RosterListName, isWanted: (known: KnownHost) => boolean): readonly HostState[] {
+    return this.#listCache.getOrBuild(name, this.#revision, () =>
       [...this.#known.values()].filter(isWanted).map(({ state }) => state),
     );
   }
