--- a/src/application/channels/channel.ts
+++ b/src/application/channels/channel.ts
@@ -1,5 +1,5 @@
 /**
- * Typed channels.
+ * Provides typed channels on top of `js-csp`.
  *
  * @module
  */
@@ -7,30 +7,30 @@
 import type { RawChannel } from 'js-csp';
 import type { Step } from './process.js';
 
-/** What a take from a closed, empty channel gives. */
+/** Result of a take from a channel that is closed and empty. */
 export const CLOSED = Symbol('closed');
 
-/** How a channel treats a put that finds no room. */
+/** What a channel does with a put when its buffer is full. */
 export enum Overflow {
-  /** The put waits for room. */
+  /** The put waits until a value is taken. */
   Wait = 'wait',
-  /** The oldest value makes room. */
+  /** The oldest buffered value is dropped. */
   Slide = 'slide',
 }
 
 /** Options of a channel. */
 export interface ChannelOptions {
-  /** Values that it holds; 0 hands each over directly. Default 0. */
+  /** Number of values that it buffers. With 0, the default, each put waits for a take. */
   readonly capacity?: number;
-  /** Default: the put waits. */
+  /** Behaviour when the buffer is full. Default: {@link Overflow.Wait}. */
   readonly overflow?: Overflow;
 }
 
-/** A typed channel between processes. `undefined` and `null` can't go through. */
+/** A typed channel between processes. It can't carry `undefined` or `null`. */
 export class Channel<T extends object | string | number | boolean> {
   readonly #raw: RawChannel;
 
-  /** @param options - capacity and what happens on overflow */
+  /** @param options - the buffer's capacity and what happens when it is full */
   constructor(options: ChannelOptions = {}) {
     const capacity = options.capacity ?? 0;
     this.#raw =
@@ -56,10 +56,10 @@
   }
 
   /**
-   * Puts one value if that needs no waiting.
+   * Puts one value if that is possible without waiting.
    *
    * @param value - the value
-   * @returns whether it went in
+   * @returns whether the channel accepted it
    */
   offer(value: T): boolean {
     return csp.offer(this.#raw, value);
@@ -76,12 +76,12 @@
     });
   }
 
-  /** Closes it: what is in can still be taken, nothing more goes in. */
+  /** Closes the channel. Buffered values can still be taken; further puts fail. */
   close(): void {
     this.#raw.close();
   }
 
-  /** Whether it was closed. */
+  /** Whether the channel was closed. */
   get isClosed(): boolean {
     return this.#raw.closed;
   }
--- a/src/application/channels/channel_test.ts
+++ b/src/application/channels/channel_test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import { Channel, CLOSED, Overflow, settle, Signal, startProcess } from './mod.js';
 
-t.test('Channel hands values over in order and then says closed', async (t) => {
+t.test('Channel delivers values in order, then CLOSED', async (t) => {
   const channel = new Channel<number>({ capacity: 2 });
   const taken = startProcess(function* takeAll() {
     const values: number[] = [];
@@ -18,23 +18,23 @@
   t.same(await taken, [1, 2, 3, 4, 5]);
 });
 
-t.test('Channel with sliding overflow keeps the newest', async (t) => {
+t.test('Channel with sliding overflow keeps the newest value', async (t) => {
   const channel = new Channel<number>({ capacity: 1, overflow: Overflow.Slide });
   t.ok(channel.offer(1));
   t.ok(channel.offer(2));
   t.equal(await channel.takeAsync(), 2);
 });
 
-t.test('startProcess() rejects with what leaves the process', async (t) => {
-  // Symptom: a request that never ends. An error left a process, the library
-  // dropped it, and whoever waited for the result waited for ever.
+t.test('startProcess() rejects with an error thrown by the process', async (t) => {
+  // Guards against requests that never end: js-csp drops an error thrown by a
+  // process, so the caller that waits for its result would wait forever.
   const failing = startProcess(function* fail() {
     yield* settle(Promise.reject(new Error('no')));
   });
   await t.rejects(failing, { message: 'no' });
 });
 
-t.test('Signal counts several notices as one', async (t) => {
+t.test('Signal merges several notifications into one wake-up', async (t) => {
   const signal = new Signal();
   signal.notify();
   signal.notify();
--- a/src/application/channels/js_csp.d.ts
+++ b/src/application/channels/js_csp.d.ts
@@ -1,11 +1,11 @@
-/** Types of the part of js-csp that the channel module uses; the library ships none. */
+/** Declares the parts of js-csp that the channel module uses; the library ships no types. */
 declare module 'js-csp' {
-  /** A channel of the library. */
+  /** An untyped channel. */
   export interface RawChannel {
     closed: boolean;
     close(): void;
   }
-  /** What a process yields to the library. */
+  /** A channel operation that a process yields for the library to execute. */
   export type Instruction = object;
   export const CLOSED: null;
   export const NO_VALUE: unknown;
--- a/src/application/channels/mod.ts
+++ b/src/application/channels/mod.ts
@@ -1,7 +1,7 @@
 /**
- * Channels and processes on `js-csp`, with types. The rest of the application
- * imports nothing of the library:
- * `startProcess(function* () { const item = yield* channel.take(); … })`.
+ * Provides typed channels and processes on top of `js-csp`, such as
+ * `startProcess(function* () { const item = yield* channel.take(); … })`. No
+ * other module of the application imports the library.
  *
  * @module
  */
--- a/src/application/channels/process.ts
+++ b/src/application/channels/process.ts
@@ -1,23 +1,23 @@
 /**
- * Processes: generators that wait on channels.
+ * Provides processes, which are generators that wait on channels and promises.
  *
  * @module
  */
 import csp from 'js-csp';
 import type { Instruction } from 'js-csp';
 
-/** A part of a process; `yield*` runs it and gives its result. */
+/** A step of a process; `yield*` runs it and evaluates to its result. */
 export type Step<T> = Generator<Instruction, T, unknown>;
 
-/** How a promise ended. */
+/** Outcome of a settled promise. */
 type Settled<T> = { readonly value: T } | { readonly error: unknown };
 
 /**
  * Waits for a promise inside a process: `const x = yield* settle(promise)`.
  *
- * @param promise - what to wait for
- * @returns its value
- * @throws whatever the promise was rejected with
+ * @param promise - the promise
+ * @returns the value that it was fulfilled with
+ * @throws the reason that it was rejected with
  */
 export function* settle<T>(promise: Promise<T>): Step<T> {
   const channel = csp.chan(1);
@@ -33,12 +33,12 @@
 /**
  * Starts a process.
  *
- * The library drops an error that leaves a process, so that whoever waits for
- * its result would wait for ever. The error is caught inside and rejects the
- * promise instead.
+ * js-csp drops an error that a process throws, and a caller that waits for the
+ * result would then wait forever. The error is therefore caught here and rejects
+ * the returned promise.
  *
  * @param process - the process
- * @returns its result
+ * @returns the result of the process
  */
 export function startProcess<T>(process: () => Step<T>): Promise<T> {
   return new Promise((resolve, reject) => {
--- a/src/application/channels/signal.ts
+++ b/src/application/channels/signal.ts
@@ -1,25 +1,25 @@
 /**
- * A signal that says "look again".
+ * Provides a signal that wakes a waiting loop when there may be new work.
  *
  * @module
  */
 import { Channel, Overflow } from './channel.js';
 
-/** Wakes one waiter; several notices before the next wait count as one. */
+/** Wakes one waiter. Several notifications before its next wait count as one. */
 export class Signal {
   readonly #channel = new Channel<boolean>({ capacity: 1, overflow: Overflow.Slide });
 
-  /** Wakes the waiter, now or at its next wait. */
+  /** Wakes the waiter; if nobody waits now, the next wait returns at once. */
   notify(): void {
     this.#channel.offer(true);
   }
 
-  /** @returns when notified, or at once after {@link Signal.close} */
+  /** @returns a promise that resolves on a notification, or at once after {@link Signal.close} */
   async wait(): Promise<void> {
     await this.#channel.takeAsync();
   }
 
-  /** Wakes the waiter for good. */
+  /** Wakes the waiter and lets every later wait return at once. */
   close(): void {
     this.#channel.close();
   }
--- a/src/application/configuration/_change_recorder.ts
+++ b/src/application/configuration/_change_recorder.ts
@@ -1,5 +1,6 @@
 /**
- * Tells operators, by log lines and metrics, what became of published documents.
+ * Reports to operators, through logs and metrics, whether published configuration documents
+ * took effect.
  *
  * @module
  */
@@ -8,50 +9,51 @@
 import { LogLevel } from '../../domain/errors/mod.js';
 import type { Clock, EventLog, Metrics } from '../../ports/mod.js';
 
-/** Most reasons of a refused document that one log line carries. */
+/** Maximum number of validation errors that the log line of a rejected document contains. */
 const MAX_LOGGED_REASONS = 3;
 
-/** Where a change came from. */
+/** Origin of a configuration change: the platform's configuration service or a peer. */
 export enum ChangeSource {
   Service = 'service',
   Peer = 'peer',
 }
 
-/** What the recorder needs. */
+/** Dependencies of {@link ChangeRecorder}. */
 export interface ChangeRecorderOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
 }
 
-/** One change that came into force. */
+/** One change that took effect. */
 export interface RecordedChange {
-  /** Highest accepted revision after it. */
+  /** Highest accepted revision after the change. */
   readonly revision: number;
-  /** How many entries changed. */
-  readonly count: number;
+  /** Number of entries that changed. */
+  readonly entryCount: number;
   readonly source: ChangeSource;
-  /** Accounts one of whose API keys another account has. */
+  /** Client accounts that have an API key in common with another client account. */
   readonly keyClashes: readonly string[];
 }
 
-/** Records what happens to the configuration of one entry host. */
+/** Logs and counts configuration changes on one entry host. */
 export class ChangeRecorder {
   readonly #options: ChangeRecorderOptions;
 
   #isServiceBehind = false;
 
-  /** @param options - where to record */
+  /** @param options - clock, log and metrics to use */
   constructor(options: ChangeRecorderOptions) {
     this.#options = options;
   }
 
-  /** @param change - what came into force */
-  recordChange({ revision, count, source, keyClashes }: RecordedChange): void {
+  /** @param change - the change that took effect */
+  recordChange({ revision, entryCount: count, source, keyClashes }: RecordedChange): void {
     const { clock, log, metrics } = this.#options;
     metrics.count('configuration_changes_total', { source }, count);
     metrics.set('configuration_revision', revision);
-    // Whoever publishes can take the time to in force from this, on each entry host.
+    // From this gauge operators compute, for each entry host, how long a published
+    // change takes until it is in effect.
     metrics.set('configuration_in_force_at_ms', clock.wallMs());
     log.write(LogLevel.Info, 'configuration_in_force', { revision, changed: count, source });
     keyClashes.forEach((account) => {
@@ -59,8 +61,8 @@
     });
   }
 
-  /** @param entry - a document that was refused whole */
-  recordRefused({ key, revision, reasons }: RejectedEntry): void {
+  /** @param entry - a document that failed validation; none of it takes effect */
+  recordRejected({ key, revision, reasons }: RejectedEntry): void {
     this.#options.metrics.count('configuration_rejected_total');
     this.#options.log.write(LogLevel.Warn, 'configuration_document_rejected', {
       account: findAccountOfKey(key),
@@ -76,16 +78,16 @@
    * and once when that ends.
    *
    * @param index - the index that the service answered with
-   * @param highest - the highest that was heard of so far
+   * @param highestIndex - the highest that was heard of so far
    */
-  recordServiceIndex(index: number, highest: number): void {
-    const isBehind = index < highest;
+  recordServiceIndex(index: number, highestIndex: number): void {
+    const isBehind = index < highestIndex;
     if (isBehind === this.#isServiceBehind) return;
     this.#isServiceBehind = isBehind;
     this.#options.log.write(
       isBehind ? LogLevel.Warn : LogLevel.Info,
       isBehind ? 'configuration_service_behind' : 'configuration_service_caught_up',
-      { index, highest },
+      { index, highest: highestIndex },
     );
   }
 }
--- a/src/application/configuration/_entry_batches.ts
+++ b/src/application/configuration/_entry_batches.ts
@@ -1,24 +1,24 @@
 /**
- * Splits entries into messages of bounded size.
+ * Splits configuration entries into batches of bounded size, one for each peer message.
  *
  * @module
  */
 import type { AcceptedEntry } from '../../domain/configuration/mod.js';
 
 /**
- * Most bytes of values in one message, but for a single value that is longer.
- * A long message would hold up the heartbeats behind it on the same link.
+ * Maximum size of the values in one message, in bytes; only a single value may
+ * exceed it. A longer message would delay the heartbeats behind it on the same link.
  */
 export const MAX_BATCH_BYTES = 131_072;
 
-/** Bytes that an entry takes beside its value, about. */
+/** Approximate size of an entry without its value, in bytes. */
 const ENTRY_OVERHEAD_BYTES = 128;
 
 /**
- * Splits entries, in order.
+ * Splits entries into batches and keeps their order.
  *
- * @param entries - what is to be sent
- * @returns a list for each message
+ * @param entries - the entries to send
+ * @returns one list of entries for each message
  */
 export function splitEntries(
   entries: readonly AcceptedEntry[],
--- a/src/application/configuration/_peer_exchange.ts
+++ b/src/application/configuration/_peer_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * Exchanges accepted entries with peers.
+ * Exchanges accepted configuration entries with peers.
  *
  * @module
  */
@@ -14,59 +14,63 @@
 import type { Clock, ConfigurationEntry, PeerNetwork, Timer } from '../../ports/mod.js';
 import { splitEntries } from './_entry_batches.js';
 
-/** Least time between two digests to one peer, in milliseconds. */
-export const PEER_DIGEST_INTERVAL_MS = 1000;
+/** Minimum time between two digests to the same peer, in milliseconds. */
+export const MIN_PEER_DIGEST_INTERVAL_MS = 1000;
 
-/** Least time between two digests to anybody, in milliseconds. */
-export const DIGEST_INTERVAL_MS = 200;
+/** Minimum time between two digests to any peers, in milliseconds. */
+export const MIN_DIGEST_INTERVAL_MS = 200;
 
-/** Most peers that are told of a change at once; they tell others in turn. */
-export const MAX_TOLD_PEERS = 16;
+/** Maximum number of peers that are notified of one change; they notify further peers in turn. */
+export const MAX_NOTIFIED_PEERS = 16;
 
-/** How long equal revisions with different hashes must last to count as a clash, in milliseconds. */
-export const CLASH_PATIENCE_MS = 3000;
+/**
+ * How long the hashes must differ at equal revisions before this counts as a
+ * conflict, in milliseconds.
+ */
+export const CONFLICT_CONFIRMATION_MS = 3000;
 
-/** What the exchange needs. */
+/** Dependencies and callbacks of {@link PeerExchange}. */
 export interface PeerExchangeOptions {
   readonly clock: Clock;
   readonly peers: PeerNetwork;
   readonly getState: () => ConfigurationState;
-  /** The hash over the accepted entries. */
+  /** Returns the hash over this entry host's accepted entries. */
   readonly getHash: () => string;
-  /** Whether this entry host's entries may be taken as an answer. */
+  /** Returns whether this entry host has loaded its configuration and may answer peers. */
   readonly hasLoaded: () => boolean;
-  /** Called with entries of a peer. */
+  /** Called with entries that a peer has sent. */
   readonly onEntries: (entries: readonly RawEntry[], from: EntryHostIdentity) => void;
-  /** Called when a peer's answer to a digest is whole. */
-  readonly onAnswered: () => void;
+  /** Called when a peer's answer to a digest is complete. */
+  readonly onAnswerComplete: () => void;
 }
 
-/** What was last heard of a peer whose entries differ. */
-interface Difference {
+/** The current difference between this entry host's entries and those of one peer. */
+interface HashDifference {
+  /** Hash of this entry host, a space and the peer's hash. */
   readonly hashes: string;
-  readonly sinceMs: number;
+  readonly firstSeenAtMs: number;
 }
 
-/** The exchange of one entry host. */
+/** Synchronizes accepted entries between one entry host and its peers. */
 export class PeerExchange {
   readonly #options: PeerExchangeOptions;
 
-  readonly #askedAtMs = new Map<string, number>();
+  readonly #digestSentAtMs = new Map<string, number>();
 
-  readonly #differences = new Map<string, Difference>();
+  readonly #differences = new Map<string, HashDifference>();
 
-  #lastAskedAtMs = -Infinity;
+  #lastDigestSentAtMs = -Infinity;
 
-  #nextPeer = 0;
+  #nextPeerIndex = 0;
 
   #timer: Timer | undefined;
 
-  /** @param options - what the exchange needs */
+  /** @param options - dependencies and callbacks */
   constructor(options: PeerExchangeOptions) {
     this.#options = options;
   }
 
-  /** Answers peers from now on, and asks them until this entry host has loaded. */
+  /** Starts to answer peers, and sends them digests until this entry host has loaded. */
   start(): void {
     const { peers } = this.#options;
     peers.handle(PeerMessageType.ConfigurationDigest, (from, { revisions }) => {
@@ -76,68 +80,69 @@
       this.#handleEntries(from, entries);
     });
     peers.onLink(({ peer, up }) => {
-      if (!up) this.#remove(peer.incarnation);
+      if (!up) this.#removePeer(peer.incarnation);
       else if (!this.#options.hasLoaded()) this.sendDigest(peer.incarnation);
     });
     this.#sendNextDigest();
   }
 
-  /** Stops asking. */
+  /** Stops the periodic digests. */
   stop(): void {
     this.#timer?.cancel();
   }
 
   /**
-   * Asks a peer for what it has beyond this entry host, unless it or others
-   * were asked a moment ago; the next heartbeat brings the next chance.
+   * Sends a digest, which asks a peer for the entries that this entry host lacks.
+   * Skips it if a digest was sent to this peer or to any peer within the minimum
+   * interval; the peer's next heartbeat gives the next opportunity.
    *
-   * @param incarnation - which peer
+   * @param incarnation - incarnation of the peer
    */
   sendDigest(incarnation: string): void {
     const { clock, getState, peers } = this.#options;
     const nowMs = clock.nowMs();
-    const askedAtMs = this.#askedAtMs.get(incarnation) ?? -Infinity;
-    if (nowMs - askedAtMs < PEER_DIGEST_INTERVAL_MS) return;
-    if (nowMs - this.#lastAskedAtMs < DIGEST_INTERVAL_MS) return;
+    const sentAtMs = this.#digestSentAtMs.get(incarnation) ?? -Infinity;
+    if (nowMs - sentAtMs < MIN_PEER_DIGEST_INTERVAL_MS) return;
+    if (nowMs - this.#lastDigestSentAtMs < MIN_DIGEST_INTERVAL_MS) return;
     const revisions = buildDigest(getState());
     if (!peers.send(incarnation, { type: PeerMessageType.ConfigurationDigest, revisions })) return;
-    this.#askedAtMs.set(incarnation, nowMs);
-    this.#lastAskedAtMs = nowMs;
+    this.#digestSentAtMs.set(incarnation, nowMs);
+    this.#lastDigestSentAtMs = nowMs;
   }
 
   /**
-   * Notes that a peer's entries differ from those here.
+   * Records that a peer's entries differ from those of this entry host.
    *
-   * @param incarnation - which peer
-   * @param hash - the peer's hash
+   * @param incarnation - incarnation of the peer
+   * @param hash - the hash over the peer's entries
    */
-  noteDifference(incarnation: string, hash: string): void {
+  recordDifference(incarnation: string, hash: string): void {
     const hashes = `${this.#options.getHash()} ${hash}`;
     if (this.#differences.get(incarnation)?.hashes === hashes) return;
-    this.#differences.set(incarnation, { hashes, sinceMs: this.#options.clock.nowMs() });
+    this.#differences.set(incarnation, { hashes, firstSeenAtMs: this.#options.clock.nowMs() });
   }
 
   /**
-   * Tells linked peers of entries that came into force, so that those which
-   * can't read the service hear of them at once. At most
-   * {@link MAX_TOLD_PEERS} are told, others each time; whoever hears news tells
-   * it on, and heartbeats make up for whoever was left out.
+   * Sends entries that took effect to linked peers, so that peers which can't read
+   * the service receive them at once. Each call notifies the next
+   * {@link MAX_NOTIFIED_PEERS} peers in rotation. Receivers forward new entries, and
+   * heartbeats bring the rest up to date.
    *
-   * @param entries - what came into force
-   * @param exceptFor - the peer that sent them
+   * @param entries - the entries that took effect
+   * @param excludedIncarnation - the peer that the entries came from, if any
    */
-  notify(entries: readonly AcceptedEntry[], exceptFor?: string): void {
+  notifyPeers(entries: readonly AcceptedEntry[], excludedIncarnation?: string): void {
     const linked = this.#options.peers
       .listLinked()
-      .filter(({ incarnation }) => incarnation !== exceptFor);
-    const count = Math.min(linked.length, MAX_TOLD_PEERS);
-    const told = Array.from(
+      .filter(({ incarnation }) => incarnation !== excludedIncarnation);
+    const count = Math.min(linked.length, MAX_NOTIFIED_PEERS);
+    const recipients = Array.from(
       { length: count },
-      (_, at) => linked[(this.#nextPeer + at) % linked.length],
+      (_, at) => linked[(this.#nextPeerIndex + at) % linked.length],
     );
-    this.#nextPeer += count;
-    told.forEach((peer) => {
-      if (peer) this.#send(peer.incarnation, entries);
+    this.#nextPeerIndex += count;
+    recipients.forEach((peer) => {
+      if (peer) this.#sendEntries(peer.incarnation, entries);
     });
   }
 
@@ -145,49 +150,49 @@
     const { clock, hasLoaded, peers } = this.#options;
     if (hasLoaded()) return;
     const linked = peers.listLinked();
-    const peer = linked[this.#nextPeer % Math.max(1, linked.length)];
-    this.#nextPeer += 1;
+    const peer = linked[this.#nextPeerIndex % Math.max(1, linked.length)];
+    this.#nextPeerIndex += 1;
     if (peer) this.sendDigest(peer.incarnation);
-    this.#timer = clock.setTimer(DIGEST_INTERVAL_MS, () => this.#sendNextDigest());
+    this.#timer = clock.setTimer(MIN_DIGEST_INTERVAL_MS, () => this.#sendNextDigest());
   }
 
   /**
-   * An entry host that has not loaded yet gives no answer. Its empty one would
-   * be taken by a peer that starts at the same time as a sign that nothing is
-   * newer than what a stale service says.
+   * Answers a digest, unless this entry host has not loaded yet. A peer that starts
+   * at the same time would take an empty answer as confirmation that the entries of
+   * a stale service are the newest.
    */
   #handleDigest(from: EntryHostIdentity, revisions: Readonly<Record<string, number>>): void {
     const { getState, hasLoaded, peers } = this.#options;
     if (!hasLoaded()) return;
     const state = getState();
     const { ahead, isBehind } = compareDigest(state, revisions);
-    const isClash = ahead.length === 0 && !isBehind && this.#hasClash(from.incarnation);
-    this.#send(from.incarnation, isClash ? [...state.entries.values()] : ahead);
-    // An empty message ends the answer: the peer knows now that it has heard everything.
+    const isConflict = ahead.length === 0 && !isBehind && this.#hasConflict(from.incarnation);
+    this.#sendEntries(from.incarnation, isConflict ? [...state.entries.values()] : ahead);
+    // An empty message marks the end of the answer.
     peers.send(from.incarnation, { type: PeerMessageType.ConfigurationEntries, entries: [] });
     if (isBehind) this.sendDigest(from.incarnation);
   }
 
   /**
-   * Two entry hosts can hold different values at one revision after the service
-   * was put back to an older state. Their digests are equal then and their
-   * hashes stay different; without this step they would never agree.
+   * Detects that a peer has a different value at the same revision, which can happen
+   * after the service was restored to an older state. The digests are then equal
+   * while the hashes stay different, and digests alone would never resolve it.
    */
-  #hasClash(incarnation: string): boolean {
+  #hasConflict(incarnation: string): boolean {
     const difference = this.#differences.get(incarnation);
     if (!difference) return false;
     const isCurrent = difference.hashes.startsWith(`${this.#options.getHash()} `);
-    const ageMs = this.#options.clock.nowMs() - difference.sinceMs;
-    return isCurrent && ageMs >= CLASH_PATIENCE_MS;
+    const ageMs = this.#options.clock.nowMs() - difference.firstSeenAtMs;
+    return isCurrent && ageMs >= CONFLICT_CONFIRMATION_MS;
   }
 
   #handleEntries(from: EntryHostIdentity, entries: readonly ConfigurationEntry[]): void {
-    const { onAnswered, onEntries } = this.#options;
+    const { onAnswerComplete: onAnswered, onEntries } = this.#options;
     if (entries.length === 0) onAnswered();
-    else onEntries(entries.map(readEntry), from);
+    else onEntries(entries.map(normalizeEntry), from);
   }
 
-  #send(incarnation: string, entries: readonly AcceptedEntry[]): void {
+  #sendEntries(incarnation: string, entries: readonly AcceptedEntry[]): void {
     splitEntries(entries).forEach((batch) => {
       this.#options.peers.send(incarnation, {
         type: PeerMessageType.ConfigurationEntries,
@@ -196,13 +201,13 @@
     });
   }
 
-  #remove(incarnation: string): void {
-    this.#askedAtMs.delete(incarnation);
+  #removePeer(incarnation: string): void {
+    this.#digestSentAtMs.delete(incarnation);
     this.#differences.delete(incarnation);
   }
 }
 
-/** The link's encoding may turn an absent value into null. */
-function readEntry({ key, revision, value }: ConfigurationEntry): RawEntry {
+/** Replaces a null value by undefined; the link's encoding may turn an absent value into null. */
+function normalizeEntry({ key, revision, value }: ConfigurationEntry): RawEntry {
   return { key, revision, value: value ?? undefined };
 }
--- a/src/application/configuration/_start_gate.ts
+++ b/src/application/configuration/_start_gate.ts
@@ -1,46 +1,49 @@
 /**
- * Decides when an entry host that starts may trust what it has heard.
+ * Decides when a starting entry host may put the configuration that it has received into effect.
  *
  * @module
  */
 
 /**
- * An entry host that was restarted knows nothing, and the service may be stale
- * for long. Trusting it alone would put a configuration in force again that the
- * other entry hosts have left behind: one would see one host of several work by
- * an old contract after each restart. So the peers are heard first, for a short
- * while; only when none answers in time is the service trusted alone. Peers
- * alone are trusted after the same while where the service can't be read.
+ * Opens once both the configuration service and a peer have answered or, after the
+ * start timeout, once either of them has.
+ *
+ * A restarted entry host has no configuration, and the service may answer with
+ * stale data for a long time. If the entry host trusted the service alone, it would
+ * return to contracts that its peers have already replaced, after each restart. It
+ * therefore waits for a peer's answer too, and relies on the service alone only if
+ * no peer answers before the timeout. If the service can't be read, it relies on
+ * peers alone after the same timeout.
  */
 export class StartGate {
   #hasServiceAnswered = false;
 
   #hasPeerAnswered = false;
 
-  #isPatienceOver = false;
+  #hasTimedOut = false;
 
-  /** Notes that the service was read. */
-  noteService(): void {
+  /** Records that the configuration service was read. */
+  recordServiceAnswer(): void {
     this.#hasServiceAnswered = true;
   }
 
-  /** Notes that a peer which has loaded answered, whole. */
-  notePeer(): void {
+  /** Records a complete answer of a peer that has loaded its configuration. */
+  recordPeerAnswer(): void {
     this.#hasPeerAnswered = true;
   }
 
-  /** Notes that the time to wait for either is over. */
-  notePatienceOver(): void {
-    this.#isPatienceOver = true;
+  /** Records that the start timeout has passed. */
+  recordTimeout(): void {
+    this.#hasTimedOut = true;
   }
 
-  /** @returns whether what was heard may be put in force */
+  /** @returns whether the received configuration may be put into effect */
   isOpen(): boolean {
-    const { hasBoth, hasEither } = this.#listHeard();
-    return hasBoth || (hasEither && this.#isPatienceOver);
+    const { hasBoth, hasEither } = this.#summarizeAnswers();
+    return hasBoth || (hasEither && this.#hasTimedOut);
   }
 
-  #listHeard(): { readonly hasBoth: boolean; readonly hasEither: boolean } {
+  #summarizeAnswers(): { readonly hasBoth: boolean; readonly hasEither: boolean } {
     return {
       hasBoth: this.#hasServiceAnswered && this.#hasPeerAnswered,
       hasEither: this.#hasServiceAnswered || this.#hasPeerAnswered,
--- a/src/application/configuration/configuration_keeper.ts
+++ b/src/application/configuration/configuration_keeper.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the configuration in force of one entry host.
+ * Keeps the configuration that is in effect on one entry host.
  *
  * @module
  */
@@ -36,10 +36,10 @@
 import type { ConfigurationStatus } from '../views/mod.js';
 import { ChangeRecorder, ChangeSource } from './_change_recorder.js';
 import { PeerExchange } from './_peer_exchange.js';
-import { PlatformWatch } from './_platform_watch.js';
+import { ConfigurationWatch } from './_configuration_watch.js';
 import { StartGate } from './_start_gate.js';
 
-/** Options of {@link ConfigurationKeeper}. */
+/** Dependencies and times of the configuration of one entry host. */
 export interface ConfigurationKeeperOptions {
   readonly clock: Clock;
   readonly log: EventLog;
@@ -47,36 +47,39 @@
   /** Reads the configuration service. */
   readonly platform: PlatformReader;
   readonly peers: PeerNetwork;
-  /** How long the service may hold a watch, in milliseconds. */
+  /** How long one read of the service waits for a change, in milliseconds. */
   readonly waitMs: number;
-  /** How long a starting entry host waits for peers before it trusts the service alone, in milliseconds. */
+  /**
+   * How long a starting entry host waits for both the service and a peer before it
+   * relies on either of them alone, in milliseconds.
+   */
   readonly restartPatienceMs: number;
 }
 
-/** Operators compare the silence with seconds; its fractions are noise. */
-function roundSilence(silentMs: number | undefined): number | undefined {
-  return silentMs === undefined ? undefined : Math.round(silentMs);
+/** Rounds to whole milliseconds; operators compare this age with seconds. */
+function roundAnswerAge(answerAgeMs: number | undefined): number | undefined {
+  return answerAgeMs === undefined ? undefined : Math.round(answerAgeMs);
 }
 
-/** What is answered before anything is in force. */
+/** Index that lookups use until the configuration has loaded. */
 const EMPTY_INDEX = buildIndex(EMPTY_STATE);
 
 /**
  * Reads and watches the configuration service, exchanges accepted entries with
- * peers, and answers what is in force.
+ * peers, and answers lookups in the configuration that is in effect.
  */
 export class ConfigurationKeeper extends ConfigurationView {
   readonly #options: ConfigurationKeeperOptions;
 
-  readonly #watch: PlatformWatch;
+  readonly #watch: ConfigurationWatch;
 
   readonly #exchange: PeerExchange;
 
   readonly #recorder: ChangeRecorder;
 
-  readonly #gate = new StartGate();
+  readonly #startGate = new StartGate();
 
-  readonly #handlers: (() => void)[] = [];
+  readonly #changeHandlers: (() => void)[] = [];
 
   #state: ConfigurationState = EMPTY_STATE;
 
@@ -88,19 +91,19 @@
 
   #hasLoaded = false;
 
-  /** The newest answer of the service, while the gate is still shut. */
-  #heldSnapshot: PlatformSnapshot | undefined;
+  /** The newest answer of the service while the start gate is still closed. */
+  #pendingSnapshot: PlatformSnapshot | undefined;
 
-  #patience: Timer | undefined;
+  #startTimer: Timer | undefined;
 
-  /** @param options - ports and times */
+  /** @param options - dependencies and times */
   constructor(options: ConfigurationKeeperOptions) {
     super();
     this.#options = options;
     this.#recorder = new ChangeRecorder(options);
-    this.#watch = new PlatformWatch({
+    this.#watch = new ConfigurationWatch({
       ...options,
-      onSnapshot: (snapshot) => this.#acceptSnapshot(snapshot),
+      onSnapshot: (snapshot) => this.#handleSnapshot(snapshot),
     });
     this.#exchange = new PeerExchange({
       ...options,
@@ -108,48 +111,49 @@
       getHash: () => this.#hash,
       hasLoaded: () => this.#hasLoaded,
       onEntries: (entries, { incarnation }) => {
-        this.#apply(mergeEntries(this.#state, entries), ChangeSource.Peer, incarnation);
+        this.#applyMerge(mergeEntries(this.#state, entries), ChangeSource.Peer, incarnation);
       },
-      onAnswered: () => {
-        this.#gate.notePeer();
-        this.#openGate();
+      onAnswerComplete: () => {
+        this.#startGate.recordPeerAnswer();
+        this.#loadIfReady();
       },
     });
   }
 
-  /** Starts to ask peers and to read and watch the service. */
+  /** Starts to exchange entries with peers and to watch the service. */
   start(): void {
     this.#exchange.start();
     this.#watch.start();
-    this.#patience = this.#options.clock.setTimer(this.#options.restartPatienceMs, () => {
-      this.#gate.notePatienceOver();
-      this.#openGate();
+    this.#startTimer = this.#options.clock.setTimer(this.#options.restartPatienceMs, () => {
+      this.#startGate.recordTimeout();
+      this.#loadIfReady();
     });
   }
 
-  /** Ends the watch. @returns when it has ended */
+  /** Stops the exchange and the watch. @returns a promise that resolves when both have ended */
   async stop(): Promise<void> {
-    this.#patience?.cancel();
+    this.#startTimer?.cancel();
     this.#exchange.stop();
     await this.#watch.stop();
   }
 
-  /** @returns whether a configuration is in force that may be acted on */
+  /** @returns whether a configuration has loaded and is in effect */
   hasLoaded(): boolean {
     return this.#hasLoaded;
   }
 
   /**
-   * Takes what a peer's heartbeat says of its configuration. A peer that is
-   * behind will ask by itself; one that is not is asked.
+   * Handles the configuration revision of a peer's heartbeat. Sends the peer a digest
+   * if its entries differ, unless it is behind; a peer that is behind sends a digest
+   * itself.
    *
-   * @param incarnation - which peer
-   * @param revision - its highest accepted revision
-   * @param hash - the hash over its accepted entries
+   * @param incarnation - incarnation of the peer
+   * @param revision - the peer's highest accepted revision
+   * @param hash - the hash over the peer's accepted entries
    */
   handlePeerRevision(incarnation: string, revision: number, hash: string): void {
     if (hash === this.#hash) return;
-    this.#exchange.noteDifference(incarnation, hash);
+    this.#exchange.recordDifference(incarnation, hash);
     if (!this.#hasLoaded || revision >= this.#revision) this.#exchange.sendDigest(incarnation);
   }
 
@@ -158,7 +162,7 @@
       revision: this.#revision,
       hash: this.#hash,
       platformIndex: this.#watch.index,
-      platformSilentMs: roundSilence(this.#watch.silentMs),
+      platformSilentMs: roundAnswerAge(this.#watch.answerAgeMs),
       accountCount: this.#index.accounts.size,
       rejected: [...this.#state.rejected.values()].map(({ key, revision, reasons }) => ({
         key,
@@ -169,59 +173,59 @@
   }
 
   override findAccountByKeyHash(keyHash: string): AccountContract | undefined {
-    return this.#getIndex().accountsByKeyHash.get(keyHash);
+    return this.#getLoadedIndex().accountsByKeyHash.get(keyHash);
   }
 
   override findAccount(accountId: string): AccountContract | undefined {
-    return this.#getIndex().accounts.get(accountId);
+    return this.#getLoadedIndex().accounts.get(accountId);
   }
 
   override listAccounts(): readonly AccountContract[] {
-    return [...this.#getIndex().accounts.values()];
+    return [...this.#getLoadedIndex().accounts.values()];
   }
 
   override listServices(): readonly Service[] {
-    return [...this.#getIndex().services.values()];
+    return [...this.#getLoadedIndex().services.values()];
   }
 
   override findService(serviceId: string): Service | undefined {
-    return this.#getIndex().services.get(serviceId);
+    return this.#getLoadedIndex().services.get(serviceId);
   }
 
   override findServiceByModel(model: string): Service | undefined {
-    return this.#getIndex().servicesByModel.get(model);
+    return this.#getLoadedIndex().servicesByModel.get(model);
   }
 
   override findBackendServer(backendServerId: string): BackendServer | undefined {
-    return this.#getIndex().backendServers.get(backendServerId);
+    return this.#getLoadedIndex().backendServers.get(backendServerId);
   }
 
   override findEngineKind(engineKindId: string): EngineKind | undefined {
-    return this.#getIndex().engineKinds.get(engineKindId);
+    return this.#getLoadedIndex().engineKinds.get(engineKindId);
   }
 
   override onChange(handler: () => void): void {
-    this.#handlers.push(handler);
+    this.#changeHandlers.push(handler);
   }
 
-  #acceptSnapshot(snapshot: PlatformSnapshot): void {
-    this.#gate.noteService();
-    const highest = Math.max(this.#revision, this.#state.snapshotIndex);
-    this.#recorder.recordServiceIndex(snapshot.index, highest);
+  #handleSnapshot(snapshot: PlatformSnapshot): void {
+    this.#startGate.recordServiceAnswer();
+    const highestIndex = Math.max(this.#revision, this.#state.snapshotIndex);
+    this.#recorder.recordServiceIndex(snapshot.index, highestIndex);
     if (this.#hasLoaded) {
       this.#mergeSnapshot(snapshot);
       return;
     }
-    if (snapshot.index >= (this.#heldSnapshot?.index ?? 0)) this.#heldSnapshot = snapshot;
-    this.#openGate();
+    if (snapshot.index >= (this.#pendingSnapshot?.index ?? 0)) this.#pendingSnapshot = snapshot;
+    this.#loadIfReady();
   }
 
-  #openGate(): void {
-    if (this.#hasLoaded || !this.#gate.isOpen()) return;
-    if (this.#heldSnapshot) this.#mergeSnapshot(this.#heldSnapshot);
-    this.#heldSnapshot = undefined;
+  #loadIfReady(): void {
+    if (this.#hasLoaded || !this.#startGate.isOpen()) return;
+    if (this.#pendingSnapshot) this.#mergeSnapshot(this.#pendingSnapshot);
+    this.#pendingSnapshot = undefined;
     this.#hasLoaded = true;
-    this.#patience?.cancel();
+    this.#startTimer?.cancel();
     this.#options.log.write(LogLevel.Info, 'configuration_loaded', { revision: this.#revision });
     this.#notifyHandlers();
   }
@@ -235,40 +239,44 @@
         revision: modifyIndex,
       })),
     };
-    this.#apply(mergeSnapshot(this.#state, snapshot), ChangeSource.Service);
+    this.#applyMerge(mergeSnapshot(this.#state, snapshot), ChangeSource.Service);
   }
 
-  #apply({ state, changed, refused }: MergeResult, source: ChangeSource, from?: string): void {
+  #applyMerge(
+    { state, changed, refused }: MergeResult,
+    source: ChangeSource,
+    senderIncarnation?: string,
+  ): void {
     this.#state = state;
-    refused.forEach((entry) => this.#recorder.recordRefused(entry));
+    refused.forEach((entry) => this.#recorder.recordRejected(entry));
     if (changed.length === 0) return;
     this.#index = buildIndex(state);
     this.#hash = hashState(state);
     this.#revision = findRevision(state);
     this.#recorder.recordChange({
       revision: this.#revision,
-      count: changed.length,
+      entryCount: changed.length,
       source,
       keyClashes: this.#index.keyClashes,
     });
-    if (this.#hasLoaded) this.#exchange.notify(changed, from);
+    if (this.#hasLoaded) this.#exchange.notifyPeers(changed, senderIncarnation);
     if (this.#hasLoaded) this.#notifyHandlers();
   }
 
   /**
-   * Until it is loaded nothing is answered: a peer's first answer may hold a
-   * part only, and who acted on that would refuse accounts that are in force.
+   * Returns an empty index until the configuration has loaded. The first entries of a
+   * peer may be incomplete, and acting on them would reject valid client accounts.
    */
-  #getIndex(): ConfigurationIndex {
+  #getLoadedIndex(): ConfigurationIndex {
     return this.#hasLoaded ? this.#index : EMPTY_INDEX;
   }
 
   #notifyHandlers(): void {
-    this.#handlers.forEach((handler) => {
+    this.#changeHandlers.forEach((handler) => {
       try {
         handler();
       } catch (error) {
-        // One part's fault must not keep the others from hearing of the change.
+        // A handler that fails must not keep the other handlers from being called.
         this.#options.log.write(LogLevel.Error, 'configuration_handler_failed', {
           reason: formatReason(error),
         });
--- a/src/application/configuration/mod.ts
+++ b/src/application/configuration/mod.ts
@@ -1,7 +1,7 @@
 /**
- * The configuration of one entry host: read and watched at the platform's
- * service, exchanged with peers, never taken back:
- * `const keeper = new ConfigurationKeeper(options); keeper.start()`.
+ * Keeps the configuration of one entry host up to date from the platform's
+ * configuration service and from peers. An entry never goes back to an older
+ * revision. Create the exported class with its options and call `start()`.
  *
  * @module
  */
--- a/src/application/membership/_freshness.ts
+++ b/src/application/membership/_freshness_tracker.ts
@@ -8,10 +8,10 @@
 import type { Clock, EventLog, Metrics, Timer } from '../../ports/mod.js';
 
 /** How long a start waits for the host list or a peer before it goes on alone. */
-const START_PATIENCE_MS = 3_000;
+const START_TIMEOUT_MS = 3_000;
 
 /** What the freshness needs. */
-export interface FreshnessOptions {
+export interface FreshnessTrackerOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
@@ -22,21 +22,21 @@
 }
 
 /** Notices pauses of this process, and what confirms its view after one. */
-export class Freshness {
-  readonly #options: FreshnessOptions;
+export class FreshnessTracker {
+  readonly #options: FreshnessTrackerOptions;
 
-  readonly #pauses: PauseDetector;
+  readonly #pauseDetector: PauseDetector;
 
   readonly #startedAtMs: number;
 
   #startTimer: Timer | undefined;
 
   /** @param options - what the freshness needs */
-  constructor(options: FreshnessOptions) {
+  constructor(options: FreshnessTrackerOptions) {
     const { clock, heartbeatMs, suspectAfterMs } = options;
     this.#options = options;
     this.#startedAtMs = clock.nowMs();
-    this.#pauses = new PauseDetector({
+    this.#pauseDetector = new PauseDetector({
       nowMs: this.#startedAtMs,
       // Shorter than the silence after which others take over from this process.
       maxGapMs: Math.max(suspectAfterMs / 2, 2 * heartbeatMs),
@@ -49,8 +49,8 @@
    */
   start(): void {
     this.detectPause();
-    this.#startTimer = this.#options.clock.setTimer(START_PATIENCE_MS, () => {
-      if (this.#pauses.wokeAtMs === this.#startedAtMs) this.acceptRefresh(this.#startedAtMs);
+    this.#startTimer = this.#options.clock.setTimer(START_TIMEOUT_MS, () => {
+      if (this.#pauseDetector.wokeAtMs === this.#startedAtMs) this.acceptRefresh(this.#startedAtMs);
     });
   }
 
@@ -62,14 +62,14 @@
   /** @returns whether the view was confirmed since the start or the last pause */
   isFresh(): boolean {
     this.detectPause();
-    return this.#pauses.fresh;
+    return this.#pauseDetector.fresh;
   }
 
   /** @returns whether this process stood still since it was last asked */
   detectPause(): boolean {
     const { clock, log, metrics, onWake } = this.#options;
     const nowMs = clock.nowMs();
-    const pausedMs = this.#pauses.detectPause(nowMs);
+    const pausedMs = this.#pauseDetector.detectPause(nowMs);
     if (pausedMs === 0) return false;
     log.write(LogLevel.Warn, 'process_paused', { pausedMs });
     metrics.count('process_pauses_total');
@@ -77,9 +77,9 @@
     return true;
   }
 
-  /** @param begunAtMs - when the question was sent, or the read begun, that confirms the view */
-  acceptRefresh(begunAtMs: number): void {
-    if (!this.#pauses.acceptRefresh(begunAtMs)) return;
+  /** @param requestedAtMs - when the question was sent, or the read begun, that confirms the view */
+  acceptRefresh(requestedAtMs: number): void {
+    if (!this.#pauseDetector.acceptRefresh(requestedAtMs)) return;
     this.#options.log.write(LogLevel.Info, 'view_refreshed');
   }
 }
--- a/src/application/membership/_heartbeat_exchange.ts
+++ b/src/application/membership/_heartbeat_exchange.ts
@@ -13,7 +13,7 @@
 } from '../../ports/mod.js';
 
 /** How long a heartbeat's sending time is remembered. */
-const REMEMBER_MS = 30_000;
+const SENT_TIME_RETENTION_MS = 30_000;
 
 /** What a heartbeat carries besides its type and number. */
 export type HeartbeatContent = Omit<HeartbeatMessage, 'type' | 'sequence'>;
@@ -41,7 +41,7 @@
   /** @param content - what to tell every linked peer now */
   sendToAll(content: HeartbeatContent): void {
     const { peers } = this.#options;
-    this.#expireSendingTimes();
+    this.#expireSentTimes();
     const message = this.#buildHeartbeat(content);
     peers.listLinked().forEach(({ incarnation }) => peers.send(incarnation, message));
   }
@@ -63,7 +63,7 @@
    * @param reply - the reply
    * @returns when its heartbeat was sent; undefined when that is too long ago
    */
-  findSentAt(reply: HeartbeatReplyMessage): number | undefined {
+  matchReply(reply: HeartbeatReplyMessage): number | undefined {
     const sentAtMs = this.#sentAtMs.get(reply.sequence);
     if (sentAtMs === undefined) return undefined;
     const roundTripMs = this.#options.clock.nowMs() - sentAtMs;
@@ -71,8 +71,8 @@
     return sentAtMs;
   }
 
-  #expireSendingTimes(): void {
-    const oldestMs = this.#options.clock.nowMs() - REMEMBER_MS;
+  #expireSentTimes(): void {
+    const oldestMs = this.#options.clock.nowMs() - SENT_TIME_RETENTION_MS;
     this.#sentAtMs.forEach((atMs, sequence) => {
       if (atMs < oldestMs) this.#sentAtMs.delete(sequence);
     });
--- a/src/application/membership/_host_list_watch.ts
+++ b/src/application/membership/_host_list_watch.ts
@@ -18,13 +18,13 @@
 } from '../../ports/mod.js';
 
 /** How much later than the wait an answer may come before the read is given up. */
-const READ_MARGIN_MS = 2_000;
+const READ_TIMEOUT_MARGIN_MS = 2_000;
 /** Least time between the begins of two reads, also when the list changes all the time. */
-const MIN_READ_GAP_MS = 1_000;
+const MIN_READ_INTERVAL_MS = 1_000;
 const MIN_BACKOFF_MS = 200;
 const MAX_BACKOFF_MS = 5_000;
 /** How long the list must be older than what was read before it is taken for restored. */
-const RESTORE_PATIENCE_MS = 60_000;
+const RESTORE_CONFIRMATION_MS = 60_000;
 
 /** What the watch needs. */
 export interface HostListWatchOptions {
@@ -43,15 +43,15 @@
 export class HostListWatch {
   readonly #options: HostListWatchOptions;
 
-  readonly #order = new HostListOrder(RESTORE_PATIENCE_MS);
+  readonly #listOrder = new HostListOrder(RESTORE_CONFIRMATION_MS);
 
-  readonly #loggedFaults = new Map<string, number>();
+  readonly #loggedFaultIndexes = new Map<string, number>();
 
   #afterIndex = 0;
 
-  #failures = 0;
+  #consecutiveFailures = 0;
 
-  #stopped = false;
+  #isStopped = false;
 
   #isRestarting = false;
 
@@ -65,11 +65,11 @@
 
   /** @returns when the watch was stopped */
   async run(): Promise<void> {
-    while (!this.#stopped) {
-      const begunAtMs = this.#options.clock.nowMs();
+    while (!this.#isStopped) {
+      const startedAtMs = this.#options.clock.nowMs();
       this.#isRestarting = false;
-      await this.#readOnce(begunAtMs);
-      if (!this.#isRestarting) await this.#wait(this.#computeDelay(begunAtMs));
+      await this.#readOnce(startedAtMs);
+      if (!this.#isRestarting) await this.#delay(this.#computeDelayMs(startedAtMs));
     }
   }
 
@@ -82,36 +82,36 @@
 
   /** Ends the watch. */
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
     this.#interrupt();
   }
 
-  async #readOnce(begunAtMs: number): Promise<void> {
+  async #readOnce(startedAtMs: number): Promise<void> {
     try {
-      const snapshot = await this.#readBounded();
-      this.#failures = 0;
-      if (!this.#stopped) this.#takeSnapshot(snapshot, begunAtMs);
+      const snapshot = await this.#readWithTimeout();
+      this.#consecutiveFailures = 0;
+      if (!this.#isStopped) this.#applySnapshot(snapshot, startedAtMs);
     } catch (error) {
-      if (this.#stopped || this.#isRestarting) return;
-      this.#failures += 1;
+      if (this.#isStopped || this.#isRestarting) return;
+      this.#consecutiveFailures += 1;
       this.#options.metrics.count('host_list_read_failures_total');
       this.#logFailure(error);
     }
   }
 
   /** Neither a silent connection nor a reader that ignores the signal may hold the watch. */
-  async #readBounded(): Promise<PlatformSnapshot> {
+  async #readWithTimeout(): Promise<PlatformSnapshot> {
     const controller = new AbortController();
     const { readWaitMs } = this.#options;
-    const limitMs = readWaitMs + READ_MARGIN_MS;
+    const timeoutMs = readWaitMs + READ_TIMEOUT_MARGIN_MS;
     const aborted = new Promise<never>((_resolve, reject) => {
       controller.signal.addEventListener('abort', () => {
         const { message } = controller.signal.reason as Error;
         reject(new Error(`Cannot read the host list: ${message}`));
       });
     });
-    const timer = this.#options.clock.setTimer(limitMs, () => {
-      controller.abort(new Error(`no answer within ${limitMs} ms`));
+    const timer = this.#options.clock.setTimer(timeoutMs, () => {
+      controller.abort(new Error(`no answer within ${timeoutMs} ms`));
     });
     this.#interrupt = () => controller.abort(new Error('given up'));
     const options = {
@@ -127,15 +127,15 @@
     }
   }
 
-  #takeSnapshot(snapshot: PlatformSnapshot, begunAtMs: number): void {
-    if (!this.#order.acceptIndex(snapshot.index, this.#options.clock.nowMs())) {
+  #applySnapshot(snapshot: PlatformSnapshot, startedAtMs: number): void {
+    if (!this.#listOrder.acceptIndex(snapshot.index, this.#options.clock.nowMs())) {
       this.#options.metrics.count('host_list_older_reads_total');
       return;
     }
     this.#afterIndex = snapshot.index;
     const hosts = snapshot.entries.map((entry) => this.#parseEntry(entry));
     const list = { index: snapshot.index, hosts: hosts.filter((host) => host !== undefined) };
-    this.#options.onList(list, begunAtMs);
+    this.#options.onList(list, startedAtMs);
   }
 
   /** One bad entry must not hide all other hosts. */
@@ -143,8 +143,8 @@
     try {
       return parseListedHost(entry);
     } catch (error) {
-      if (this.#loggedFaults.get(entry.key) === entry.modifyIndex) return undefined;
-      this.#loggedFaults.set(entry.key, entry.modifyIndex);
+      if (this.#loggedFaultIndexes.get(entry.key) === entry.modifyIndex) return undefined;
+      this.#loggedFaultIndexes.set(entry.key, entry.modifyIndex);
       const reason = formatReason(error);
       this.#options.log.write(LogLevel.Warn, 'host_list_entry_refused', { key: entry.key, reason });
       return undefined;
@@ -153,20 +153,20 @@
 
   /** The first failure of a row is a warning; the rest would only fill the log. */
   #logFailure(error: unknown): void {
-    const level = this.#failures === 1 ? LogLevel.Warn : LogLevel.Debug;
+    const level = this.#consecutiveFailures === 1 ? LogLevel.Warn : LogLevel.Debug;
     const reason = formatReason(error);
-    this.#options.log.write(level, 'host_list_read_failed', { reason, failures: this.#failures });
+    this.#options.log.write(level, 'host_list_read_failed', { reason, failures: this.#consecutiveFailures });
   }
 
-  #computeDelay(begunAtMs: number): number {
+  #computeDelayMs(startedAtMs: number): number {
     const { clock, random } = this.#options;
-    if (this.#failures === 0) return Math.max(0, begunAtMs + MIN_READ_GAP_MS - clock.nowMs());
-    const longestMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** this.#failures);
-    return longestMs * (0.5 + random.nextFraction() / 2);
+    if (this.#consecutiveFailures === 0) return Math.max(0, startedAtMs + MIN_READ_INTERVAL_MS - clock.nowMs());
+    const maxDelayMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** this.#consecutiveFailures);
+    return maxDelayMs * (0.5 + random.nextFraction() / 2);
   }
 
-  #wait(delayMs: number): Promise<void> {
-    if (this.#stopped) return Promise.resolve();
+  #delay(delayMs: number): Promise<void> {
+    if (this.#isStopped) return Promise.resolve();
     return new Promise((resolve) => {
       const timer: Timer = this.#options.clock.setTimer(delayMs, resolve);
       this.#interrupt = () => {
--- a/src/application/membership/_peer_directory.ts
+++ b/src/application/membership/_peer_directory.ts
@@ -37,9 +37,9 @@
 
   readonly #reports = new PeerReports();
 
-  readonly #picks = new Map<string, EntryHostIdentity>();
+  readonly #responsibleByKey = new Map<string, EntryHostIdentity>();
 
-  #listed: ReadonlyMap<string, ListedHost> = new Map();
+  #listedHosts: ReadonlyMap<string, ListedHost> = new Map();
 
   #states: ReadonlyMap<string, PeerState> = new Map();
 
@@ -65,29 +65,29 @@
   /** @param list - the host list in force */
   applyHostList(list: HostList): void {
     const entryHosts = list.hosts.filter((host) => host.role === HostRole.EntryHost);
-    this.#listed = new Map(entryHosts.map((host) => [host.id, host]));
+    this.#listedHosts = new Map(entryHosts.map((host) => [host.id, host]));
   }
 
   /** @param identity - who came up. @param nowMs - monotonic time. @returns what became of it */
   addPeer(identity: EntryHostIdentity, nowMs: number): AddedIncarnation {
-    const listIndex = this.#listed.get(identity.id)?.modifyIndex ?? 0;
+    const listIndex = this.#listedHosts.get(identity.id)?.modifyIndex ?? 0;
     const added = this.#table.addIncarnation(identity, nowMs, listIndex);
     if (added.replaced) this.#reports.remove(added.replaced.incarnation);
     return added;
   }
 
   /** @param incarnation - who said something. @param nowMs - monotonic time */
-  noteHeard(incarnation: string, nowMs: number): void {
+  recordContact(incarnation: string, nowMs: number): void {
     this.#table.noteHeard(incarnation, nowMs);
   }
 
-  /** @param incarnation - who answered. @param askedAtMs - when the question was sent */
-  noteReply(incarnation: string, askedAtMs: number): void {
-    this.#table.noteReply(incarnation, askedAtMs);
+  /** @param incarnation - who answered. @param requestedAtMs - when the question was sent */
+  recordReply(incarnation: string, requestedAtMs: number): void {
+    this.#table.noteReply(incarnation, requestedAtMs);
   }
 
   /** @param nowMs - when this process woke from a pause */
-  noteWake(nowMs: number): void {
+  recordWake(nowMs: number): void {
     this.#table.noteWake(
       nowMs,
       (incarnation) => this.#states.get(incarnation) !== PeerState.Suspected,
@@ -111,20 +111,20 @@
    * @returns whether anybody came, went or changed state
    */
   updateStates(nowMs: number): boolean {
-    const forgotten = this.#table.prune(nowMs, (id) => this.#listed.has(id));
-    forgotten.forEach(({ incarnation }) => this.#reports.remove(incarnation));
+    const removed = this.#table.prune(nowMs, (id) => this.#listedHosts.has(id));
+    removed.forEach(({ incarnation }) => this.#reports.remove(incarnation));
     const { self } = this.#options;
     const next = new Map<string, PeerState>([[self.incarnation, this.#getSelfState()]]);
     this.#table.list().forEach((record) => {
-      const state = this.#table.getState(record, this.#findClaimed(record), nowMs);
+      const state = this.#table.getState(record, this.#getReportedState(record), nowMs);
       next.set(record.identity.incarnation, state);
     });
-    const isSame =
+    const isUnchanged =
       next.size === this.#states.size &&
       [...next].every(([incarnation, state]) => this.#states.get(incarnation) === state);
-    if (isSame) return false;
+    if (isUnchanged) return false;
     this.#states = next;
-    this.#picks.clear();
+    this.#responsibleByKey.clear();
     return true;
   }
 
@@ -134,7 +134,7 @@
   }
 
   /** @param incarnation - which one. @param nowMs - monotonic time. @returns its view */
-  findIncarnation(incarnation: string, nowMs: number): EntryHostView | undefined {
+  findView(incarnation: string, nowMs: number): EntryHostView | undefined {
     const { self } = this.#options;
     if (incarnation === self.incarnation) return this.#buildSelfView();
     const record = this.#table.find(incarnation);
@@ -148,15 +148,15 @@
   }
 
   /** @returns IDs that the host list has or that are known without it, this one's too, sorted */
-  listIds(): readonly string[] {
+  listKnownIds(): readonly string[] {
     const known = this.#table.list().map(({ identity }) => identity.id);
-    return [...new Set([this.#options.self.id, ...this.#listed.keys(), ...known])].sort();
+    return [...new Set([this.#options.self.id, ...this.#listedHosts.keys(), ...known])].sort();
   }
 
   /** @returns peer URLs to keep links to */
   listPeerUrls(): readonly string[] {
     const { self, seedPeerUrls } = this.#options;
-    const listed = [...this.#listed.values()].filter(({ id }) => id !== self.id);
+    const listed = [...this.#listedHosts.values()].filter(({ id }) => id !== self.id);
     const known = this.#table.list().map(({ identity }) => identity.peerUrl);
     const urls = new Set([
       ...seedPeerUrls,
@@ -169,8 +169,8 @@
 
   /** @param key - the key. @returns who is responsible for it */
   pickResponsible(key: string): EntryHostIdentity {
-    const known = this.#picks.get(key);
-    if (known) return known;
+    const cached = this.#responsibleByKey.get(key);
+    if (cached) return cached;
     const live = [...this.#states].filter(([, state]) => state === PeerState.Live);
     const picked = pickByRendezvous(
       key,
@@ -178,19 +178,19 @@
     );
     const record = picked === undefined ? undefined : this.#table.find(picked);
     const responsible = record?.identity ?? this.#options.self;
-    this.#picks.set(key, responsible);
+    this.#responsibleByKey.set(key, responsible);
     return responsible;
   }
 
   #getSelfState(): PeerState {
-    const isListedLeaving = this.#listed.get(this.#options.self.id)?.state === HostState.Leaving;
+    const isListedLeaving = this.#listedHosts.get(this.#options.self.id)?.state === HostState.Leaving;
     return this.#isSelfStopping || isListedLeaving ? PeerState.Leaving : PeerState.Live;
   }
 
   /** The list's word about an earlier incarnation does not hold for its successor. */
-  #findClaimed({ identity, staleListIndex }: EntryHostRecord): PeerState {
+  #getReportedState({ identity, staleListIndex }: EntryHostRecord): PeerState {
     const report = this.#reports.find(identity.incarnation);
-    const listed = this.#listed.get(identity.id);
+    const listed = this.#listedHosts.get(identity.id);
     const isListedLeaving =
       listed?.state === HostState.Leaving && listed.modifyIndex > staleListIndex;
     if (report?.leaving || isListedLeaving) return PeerState.Leaving;
--- a/src/application/membership/_silent_links.ts
+++ b/src/application/membership/_silent_link_replacer.ts
@@ -7,7 +7,7 @@
 import type { Clock, EventLog, Metrics, PeerNetwork } from '../../ports/mod.js';
 
 /** What the replacer needs. */
-export interface SilentLinksOptions {
+export interface SilentLinkReplacerOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
@@ -23,24 +23,24 @@
  * lose track of a connection: neither end is told, and new connections work. One
  * would notice a peer that is suspected for ever although it runs.
  */
-export class SilentLinks {
-  readonly #options: SilentLinksOptions;
+export class SilentLinkReplacer {
+  readonly #options: SilentLinkReplacerOptions;
 
   readonly #replacedAtMs = new Map<string, number>();
 
   /** @param options - what the replacer needs */
-  constructor(options: SilentLinksOptions) {
+  constructor(options: SilentLinkReplacerOptions) {
     this.#options = options;
   }
 
   /** Replaces the links that are silent now. */
-  replaceAll(): void {
+  replaceSilentLinks(): void {
     const { clock, log, metrics, peers } = this.#options;
     const nowMs = clock.nowMs();
-    this.#expire(nowMs);
+    this.#expireReplacements(nowMs);
     peers
       .listLinked()
-      .filter(({ incarnation }) => this.#isDue(incarnation))
+      .filter(({ incarnation }) => this.#mustReplace(incarnation))
       .forEach(({ id, incarnation }) => {
         this.#replacedAtMs.set(incarnation, nowMs);
         log.write(LogLevel.Warn, 'peer_link_silent', { entryHost: id, incarnation });
@@ -49,11 +49,11 @@
       });
   }
 
-  #isDue(incarnation: string): boolean {
+  #mustReplace(incarnation: string): boolean {
     return this.#options.isSilent(incarnation) && !this.#replacedAtMs.has(incarnation);
   }
 
-  #expire(nowMs: number): void {
+  #expireReplacements(nowMs: number): void {
     this.#replacedAtMs.forEach((atMs, incarnation) => {
       if (nowMs - atMs >= this.#options.suspectAfterMs) this.#replacedAtMs.delete(incarnation);
     });
--- a/src/application/membership/membership_keeper.ts
+++ b/src/application/membership/membership_keeper.ts
@@ -9,12 +9,12 @@
 import { PeerMessageType } from '../../ports/mod.js';
 import type { HeartbeatMessage, HeartbeatReplyMessage, LinkEvent, Timer } from '../../ports/mod.js';
 import { MembershipView } from '../views/mod.js';
-import { Freshness } from './_freshness.js';
+import { FreshnessTracker } from './_freshness_tracker.js';
 import { HeartbeatExchange } from './_heartbeat_exchange.js';
 import type { HeartbeatContent } from './_heartbeat_exchange.js';
 import { HostListWatch } from './_host_list_watch.js';
 import { PeerDirectory } from './_peer_directory.js';
-import { SilentLinks } from './_silent_links.js';
+import { SilentLinkReplacer } from './_silent_link_replacer.js';
 import type {
   GroupLoadsHandler,
   MembershipKeeperOptions,
@@ -34,23 +34,23 @@
 
   readonly #directory: PeerDirectory;
 
-  readonly #leaving = new LeavingBackendServers();
+  readonly #leavingBackendServers = new LeavingBackendServers();
 
-  readonly #exchange: HeartbeatExchange;
+  readonly #heartbeats: HeartbeatExchange;
 
-  readonly #watch: HostListWatch;
+  readonly #hostListWatch: HostListWatch;
 
-  readonly #freshness: Freshness;
+  readonly #freshness: FreshnessTracker;
 
-  readonly #silentLinks: SilentLinks;
+  readonly #silentLinkReplacer: SilentLinkReplacer;
 
   readonly #changeHandlers: (() => void)[] = [];
 
   readonly #configurationHandlers: PeerConfigurationHandler[] = [];
 
-  readonly #loadHandlers: GroupLoadsHandler[] = [];
+  readonly #groupLoadHandlers: GroupLoadsHandler[] = [];
 
-  #leavingIds = '';
+  #lastLeavingIds = '';
 
   #timer: Timer | undefined;
 
@@ -62,13 +62,13 @@
     this.#options = options;
     this.self = options.self;
     this.#directory = new PeerDirectory({ ...options, forgetAfterMs: FORGET_AFTER_MS });
-    this.#exchange = new HeartbeatExchange(options);
-    this.#watch = new HostListWatch({
+    this.#heartbeats = new HeartbeatExchange(options);
+    this.#hostListWatch = new HostListWatch({
       ...options,
       onList: (list, begunAtMs) => this.#handleHostList(list, begunAtMs),
     });
-    this.#freshness = new Freshness({ ...options, onWake: (nowMs) => this.#handleWake(nowMs) });
-    this.#silentLinks = new SilentLinks({
+    this.#freshness = new FreshnessTracker({ ...options, onWake: (nowMs) => this.#handleWake(nowMs) });
+    this.#silentLinkReplacer = new SilentLinkReplacer({
       ...options,
       isSilent: (incarnation) => this.#directory.getState(incarnation) === PeerState.Suspected,
     });
@@ -87,7 +87,7 @@
     this.#freshness.start();
     this.#options.peers.listLinked().forEach((peer) => this.#addPeer(peer));
     this.#updateAddresses();
-    this.#watch.run().catch((error: unknown) => {
+    this.#hostListWatch.run().catch((error: unknown) => {
       this.#options.log.write(LogLevel.Error, 'host_list_watch_failed', { reason: String(error) });
     });
     this.#handleTick();
@@ -96,7 +96,7 @@
   /** Ends the watch and the heartbeats. The links stay; whoever made them closes them. */
   stop(): void {
     this.#isRunning = false;
-    this.#watch.stop();
+    this.#hostListWatch.stop();
     this.#timer?.cancel();
     this.#freshness.stop();
   }
@@ -106,7 +106,7 @@
     if (this.#directory.isSelfStopping) return;
     this.#directory.setSelfStopping();
     this.#sendHeartbeats();
-    this.#update();
+    this.#updateStates();
   }
 
   /**
@@ -116,12 +116,12 @@
    * @param backendServerId - which one
    */
   noteBackendServerLeaving(backendServerId: string): void {
-    if (!this.#leaving.noteOwn(backendServerId, this.#options.clock.nowMs())) return;
+    if (!this.#leavingBackendServers.noteOwn(backendServerId, this.#options.clock.nowMs())) return;
     this.#options.log.write(LogLevel.Info, 'backend_server_leaving', {
       backendServer: backendServerId,
     });
     this.#sendHeartbeats();
-    this.#update();
+    this.#updateStates();
   }
 
   /** @param handler - called with each heartbeat's configuration revision and hash */
@@ -131,7 +131,7 @@
 
   /** @param handler - called with each heartbeat's group loads */
   onGroupLoads(handler: GroupLoadsHandler): void {
-    this.#loadHandlers.push(handler);
+    this.#groupLoadHandlers.push(handler);
   }
 
   override onChange(handler: () => void): void {
@@ -143,11 +143,11 @@
   }
 
   override listListedIds(): readonly string[] {
-    return this.#directory.listIds();
+    return this.#directory.listKnownIds();
   }
 
   override findIncarnation(incarnation: string): EntryHostView | undefined {
-    return this.#directory.findIncarnation(incarnation, this.#options.clock.nowMs());
+    return this.#directory.findView(incarnation, this.#options.clock.nowMs());
   }
 
   override findEntryHost(id: string): EntryHostView | undefined {
@@ -159,12 +159,12 @@
   }
 
   override isBackendServerLeaving(backendServerId: string): boolean {
-    return this.#leaving.isLeaving(backendServerId);
+    return this.#leavingBackendServers.isLeaving(backendServerId);
   }
 
   /** @returns backend servers that anybody within reach knows to leave, sorted */
   listLeavingBackendServers(): readonly string[] {
-    return this.#leaving.listLeaving();
+    return this.#leavingBackendServers.listLeaving();
   }
 
   override isFresh(): boolean {
@@ -179,8 +179,8 @@
     if (!this.#isRunning) return;
     this.#timer = this.#options.clock.setTimer(this.#options.heartbeatMs, () => this.#handleTick());
     if (!this.#freshness.detectPause()) this.#sendHeartbeats();
-    this.#update();
-    this.#silentLinks.replaceAll();
+    this.#updateStates();
+    this.#silentLinkReplacer.replaceSilentLinks();
   }
 
   /**
@@ -188,58 +188,58 @@
    * answer tells of the time before: heartbeats and the list read start anew.
    */
   #handleWake(nowMs: number): void {
-    this.#directory.noteWake(nowMs);
+    this.#directory.recordWake(nowMs);
     if (!this.#isRunning) return;
-    this.#watch.restart();
+    this.#hostListWatch.restart();
     this.#sendHeartbeats();
   }
 
-  #handleHostList(list: HostList, begunAtMs: number): void {
+  #handleHostList(list: HostList, readStartedAtMs: number): void {
     const nowMs = this.#options.clock.nowMs();
-    const toldBefore = this.#leaving.listKnownAtFirstHand().join();
+    const idsBefore = this.#leavingBackendServers.listKnownAtFirstHand().join();
     this.#directory.applyHostList(list);
-    this.#leaving.applyHostList(list, nowMs);
-    this.#freshness.acceptRefresh(begunAtMs);
+    this.#leavingBackendServers.applyHostList(list, nowMs);
+    this.#freshness.acceptRefresh(readStartedAtMs);
     this.#updateAddresses();
-    if (this.#leaving.listKnownAtFirstHand().join() !== toldBefore) this.#sendHeartbeats();
-    this.#update();
+    if (this.#leavingBackendServers.listKnownAtFirstHand().join() !== idsBefore) this.#sendHeartbeats();
+    this.#updateStates();
   }
 
   #handleLink({ peer, up }: LinkEvent): void {
     if (!this.#isRunning) return;
     if (up && this.#addPeer(peer)) {
-      this.#exchange.sendTo(peer.incarnation, this.#buildContent());
+      this.#heartbeats.sendTo(peer.incarnation, this.#buildContent());
     }
-    this.#update();
+    this.#updateStates();
   }
 
   #handleHeartbeat(from: EntryHostIdentity, message: HeartbeatMessage): void {
     if (!this.#isRunning || !this.#addPeer(from)) return;
     const nowMs = this.#options.clock.nowMs();
     const { incarnation } = from;
-    this.#directory.noteHeard(incarnation, nowMs);
-    this.#exchange.sendReply(incarnation, message);
-    const before = this.#directory.findReport(incarnation);
+    this.#directory.recordContact(incarnation, nowMs);
+    this.#heartbeats.sendReply(incarnation, message);
+    const previousReport = this.#directory.findReport(incarnation);
     // A heartbeat that was overtaken on another link must not take back newer word.
     if (!this.#directory.mergeReport(incarnation, message)) return;
-    this.#leaving.applyClaims(incarnation, message.leavingBackendServers, nowMs);
-    if (!hasSameWord(before, message)) this.#update();
+    this.#leavingBackendServers.applyClaims(incarnation, message.leavingBackendServers, nowMs);
+    if (!hasSameWord(previousReport, message)) this.#updateStates();
     const { configurationRevision, configurationHash, groups } = message;
     this.#configurationHandlers.forEach((handler) =>
       handler(incarnation, configurationRevision, configurationHash),
     );
-    this.#loadHandlers.forEach((handler) => handler(incarnation, groups));
+    this.#groupLoadHandlers.forEach((handler) => handler(incarnation, groups));
   }
 
   #handleReply({ incarnation }: EntryHostIdentity, message: HeartbeatReplyMessage): void {
     // The pause must be seen before a reply that waited in a buffer all through it.
     this.#freshness.detectPause();
-    const sentAtMs = this.#exchange.findSentAt(message);
-    if (sentAtMs === undefined) return;
-    this.#directory.noteHeard(incarnation, this.#options.clock.nowMs());
-    this.#directory.noteReply(incarnation, sentAtMs);
-    this.#freshness.acceptRefresh(sentAtMs);
-    if (this.#directory.getState(incarnation) === PeerState.Suspected) this.#update();
+    const heartbeatSentAtMs = this.#heartbeats.matchReply(message);
+    if (heartbeatSentAtMs === undefined) return;
+    this.#directory.recordContact(incarnation, this.#options.clock.nowMs());
+    this.#directory.recordReply(incarnation, heartbeatSentAtMs);
+    this.#freshness.acceptRefresh(heartbeatSentAtMs);
+    if (this.#directory.getState(incarnation) === PeerState.Suspected) this.#updateStates();
   }
 
   #addPeer(identity: EntryHostIdentity): boolean {
@@ -257,12 +257,12 @@
     // The old incarnation's link may hang half open without ever being closed.
     if (replaced) this.#options.peers.replaceLink(replaced.incarnation);
     this.#updateAddresses();
-    this.#update();
+    this.#updateStates();
     return true;
   }
 
   #sendHeartbeats(): void {
-    if (this.#isRunning) this.#exchange.sendToAll(this.#buildContent());
+    if (this.#isRunning) this.#heartbeats.sendToAll(this.#buildContent());
   }
 
   #buildContent(): HeartbeatContent {
@@ -272,7 +272,7 @@
       leaving: this.#directory.isSelfStopping,
       configurationRevision: revision,
       configurationHash: hash,
-      leavingBackendServers: this.#leaving.listKnownAtFirstHand(),
+      leavingBackendServers: this.#leavingBackendServers.listKnownAtFirstHand(),
       groups: this.#options.listGroupLoads(),
     };
   }
@@ -281,11 +281,11 @@
     this.#options.peers.setAddresses(this.#directory.listPeerUrls());
   }
 
-  #update(): void {
+  #updateStates(): void {
     const isChanged = this.#directory.updateStates(this.#options.clock.nowMs());
-    const leavingIds = this.#leaving.listLeaving().join();
-    if (!isChanged && leavingIds === this.#leavingIds) return;
-    this.#leavingIds = leavingIds;
+    const leavingIds = this.#leavingBackendServers.listLeaving().join();
+    if (!isChanged && leavingIds === this.#lastLeavingIds) return;
+    this.#lastLeavingIds = leavingIds;
     this.#changeHandlers.forEach((handler) => handler());
   }
 }
--- a/src/application/membership/membership_keeper_options.ts
+++ b/src/application/membership/membership_keeper_options.ts
@@ -15,7 +15,7 @@
 } from '../../ports/mod.js';
 
 /** Revision and hash of the configuration in force. */
-export interface ConfigurationMark {
+export interface ConfigurationVersion {
   readonly revision: number;
   readonly hash: string;
 }
@@ -43,7 +43,7 @@
   /** Whether callers can be sent here; told by heartbeats. */
   readonly isReady: () => boolean;
   /** What heartbeats tell of the configuration. */
-  readonly getConfiguration: () => ConfigurationMark;
+  readonly getConfiguration: () => ConfigurationVersion;
 }
 
 /** Called with a peer's configuration revision and hash. */
--- a/src/application/membership/mod.ts
+++ b/src/application/membership/mod.ts
@@ -7,7 +7,7 @@
  */
 export { MembershipKeeper } from './membership_keeper.js';
 export type {
-  ConfigurationMark,
+  ConfigurationVersion,
   GroupLoadsHandler,
   MembershipKeeperOptions,
   PeerConfigurationHandler,
