--- a/src/application/membership/_freshness_tracker.ts
+++ b/src/application/membership/_freshness_tracker.ts
@@ -1,5 +1,5 @@
 /**
- * Whether this process may act on what it knows.
+ * Tracks whether this process may act on its view of the entry hosts.
  *
  * @module
  */
@@ -7,21 +7,27 @@
 import { LogLevel } from '../../domain/errors/mod.js';
 import type { Clock, EventLog, Metrics, Timer } from '../../ports/mod.js';
 
-/** How long a start waits for the host list or a peer before it goes on alone. */
+/**
+ * How long a starting process waits for the host list or a peer before it counts its
+ * view as fresh without them, in milliseconds.
+ */
 const START_TIMEOUT_MS = 3_000;
 
-/** What the freshness needs. */
+/** Dependencies and times of {@link FreshnessTracker}. */
 export interface FreshnessTrackerOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
   readonly heartbeatMs: number;
   readonly suspectAfterMs: number;
-  /** Called right after a pause was noticed. */
+  /** Called right after a pause was detected. */
   readonly onWake: (nowMs: number) => void;
 }
 
-/** Notices pauses of this process, and what confirms its view after one. */
+/**
+ * Detects pauses of this process. A pause makes the view stale until an answer to a
+ * request that was sent after the pause confirms it.
+ */
 export class FreshnessTracker {
   readonly #options: FreshnessTrackerOptions;
 
@@ -31,21 +37,21 @@
 
   #startTimer: Timer | undefined;
 
-  /** @param options - what the freshness needs */
+  /** @param options - dependencies and times */
   constructor(options: FreshnessTrackerOptions) {
     const { clock, heartbeatMs, suspectAfterMs } = options;
     this.#options = options;
     this.#startedAtMs = clock.nowMs();
     this.#pauseDetector = new PauseDetector({
       nowMs: this.#startedAtMs,
-      // Shorter than the silence after which others take over from this process.
+      // Shorter than the silence after which peers take over from this process.
       maxGapMs: Math.max(suspectAfterMs / 2, 2 * heartbeatMs),
     });
   }
 
   /**
-   * Begins the start's patience: a process that has just started has no old view
-   * that could mislead it, so with nobody in reach it goes on alone.
+   * Starts the start timeout. A process that has just started has no stale view to
+   * act on, so its view counts as fresh after the timeout even if nobody answers.
    */
   start(): void {
     this.detectPause();
@@ -54,18 +60,18 @@
     });
   }
 
-  /** Ends the start's patience. */
+  /** Cancels the start timeout. */
   stop(): void {
     this.#startTimer?.cancel();
   }
 
-  /** @returns whether the view was confirmed since the start or the last pause */
+  /** @returns whether the view was confirmed after the start and after the last pause */
   isFresh(): boolean {
     this.detectPause();
     return this.#pauseDetector.fresh;
   }
 
-  /** @returns whether this process stood still since it was last asked */
+  /** @returns whether this process was paused since the last call */
   detectPause(): boolean {
     const { clock, log, metrics, onWake } = this.#options;
     const nowMs = clock.nowMs();
@@ -77,7 +83,7 @@
     return true;
   }
 
-  /** @param requestedAtMs - when the question was sent, or the read begun, that confirms the view */
+  /** @param requestedAtMs - when the heartbeat or read that confirms the view was sent */
   acceptRefresh(requestedAtMs: number): void {
     if (!this.#pauseDetector.acceptRefresh(requestedAtMs)) return;
     this.#options.log.write(LogLevel.Info, 'view_refreshed');
--- a/src/application/membership/_heartbeat_exchange.ts
+++ b/src/application/membership/_heartbeat_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * Sends heartbeats to all linked peers and matches the replies.
+ * Sends heartbeats to linked peers and matches the replies with them.
  *
  * @module
  */
@@ -12,20 +12,20 @@
   PeerNetwork,
 } from '../../ports/mod.js';
 
-/** How long a heartbeat's sending time is remembered. */
+/** How long the send time of a heartbeat is kept, in milliseconds; later replies don't match. */
 const SENT_TIME_RETENTION_MS = 30_000;
 
-/** What a heartbeat carries besides its type and number. */
+/** Content of a heartbeat without its type and sequence number. */
 export type HeartbeatContent = Omit<HeartbeatMessage, 'type' | 'sequence'>;
 
-/** What the exchange needs. */
+/** Dependencies of {@link HeartbeatExchange}. */
 export interface HeartbeatExchangeOptions {
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly peers: PeerNetwork;
 }
 
-/** Numbers heartbeats, so that a reply tells when its question was sent. */
+/** Numbers heartbeats, so that a reply can be matched with the time its heartbeat was sent. */
 export class HeartbeatExchange {
   readonly #options: HeartbeatExchangeOptions;
 
@@ -33,12 +33,12 @@
 
   #sequence = 0;
 
-  /** @param options - what the exchange needs */
+  /** @param options - clock, metrics and links */
   constructor(options: HeartbeatExchangeOptions) {
     this.#options = options;
   }
 
-  /** @param content - what to tell every linked peer now */
+  /** Sends one heartbeat to every linked peer. @param content - its content */
   sendToAll(content: HeartbeatContent): void {
     const { peers } = this.#options;
     this.#expireSentTimes();
@@ -46,22 +46,22 @@
     peers.listLinked().forEach(({ incarnation }) => peers.send(incarnation, message));
   }
 
-  /** @param incarnation - whom to tell. @param content - what to tell it now */
+  /** Sends a heartbeat to one peer. @param incarnation - the peer. @param content - its content */
   sendTo(incarnation: string, content: HeartbeatContent): void {
     this.#options.peers.send(incarnation, this.#buildHeartbeat(content));
   }
 
-  /** @param incarnation - whose heartbeat. @param heartbeat - the heartbeat to be answered */
+  /** Replies to a heartbeat. @param incarnation - its sender. @param heartbeat - the heartbeat */
   sendReply(incarnation: string, heartbeat: HeartbeatMessage): void {
     const { sequence } = heartbeat;
     this.#options.peers.send(incarnation, { type: PeerMessageType.HeartbeatReply, sequence });
   }
 
   /**
-   * Matches a reply.
+   * Matches a reply with its heartbeat and records the round-trip time.
    *
    * @param reply - the reply
-   * @returns when its heartbeat was sent; undefined when that is too long ago
+   * @returns when the heartbeat was sent; undefined if its send time is no longer kept
    */
   matchReply(reply: HeartbeatReplyMessage): number | undefined {
     const sentAtMs = this.#sentAtMs.get(reply.sequence);
--- a/src/application/membership/_host_list_watch.ts
+++ b/src/application/membership/_host_list_watch.ts
@@ -1,5 +1,5 @@
 /**
- * Watches the host list, with bounded reads.
+ * Watches the host list with long-polling reads, each of which has a timeout.
  *
  * @module
  */
@@ -17,16 +17,19 @@
   Timer,
 } from '../../ports/mod.js';
 
-/** How much later than the wait an answer may come before the read is given up. */
+/** Time beyond the long-polling wait after which a read without an answer is aborted. */
 const READ_TIMEOUT_MARGIN_MS = 2_000;
-/** Least time between the begins of two reads, also when the list changes all the time. */
+/** Minimum time between the starts of two reads, also while the list changes continuously. */
 const MIN_READ_INTERVAL_MS = 1_000;
 const MIN_BACKOFF_MS = 200;
 const MAX_BACKOFF_MS = 5_000;
-/** How long the list must be older than what was read before it is taken for restored. */
+/**
+ * How long reads must return an older index than before until the list is taken to be
+ * restored from a backup and is accepted.
+ */
 const RESTORE_CONFIRMATION_MS = 60_000;
 
-/** What the watch needs. */
+/** Dependencies and settings of {@link HostListWatch}. */
 export interface HostListWatchOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -35,11 +38,11 @@
   readonly platform: PlatformReader;
   /** How long one read waits for a change, in milliseconds. */
   readonly readWaitMs: number;
-  /** Called with each list that is in force, and when its read was begun. */
+  /** Called with each accepted list and the time at which its read was started. */
   readonly onList: (list: HostList, begunAtMs: number) => void;
 }
 
-/** Reads the host list again and again, until it is stopped. */
+/** Reads the host list repeatedly until it is stopped. */
 export class HostListWatch {
   readonly #options: HostListWatchOptions;
 
@@ -55,15 +58,15 @@
 
   #isRestarting = false;
 
-  /** Ends whatever the watch waits for: a read or the time between two. */
+  /** Aborts the current read or ends the delay between two reads. */
   #interrupt: () => void = () => undefined;
 
-  /** @param options - what the watch needs */
+  /** @param options - dependencies and settings */
   constructor(options: HostListWatchOptions) {
     this.#options = options;
   }
 
-  /** @returns when the watch was stopped */
+  /** Runs the watch. @returns a promise that resolves after {@link HostListWatch.stop} */
   async run(): Promise<void> {
     while (!this.#isStopped) {
       const startedAtMs = this.#options.clock.nowMs();
@@ -73,14 +76,14 @@
     }
   }
 
-  /** Gives up the read that waits and reads at once. */
+  /** Aborts the current read and starts one that returns at once. */
   restart(): void {
     this.#isRestarting = true;
     this.#afterIndex = 0;
     this.#interrupt();
   }
 
-  /** Ends the watch. */
+  /** Stops the watch. */
   stop(): void {
     this.#isStopped = true;
     this.#interrupt();
@@ -99,7 +102,10 @@
     }
   }
 
-  /** Neither a silent connection nor a reader that ignores the signal may hold the watch. */
+  /**
+   * Reads the list with a timeout, so that neither a silent connection nor a reader
+   * that ignores the abort signal can block the watch.
+   */
   async #readWithTimeout(): Promise<PlatformSnapshot> {
     const controller = new AbortController();
     const { readWaitMs } = this.#options;
@@ -113,7 +119,7 @@
     const timer = this.#options.clock.setTimer(timeoutMs, () => {
       controller.abort(new Error(`no answer within ${timeoutMs} ms`));
     });
-    this.#interrupt = () => controller.abort(new Error('given up'));
+    this.#interrupt = () => controller.abort(new Error('the read was aborted'));
     const options = {
       afterIndex: this.#afterIndex,
       waitMs: readWaitMs,
@@ -138,7 +144,7 @@
     this.#options.onList(list, startedAtMs);
   }
 
-  /** One bad entry must not hide all other hosts. */
+  /** Parses one entry; logs and skips an invalid one, so that the other hosts stay visible. */
   #parseEntry(entry: PlatformEntry): ListedHost | undefined {
     try {
       return parseListedHost(entry);
@@ -151,16 +157,20 @@
     }
   }
 
-  /** The first failure of a row is a warning; the rest would only fill the log. */
+  /** Logs the first of several consecutive failures as a warning and the rest at debug level. */
   #logFailure(error: unknown): void {
     const level = this.#consecutiveFailures === 1 ? LogLevel.Warn : LogLevel.Debug;
     const reason = formatReason(error);
-    this.#options.log.write(level, 'host_list_read_failed', { reason, failures: this.#consecutiveFailures });
+    this.#options.log.write(level, 'host_list_read_failed', {
+      reason,
+      failures: this.#consecutiveFailures,
+    });
   }
 
   #computeDelayMs(startedAtMs: number): number {
     const { clock, random } = this.#options;
-    if (this.#consecutiveFailures === 0) return Math.max(0, startedAtMs + MIN_READ_INTERVAL_MS - clock.nowMs());
+    if (this.#consecutiveFailures === 0)
+      return Math.max(0, startedAtMs + MIN_READ_INTERVAL_MS - clock.nowMs());
     const maxDelayMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** this.#consecutiveFailures);
     return maxDelayMs * (0.5 + random.nextFraction() / 2);
   }
--- a/src/application/membership/_peer_directory.ts
+++ b/src/application/membership/_peer_directory.ts
@@ -1,5 +1,5 @@
 /**
- * Joins links, heartbeats and the host list to one view of the entry hosts.
+ * Combines links, heartbeats and the host list into one view of the entry hosts.
  *
  * @module
  */
@@ -21,15 +21,18 @@
   PeerReport,
 } from '../../domain/membership/mod.js';
 
-/** What the directory needs. */
+/** Options of {@link PeerDirectory}. */
 export interface PeerDirectoryOptions {
   readonly self: EntryHostIdentity;
+  /** Peers to keep links to, whether or not the host list contains them. */
   readonly seedPeerUrls: readonly string[];
+  /** Silence after which a peer is suspected, in milliseconds. */
   readonly suspectAfterMs: number;
+  /** Silence after which an unlisted peer is removed, in milliseconds. */
   readonly forgetAfterMs: number;
 }
 
-/** Keeps who is there; time comes in as an argument. */
+/** Keeps the known entry hosts and their states. Callers pass the current time in. */
 export class PeerDirectory {
   readonly #options: PeerDirectoryOptions;
 
@@ -45,30 +48,30 @@
 
   #isSelfStopping = false;
 
-  /** @param options - what the directory needs */
+  /** @param options - this entry host's identity, seed peers and timeouts */
   constructor(options: PeerDirectoryOptions) {
     this.#options = options;
     this.#table = new EntryHostTable(options);
     this.updateStates(0);
   }
 
-  /** Whether this process was told to stop. */
+  /** Whether this process is stopping. */
   get isSelfStopping(): boolean {
     return this.#isSelfStopping;
   }
 
-  /** Takes note that this process was told to stop. */
+  /** Records that this process is stopping. */
   setSelfStopping(): void {
     this.#isSelfStopping = true;
   }
 
-  /** @param list - the host list in force */
+  /** Replaces the host list. @param list - the newest accepted list */
   applyHostList(list: HostList): void {
     const entryHosts = list.hosts.filter((host) => host.role === HostRole.EntryHost);
     this.#listedHosts = new Map(entryHosts.map((host) => [host.id, host]));
   }
 
-  /** @param identity - who came up. @param nowMs - monotonic time. @returns what became of it */
+  /** Adds a peer. @param identity - the peer. @param nowMs - monotonic time. @returns the outcome */
   addPeer(identity: EntryHostIdentity, nowMs: number): AddedIncarnation {
     const listIndex = this.#listedHosts.get(identity.id)?.modifyIndex ?? 0;
     const added = this.#table.addIncarnation(identity, nowMs, listIndex);
@@ -76,17 +79,22 @@
     return added;
   }
 
-  /** @param incarnation - who said something. @param nowMs - monotonic time */
+  /** Records a message from a peer. @param incarnation - the peer. @param nowMs - monotonic time */
   recordContact(incarnation: string, nowMs: number): void {
     this.#table.noteHeard(incarnation, nowMs);
   }
 
-  /** @param incarnation - who answered. @param requestedAtMs - when the question was sent */
+  /**
+   * Records a reply to a heartbeat.
+   *
+   * @param incarnation - the peer that replied
+   * @param requestedAtMs - when the heartbeat was sent
+   */
   recordReply(incarnation: string, requestedAtMs: number): void {
     this.#table.noteReply(incarnation, requestedAtMs);
   }
 
-  /** @param nowMs - when this process woke from a pause */
+  /** Records the end of a pause of this process. @param nowMs - monotonic time */
   recordWake(nowMs: number): void {
     this.#table.noteWake(
       nowMs,
@@ -94,21 +102,27 @@
     );
   }
 
-  /** @param incarnation - whose word. @returns its newest word */
+  /** @param incarnation - the reporting peer. @returns the peer's newest report */
   findReport(incarnation: string): PeerReport | undefined {
     return this.#reports.find(incarnation);
   }
 
-  /** @param incarnation - whose word. @param report - the word. @returns whether it is newer */
+  /**
+   * Stores a peer's report unless a newer one is stored already.
+   *
+   * @param incarnation - the reporting peer
+   * @param report - the report
+   * @returns whether the report is newer than the stored one
+   */
   mergeReport(incarnation: string, report: PeerReport): boolean {
     return this.#reports.merge(incarnation, report);
   }
 
   /**
-   * Judges everybody anew.
+   * Recomputes the state of every entry host and removes expired peers.
    *
    * @param nowMs - monotonic time
-   * @returns whether anybody came, went or changed state
+   * @returns whether an entry host was added, was removed or changed its state
    */
   updateStates(nowMs: number): boolean {
     const removed = this.#table.prune(nowMs, (id) => this.#listedHosts.has(id));
@@ -128,12 +142,12 @@
     return true;
   }
 
-  /** @param incarnation - which one. @returns its state as last judged */
+  /** @param incarnation - which incarnation. @returns its state as last computed */
   getState(incarnation: string): PeerState | undefined {
     return this.#states.get(incarnation);
   }
 
-  /** @param incarnation - which one. @param nowMs - monotonic time. @returns its view */
+  /** @param incarnation - which incarnation. @param nowMs - monotonic time. @returns its view */
   findView(incarnation: string, nowMs: number): EntryHostView | undefined {
     const { self } = this.#options;
     if (incarnation === self.incarnation) return this.#buildSelfView();
@@ -147,13 +161,13 @@
     return [this.#buildSelfView(), ...peers];
   }
 
-  /** @returns IDs that the host list has or that are known without it, this one's too, sorted */
+  /** @returns sorted IDs of listed and other known entry hosts, including this one */
   listKnownIds(): readonly string[] {
     const known = this.#table.list().map(({ identity }) => identity.id);
     return [...new Set([this.#options.self.id, ...this.#listedHosts.keys(), ...known])].sort();
   }
 
-  /** @returns peer URLs to keep links to */
+  /** @returns sorted URLs of the peers to keep links to, without this entry host */
   listPeerUrls(): readonly string[] {
     const { self, seedPeerUrls } = this.#options;
     const listed = [...this.#listedHosts.values()].filter(({ id }) => id !== self.id);
@@ -167,7 +181,7 @@
     return [...urls].sort();
   }
 
-  /** @param key - the key. @returns who is responsible for it */
+  /** @param key - the key. @returns the live entry host that is responsible for it */
   pickResponsible(key: string): EntryHostIdentity {
     const cached = this.#responsibleByKey.get(key);
     if (cached) return cached;
@@ -183,11 +197,15 @@
   }
 
   #getSelfState(): PeerState {
-    const isListedLeaving = this.#listedHosts.get(this.#options.self.id)?.state === HostState.Leaving;
+    const isListedLeaving =
+      this.#listedHosts.get(this.#options.self.id)?.state === HostState.Leaving;
     return this.#isSelfStopping || isListedLeaving ? PeerState.Leaving : PeerState.Live;
   }
 
-  /** The list's word about an earlier incarnation does not hold for its successor. */
+  /**
+   * Derives a peer's state from its report and the host list. A list entry that was
+   * written before this incarnation appeared refers to an earlier one and is ignored.
+   */
   #getReportedState({ identity, staleListIndex }: EntryHostRecord): PeerState {
     const report = this.#reports.find(identity.incarnation);
     const listed = this.#listedHosts.get(identity.id);
--- a/src/application/membership/_silent_link_replacer.ts
+++ b/src/application/membership/_silent_link_replacer.ts
@@ -1,39 +1,39 @@
 /**
- * Has links replaced that have gone silent.
+ * Replaces links to peers that no longer answer heartbeats.
  *
  * @module
  */
 import { LogLevel } from '../../domain/errors/mod.js';
 import type { Clock, EventLog, Metrics, PeerNetwork } from '../../ports/mod.js';
 
-/** What the replacer needs. */
+/** Dependencies of {@link SilentLinkReplacer}. */
 export interface SilentLinkReplacerOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
   readonly peers: PeerNetwork;
-  /** Least time between two replacements of one link, in milliseconds. */
+  /** Minimum time between two replacements of the same link, in milliseconds. */
   readonly suspectAfterMs: number;
-  /** Whether a peer answers no heartbeats. */
+  /** Returns whether a peer does not answer heartbeats. */
   readonly isSilent: (incarnation: string) => boolean;
 }
 
 /**
- * Looks for links whose peer does not answer. Something between the two ends can
- * lose track of a connection: neither end is told, and new connections work. One
- * would notice a peer that is suspected for ever although it runs.
+ * Replaces links whose peer does not answer. A middlebox can lose track of a
+ * connection without notifying either end, while new connections work. Without a
+ * replacement, a running peer would stay suspected forever.
  */
 export class SilentLinkReplacer {
   readonly #options: SilentLinkReplacerOptions;
 
   readonly #replacedAtMs = new Map<string, number>();
 
-  /** @param options - what the replacer needs */
+  /** @param options - clock, log, metrics, links and the silence check */
   constructor(options: SilentLinkReplacerOptions) {
     this.#options = options;
   }
 
-  /** Replaces the links that are silent now. */
+  /** Replaces every link that is silent now and was not replaced recently. */
   replaceSilentLinks(): void {
     const { clock, log, metrics, peers } = this.#options;
     const nowMs = clock.nowMs();
--- a/src/application/membership/membership_keeper.ts
+++ b/src/application/membership/membership_keeper.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps this entry host's view of the others and of itself.
+ * Keeps this entry host's view of all entry hosts, itself included.
  *
  * @module
  */
@@ -22,11 +22,12 @@
 } from './membership_keeper_options.js';
 
 /**
- * Silence after which an unlisted peer is forgotten. Its requests are answered
- * `owner_gone` from then on; the default life of a request ID is shorter.
+ * Silence after which an unlisted peer is removed. Its requests are answered
+ * `owner_gone` from then on; the default lifetime of a request ID is shorter.
  */
 const FORGET_AFTER_MS = 3_600_000;
-/** Keeps the view by the host list and by heartbeats, each of which does without the other. */
+
+/** Maintains the view from the host list and from heartbeats; either of them suffices alone. */
 export class MembershipKeeper extends MembershipView {
   override readonly self: EntryHostIdentity;
 
@@ -56,7 +57,7 @@
 
   #isRunning = false;
 
-  /** @param options - what the keeper needs */
+  /** @param options - dependencies and times */
   constructor(options: MembershipKeeperOptions) {
     super();
     this.#options = options;
@@ -67,7 +68,10 @@
       ...options,
       onList: (list, begunAtMs) => this.#handleHostList(list, begunAtMs),
     });
-    this.#freshness = new FreshnessTracker({ ...options, onWake: (nowMs) => this.#handleWake(nowMs) });
+    this.#freshness = new FreshnessTracker({
+      ...options,
+      onWake: (nowMs) => this.#handleWake(nowMs),
+    });
     this.#silentLinkReplacer = new SilentLinkReplacer({
       ...options,
       isSilent: (incarnation) => this.#directory.getState(incarnation) === PeerState.Suspected,
@@ -81,7 +85,7 @@
     );
   }
 
-  /** Begins to watch the host list and to send heartbeats. */
+  /** Starts to watch the host list and to send heartbeats. */
   start(): void {
     this.#isRunning = true;
     this.#freshness.start();
@@ -93,7 +97,7 @@
     this.#handleTick();
   }
 
-  /** Ends the watch and the heartbeats. The links stay; whoever made them closes them. */
+  /** Stops the watch and the heartbeats. The owner of the peer network closes the links. */
   stop(): void {
     this.#isRunning = false;
     this.#hostListWatch.stop();
@@ -101,7 +105,7 @@
     this.#freshness.stop();
   }
 
-  /** Takes note that this process was told to stop, and tells all peers at once. */
+  /** Records that this process is stopping, and notifies all peers at once. */
   setStopping(): void {
     if (this.#directory.isSelfStopping) return;
     this.#directory.setSelfStopping();
@@ -110,10 +114,10 @@
   }
 
   /**
-   * Takes a load report or refusal that says that a backend server leaves; tells
-   * all peers at once.
+   * Records that a backend server is leaving, as it said in a load report or a
+   * refusal, and notifies all peers at once.
    *
-   * @param backendServerId - which one
+   * @param backendServerId - ID of the backend server
    */
   noteBackendServerLeaving(backendServerId: string): void {
     if (!this.#leavingBackendServers.noteOwn(backendServerId, this.#options.clock.nowMs())) return;
@@ -124,12 +128,12 @@
     this.#updateStates();
   }
 
-  /** @param handler - called with each heartbeat's configuration revision and hash */
+  /** @param handler - called with the configuration revision and hash of each heartbeat */
   onPeerConfiguration(handler: PeerConfigurationHandler): void {
     this.#configurationHandlers.push(handler);
   }
 
-  /** @param handler - called with each heartbeat's group loads */
+  /** @param handler - called with the group loads of each heartbeat */
   onGroupLoads(handler: GroupLoadsHandler): void {
     this.#groupLoadHandlers.push(handler);
   }
@@ -162,7 +166,7 @@
     return this.#leavingBackendServers.isLeaving(backendServerId);
   }
 
-  /** @returns backend servers that anybody within reach knows to leave, sorted */
+  /** @returns sorted IDs of backend servers that any reachable entry host reports as leaving */
   listLeavingBackendServers(): readonly string[] {
     return this.#leavingBackendServers.listLeaving();
   }
@@ -184,8 +188,9 @@
   }
 
   /**
-   * After a pause every question that is still open was asked before it, so its
-   * answer tells of the time before: heartbeats and the list read start anew.
+   * Sends new heartbeats and restarts the read of the host list after a pause. Requests
+   * that were sent before the pause can't confirm the view: their answers may be as old
+   * as the requests.
    */
   #handleWake(nowMs: number): void {
     this.#directory.recordWake(nowMs);
@@ -201,7 +206,8 @@
     this.#leavingBackendServers.applyHostList(list, nowMs);
     this.#freshness.acceptRefresh(readStartedAtMs);
     this.#updateAddresses();
-    if (this.#leavingBackendServers.listKnownAtFirstHand().join() !== idsBefore) this.#sendHeartbeats();
+    if (this.#leavingBackendServers.listKnownAtFirstHand().join() !== idsBefore)
+      this.#sendHeartbeats();
     this.#updateStates();
   }
 
@@ -220,7 +226,7 @@
     this.#directory.recordContact(incarnation, nowMs);
     this.#heartbeats.sendReply(incarnation, message);
     const previousReport = this.#directory.findReport(incarnation);
-    // A heartbeat that was overtaken on another link must not take back newer word.
+    // A heartbeat that a newer one has overtaken on another link must not replace it.
     if (!this.#directory.mergeReport(incarnation, message)) return;
     this.#leavingBackendServers.applyClaims(incarnation, message.leavingBackendServers, nowMs);
     if (!hasSameWord(previousReport, message)) this.#updateStates();
@@ -232,7 +238,7 @@
   }
 
   #handleReply({ incarnation }: EntryHostIdentity, message: HeartbeatReplyMessage): void {
-    // The pause must be seen before a reply that waited in a buffer all through it.
+    // A reply may have waited in a buffer during a pause, so the pause is detected first.
     this.#freshness.detectPause();
     const heartbeatSentAtMs = this.#heartbeats.matchReply(message);
     if (heartbeatSentAtMs === undefined) return;
@@ -254,7 +260,7 @@
       peerUrl,
       replaced: replaced?.incarnation,
     });
-    // The old incarnation's link may hang half open without ever being closed.
+    // The link to the old incarnation may be half-open and never be closed.
     if (replaced) this.#options.peers.replaceLink(replaced.incarnation);
     this.#updateAddresses();
     this.#updateStates();
--- a/src/application/membership/membership_keeper_options.ts
+++ b/src/application/membership/membership_keeper_options.ts
@@ -1,5 +1,5 @@
 /**
- * What the keeper of the membership needs, and what it calls.
+ * Defines the options and callbacks of the membership of entry hosts.
  *
  * @module
  */
@@ -14,13 +14,13 @@
   RandomSource,
 } from '../../ports/mod.js';
 
-/** Revision and hash of the configuration in force. */
+/** Revision and hash of the configuration that is in effect. */
 export interface ConfigurationVersion {
   readonly revision: number;
   readonly hash: string;
 }
 
-/** What the keeper needs. */
+/** Dependencies and times of the membership of one entry host. */
 export interface MembershipKeeperOptions {
   readonly clock: Clock;
   readonly log: EventLog;
@@ -30,28 +30,28 @@
   readonly platform: PlatformReader;
   readonly peers: PeerNetwork;
   readonly self: EntryHostIdentity;
-  /** Peers to link to before the host list was read. */
+  /** Peers to keep links to, also before the host list was read. */
   readonly seedPeerUrls: readonly string[];
-  /** How long the host list may hold a watch, in milliseconds. */
+  /** How long one read of the host list waits for a change, in milliseconds. */
   readonly readWaitMs: number;
   /** Time between two heartbeats, in milliseconds. */
   readonly heartbeatMs: number;
   /** Silence after which a peer is suspected, in milliseconds. */
   readonly suspectAfterMs: number;
-  /** What heartbeats tell of the groups that this entry host dispatches for. */
+  /** Returns the loads of the groups that this entry host dispatches for; sent in heartbeats. */
   readonly listGroupLoads: () => readonly GroupLoad[];
-  /** Whether callers can be sent here; told by heartbeats. */
+  /** Returns whether this entry host is ready to serve callers; sent in heartbeats. */
   readonly isReady: () => boolean;
-  /** What heartbeats tell of the configuration. */
+  /** Returns the configuration's revision and hash; sent in heartbeats. */
   readonly getConfiguration: () => ConfigurationVersion;
 }
 
-/** Called with a peer's configuration revision and hash. */
+/** Handles the configuration revision and hash of a peer's heartbeat. */
 export type PeerConfigurationHandler = (
   incarnation: string,
   revision: number,
   hash: string,
 ) => void;
 
-/** Called with the loads of a peer's groups. */
+/** Handles the group loads of a peer's heartbeat. */
 export type GroupLoadsHandler = (incarnation: string, groups: readonly GroupLoad[]) => void;
--- a/src/application/membership/mod.ts
+++ b/src/application/membership/mod.ts
@@ -1,7 +1,7 @@
 /**
- * Membership of entry hosts: who is there, who leaves, and whether this process
- * may trust what it knows. `const membership = new MembershipKeeper({...});
- * membership.start();`, then read it as a `MembershipView`.
+ * Tracks the membership of entry hosts: which ones are known, which ones are leaving,
+ * and whether this process may act on its view. Create the exported class with its
+ * options, call `start()`, and read it as a `MembershipView`.
  *
  * @module
  */
