--- a/src/application/configuration/_change_recorder.ts
+++ b/src/application/configuration/_change_recorder.ts
@@ -74,11 +74,11 @@
   }
 
   /**
-   * Says so once when the service begins to answer with less than is in force,
-   * and once when that ends.
+   * Logs once when the service starts to answer with a lower index than this entry
+   * host already knows, and once when it has caught up.
    *
-   * @param index - the index that the service answered with
-   * @param highestIndex - the highest that was heard of so far
+   * @param index - the index of the service's answer
+   * @param highestIndex - the highest index known so far
    */
   recordServiceIndex(index: number, highestIndex: number): void {
     const isBehind = index < highestIndex;
--- a/src/application/membership/membership_keeper.ts
+++ b/src/application/membership/membership_keeper.ts
@@ -9,12 +9,12 @@
 import { PeerMessageType } from '../../ports/mod.js';
 import type { HeartbeatMessage, HeartbeatReplyMessage, LinkEvent, Timer } from '../../ports/mod.js';
 import { MembershipView } from '../views/mod.js';
-import { FreshnessTracker } from './_freshness_tracker.js';
+import { FreshnessTracker } from './_freshness.js';
 import { HeartbeatExchange } from './_heartbeat_exchange.js';
 import type { HeartbeatContent } from './_heartbeat_exchange.js';
 import { HostListWatch } from './_host_list_watch.js';
 import { PeerDirectory } from './_peer_directory.js';
-import { SilentLinkReplacer } from './_silent_link_replacer.js';
+import { SilentLinkReplacer } from './_silent_links.js';
 import type {
   GroupLoadsHandler,
   MembershipKeeperOptions,
@@ -35,7 +35,7 @@
 
   readonly #directory: PeerDirectory;
 
-  readonly #leavingBackendServers = new LeavingBackendServers();
+  readonly #leavingServers = new LeavingBackendServers();
 
   readonly #heartbeats: HeartbeatExchange;
 
@@ -120,7 +120,7 @@
    * @param backendServerId - ID of the backend server
    */
   noteBackendServerLeaving(backendServerId: string): void {
-    if (!this.#leavingBackendServers.noteOwn(backendServerId, this.#options.clock.nowMs())) return;
+    if (!this.#leavingServers.noteOwn(backendServerId, this.#options.clock.nowMs())) return;
     this.#options.log.write(LogLevel.Info, 'backend_server_leaving', {
       backendServer: backendServerId,
     });
@@ -163,12 +163,12 @@
   }
 
   override isBackendServerLeaving(backendServerId: string): boolean {
-    return this.#leavingBackendServers.isLeaving(backendServerId);
+    return this.#leavingServers.isLeaving(backendServerId);
   }
 
   /** @returns sorted IDs of backend servers that any reachable entry host reports as leaving */
   listLeavingBackendServers(): readonly string[] {
-    return this.#leavingBackendServers.listLeaving();
+    return this.#leavingServers.listLeaving();
   }
 
   override isFresh(): boolean {
@@ -201,13 +201,12 @@
 
   #handleHostList(list: HostList, readStartedAtMs: number): void {
     const nowMs = this.#options.clock.nowMs();
-    const idsBefore = this.#leavingBackendServers.listKnownAtFirstHand().join();
+    const idsBefore = this.#leavingServers.listKnownAtFirstHand().join();
     this.#directory.applyHostList(list);
-    this.#leavingBackendServers.applyHostList(list, nowMs);
+    this.#leavingServers.applyHostList(list, nowMs);
     this.#freshness.acceptRefresh(readStartedAtMs);
     this.#updateAddresses();
-    if (this.#leavingBackendServers.listKnownAtFirstHand().join() !== idsBefore)
-      this.#sendHeartbeats();
+    if (this.#leavingServers.listKnownAtFirstHand().join() !== idsBefore) this.#sendHeartbeats();
     this.#updateStates();
   }
 
@@ -228,7 +227,7 @@
     const previousReport = this.#directory.findReport(incarnation);
     // A heartbeat that a newer one has overtaken on another link must not replace it.
     if (!this.#directory.mergeReport(incarnation, message)) return;
-    this.#leavingBackendServers.applyClaims(incarnation, message.leavingBackendServers, nowMs);
+    this.#leavingServers.applyClaims(incarnation, message.leavingBackendServers, nowMs);
     if (!hasSameWord(previousReport, message)) this.#updateStates();
     const { configurationRevision, configurationHash, groups } = message;
     this.#configurationHandlers.forEach((handler) =>
@@ -278,7 +277,7 @@
       leaving: this.#directory.isSelfStopping,
       configurationRevision: revision,
       configurationHash: hash,
-      leavingBackendServers: this.#leavingBackendServers.listKnownAtFirstHand(),
+      leavingBackendServers: this.#leavingServers.listKnownAtFirstHand(),
       groups: this.#options.listGroupLoads(),
     };
   }
@@ -289,7 +288,7 @@
 
   #updateStates(): void {
     const isChanged = this.#directory.updateStates(this.#options.clock.nowMs());
-    const leavingIds = this.#leavingBackendServers.listLeaving().join();
+    const leavingIds = this.#leavingServers.listLeaving().join();
     if (!isChanged && leavingIds === this.#lastLeavingIds) return;
     this.#lastLeavingIds = leavingIds;
     this.#changeHandlers.forEach((handler) => handler());
--- a/src/ports/change_feed.ts
+++ b/src/ports/change_feed.ts
@@ -1,63 +1,63 @@
 /**
- * A store of keys that can be read whole and followed change by change.
+ * Defines a key-value store that can be read as a snapshot and watched for changes.
  *
  * @module
  */
 
-/** One key and what is written there. */
+/** One key and its value. */
 export interface FeedItem {
   readonly key: string;
   readonly value: Uint8Array;
-  /** Revision of its last write. */
+  /** Revision of the key's last write. */
   readonly revision: number;
 }
 
-/** Everything below a prefix. Its pages may be of different moments. */
+/** All items below a prefix. It is read in pages, which may be of different revisions. */
 export interface FeedSnapshot {
   readonly items: readonly FeedItem[];
-  /** Revision from which on changes are to be followed; no later than any page. */
+  /** Revision after which to read changes; not newer than any page of the snapshot. */
   readonly revision: number;
 }
 
-/** One change; `value` is absent after a removal. */
+/** One change; `value` is undefined if the key was removed. */
 export interface FeedChange {
   readonly key: string;
   readonly value: Uint8Array | undefined;
   readonly revision: number;
 }
 
-/** Changes in their order. */
+/** Changes in revision order. */
 export interface FeedChanges {
   readonly changes: readonly FeedChange[];
-  /** Revision to go on from. */
+  /** Revision after which to read the next changes. */
   readonly revision: number;
 }
 
-/** The store no longer has the changes that were asked for; everything must be read anew. */
+/** The store no longer has the requested changes; the caller must read a new snapshot. */
 export class HistoryLostError extends Error {
   override readonly name = 'HistoryLostError';
 }
 
-/** Reads and follows one store. All answers are linearizable. */
+/** Reads and watches one store. All answers are linearizable. */
 export abstract class ChangeFeed {
   /**
-   * Reads everything below a prefix.
+   * Reads all items below a prefix.
    *
-   * @param prefix - the keys' common start
-   * @returns all items
-   * @throws Error when the store can't be read
+   * @param prefix - the key prefix
+   * @returns a snapshot of the items
+   * @throws Error if the store can't be read
    */
   abstract readAll(prefix: string): Promise<FeedSnapshot>;
 
   /**
-   * Reads changes, waiting for the first one.
+   * Waits for the first change after a revision and reads the changes.
    *
-   * @param prefix - the keys' common start
-   * @param afterRevision - the last revision that is known
-   * @param waitMs - longest wait in milliseconds
-   * @returns the changes; none when nothing changed for so long
-   * @throws HistoryLostError when the store no longer has them
-   * @throws Error when the store can't be read
+   * @param prefix - the key prefix
+   * @param afterRevision - the last known revision
+   * @param waitMs - maximum wait in milliseconds
+   * @returns the changes; none if nothing changed within the wait
+   * @throws HistoryLostError if the store no longer has the changes
+   * @throws Error if the store can't be read
    */
   abstract readChanges(prefix: string, afterRevision: number, waitMs: number): Promise<FeedChanges>;
 }
--- a/src/ports/crash_messages.ts
+++ b/src/ports/crash_messages.ts
@@ -1,28 +1,28 @@
 /**
- * Messages between entry hosts about requests under which backend servers ended.
+ * Defines messages between entry hosts about requests during which backend servers crashed.
  *
  * @module
  */
 import type { CrashNote } from '../domain/crashes/mod.js';
 import type { PeerMessageType } from './peer_message_type.js';
 
-/** What a crash update is for. */
+/** Purpose of a crash update. */
 export enum CrashUpdateKind {
-  /** Something has happened. */
+  /** Reports new events as they happen. */
   News = 'news',
-  /** What the sender knows, by its hash only. */
+  /** Contains only the hash over all notices that the sender knows. */
   Digest = 'digest',
-  /** Answers a digest that differs: what the sender knows, and the receiver is to say the same. */
+  /** Replies to a digest that differs with the sender's notices and requests the receiver's. */
   Offer = 'offer',
-  /** Answers an offer. */
+  /** Replies to an offer with the notices that the sender knows. */
   Answer = 'answer',
 }
 
-/** Runs under which backend servers have ended. */
+/** Notices of requests during which backend servers crashed. */
 export interface CrashUpdateMessage {
   readonly type: PeerMessageType.CrashUpdate;
   readonly kind: CrashUpdateKind;
-  /** Hash over all that the sender knows of such runs; empty in news. */
+  /** Hash over all crash notices that the sender knows; empty in {@link CrashUpdateKind.News}. */
   readonly digest: string;
   readonly notes: readonly CrashNote[];
 }
--- a/src/ports/direct_calls.ts
+++ b/src/ports/direct_calls.ts
@@ -1,17 +1,18 @@
 /**
- * Calls that bear their own request ID, towards callers and backend servers.
+ * Defines the ports for calls that carry their own request ID: the reply to the caller and
+ * the client of backend servers.
  *
  * @module
  */
 import type { RequestWork } from '../domain/backend_servers/mod.js';
 import type { SchedulerError } from '../domain/errors/mod.js';
 
-/** Header names and values by turns, as they came. */
+/** Alternating header names and values in their received order and case. */
 export type RawHeaders = readonly string[];
 
-/** A caller's request, read whole. */
+/** A caller's request, with its complete body. */
 export interface DirectRequest {
-  /** The caller's ID of this attempt; a repeat has another. */
+  /** The caller's ID of this attempt; a retry has a different ID. */
   readonly requestId: string;
   readonly method: string;
   /** Path and query, byte for byte. */
@@ -19,16 +20,16 @@
   /** Path without the query. */
   readonly path: string;
   readonly hostName: string;
-  /** Headers that go on to the backend server. */
+  /** Headers to forward to the backend server. */
   readonly headers: RawHeaders;
   readonly body: Buffer;
   readonly key: string | undefined;
-  /** How long the caller waits, counted from the request's arrival; undefined: it didn't say. */
+  /** Time that the caller allows, counted from the request's arrival; undefined if not stated. */
   readonly deadlineMs: number | undefined;
-  /** Event after which the caller wants a stream to go on. */
+  /** ID of the event after which the caller wants to resume a stream; undefined otherwise. */
   readonly lastEventId: string | undefined;
   readonly work: RequestWork;
-  /** Whether the caller said how many tokens it takes. */
+  /** Whether the caller declared how many tokens the request takes. */
   readonly isSized: boolean;
 }
 
@@ -38,53 +39,56 @@
   readonly headers: RawHeaders;
 }
 
-/** The way back to a caller. */
+/** Sends the answer of one request to its caller. */
 export abstract class DirectReply {
   /** Whether the caller has closed its connection. */
   abstract readonly isGone: boolean;
 
-  /** Whether the head of an answer was written. */
+  /** Whether the head of the answer was written. */
   abstract readonly hasBegun: boolean;
 
-  /** @param handler - called once when the caller leaves before its answer's end */
+  /** @param handler - called once if the caller disconnects before the end of the answer */
   abstract onGone(handler: () => void): void;
 
-  /** @param head - head of the answer; body bytes follow by {@link DirectReply.write} */
+  /** @param head - head of the answer; {@link DirectReply.write} sends the body */
   abstract writeHead(head: DirectHead): void;
 
   /** @param bytes - the next bytes of the body */
   abstract write(bytes: Buffer): void;
 
-  /** Ends the answer as complete. */
+  /** Marks the answer as complete. */
   abstract end(): void;
 
-  /** @param head - head of the answer. @param body - its whole body */
+  /** Sends a complete answer. @param head - head of the answer. @param body - its body */
   abstract sendWhole(head: DirectHead, body: Buffer): void;
 
-  /** Breaks the answer off, so that it can't be taken for complete. */
+  /** Aborts the answer in a way that the caller can't mistake for a complete one. */
   abstract abort(): void;
 
-  /** @param error - why the request is refused or failed; nothing was written before */
+  /** Sends an error; nothing may be written before. @param error - why the request failed */
   abstract refuse(error: SchedulerError): void;
 }
 
-/** A request on its way to one backend server. */
+/** A request to send to one backend server. */
 export interface BackendRequest {
   readonly request: DirectRequest;
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
-  /** Name of the backend server that is meant; any other must not run the request. */
+  /** ID of the intended backend server; any other server must not run the request. */
   readonly serverId: string;
-  /** Its life that is meant. Connections of another life aren't used: its requests ended with it. */
+  /**
+   * Incarnation of the intended backend server. Connections to another incarnation are
+   * not used, since its requests ended with it.
+   */
   readonly lifeId: string;
   readonly accountId: string | undefined;
-  /** Time that is left, in milliseconds. */
+  /** Time left until the deadline, in milliseconds. */
   readonly deadlineMs: number;
-  /** Event after which a stream goes on. */
+  /** ID of the event after which to resume a stream; undefined otherwise. */
   readonly lastEventId: string | undefined;
 }
 
-/** Load that a backend server tells with its answer. */
+/** Load that a backend server reports in the head of its answer. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
@@ -93,45 +97,51 @@
 
 /** Head of a backend server's answer. */
 export interface BackendHead extends DirectHead {
-  /** Whether it bears the backend server's own mark; a success without it is no answer. */
+  /** Whether it carries the backend server's own mark; a success without the mark is invalid. */
   readonly isAuthentic: boolean;
   readonly isEventStream: boolean;
-  /** Whether its end is marked; if not, a server that ends looks like the end of its answer. */
+  /**
+   * Whether the body's length or end is marked by HTTP framing. Without framing, a
+   * server that crashes can't be told from the end of its answer.
+   */
   readonly isFramed: boolean;
   readonly load: ReportedLoad | undefined;
 }
 
-/** Why a backend server gave no answer. */
+/** Why a backend server gave no complete answer. */
 export enum BackendFailure {
-  /** Nothing of the request was written: it has not run. */
+  /** No byte of the request was sent: it has not run. */
   NotSent = 'not_sent',
-  /** The server says that it did not run it. */
+  /** The server states that it did not run the request. */
   Declined = 'declined',
-  /** Another life answers at that address; it did not run it. */
+  /** Another incarnation answers at that address; it did not run the request. */
   Misdirected = 'misdirected',
-  /** What came is no whole answer, or nothing came for too long: it may have run. */
+  /** The answer is malformed or incomplete, or timed out: the request may have run. */
   Broken = 'broken',
-  /** The other end closed or reset the connection: it may have run, and its server may have ended. */
+  /** The server closed or reset the connection: the request may have run and crashed it. */
   Lost = 'lost',
 }
 
-/** What becomes of a request at a backend server. `onWhole` or `onFailure` is called once. */
+/** Receives the answer to a request. Either its completion or its failure is reported, once. */
 export interface BackendListener {
   /** @param head - head of the answer */
   onHead(head: BackendHead): void;
   /** @param bytes - next bytes of the body */
   onBody(bytes: Buffer): void;
-  /** The answer is whole. */
+  /** The answer is complete. */
   onWhole(): void;
-  /** @param failure - why there is no whole answer. @param reason - for the log */
+  /** @param failure - why there is no complete answer. @param reason - details for the log */
   onFailure(failure: BackendFailure, reason: string): void;
 }
 
-/** A request that is under way. */
+/** A request that is in flight. */
 export interface BackendExchange {
-  /** Whether any of the request may have left: not while its connection is still being opened. */
+  /** Whether any byte may have been sent; false while the connection is still being opened. */
   readonly mayHaveLeft: boolean;
-  /** Ends it: the connection is closed, so that the server stops working. No handler is called any more. */
+  /**
+   * Cancels the request. Closes the connection, so that the server stops its work, and
+   * calls no handler afterwards.
+   */
   cancel(): void;
 }
 
@@ -140,9 +150,9 @@
   /**
    * Sends one request.
    *
-   * @param request - the request and whom it is for
-   * @param listener - told what becomes of it, never before this returns
-   * @returns the exchange
+   * @param request - the request and its intended backend server
+   * @param listener - receives the answer; never called before this method returns
+   * @returns a handle of the request in flight
    */
   abstract send(request: BackendRequest, listener: BackendListener): BackendExchange;
 }
--- a/src/ports/forward_messages.ts
+++ b/src/ports/forward_messages.ts
@@ -1,12 +1,12 @@
 /**
- * Messages by which entry hosts pass callers' calls on to owners.
+ * Defines the messages with which entry hosts forward callers' calls to their owners.
  *
  * @module
  */
 import type { ErrorKind, RunOutcome } from '../domain/errors/mod.js';
 import type { PeerMessageType } from './peer_message_type.js';
 
-/** What a forwarded call asks of the owner. */
+/** Operation that a forwarded call requests from the owner. */
 export enum ForwardOperation {
   Submit = 'submit',
   Read = 'read',
@@ -19,22 +19,22 @@
 /** Passes a caller's call on to the owner of its request ID. */
 export interface ForwardCallMessage {
   readonly type: PeerMessageType.ForwardCall;
-  /** Names the call on this link; unique for the sender's incarnation. */
+  /** ID of the call on this link; unique within the sender's incarnation. */
   readonly callId: number;
   readonly operation: ForwardOperation;
   readonly accountId: string;
   /** Empty for {@link ForwardOperation.Assign}. */
   readonly requestId: string;
   readonly traceparent: string | undefined;
-  /** For Submit: the caller's call. */
+  /** The caller's call; set for {@link ForwardOperation.Submit} only. */
   readonly call: ForwardedCall | undefined;
-  /** For Read: offset in bytes. */
+  /** Offset in the answer from which to read, in bytes; for {@link ForwardOperation.Read}. */
   readonly offset: number;
-  /** For Assign. */
+  /** The caller's idempotency key; set for {@link ForwardOperation.Assign} only. */
   readonly idempotencyKey: string | undefined;
 }
 
-/** A caller's call as the entry host took it in. */
+/** A caller's call as the entry host received it. */
 export interface ForwardedCall {
   readonly serviceId: string;
   readonly workKind: string;
@@ -45,7 +45,7 @@
   readonly deadlineMs: number;
 }
 
-/** Head of a forwarded call's answer. */
+/** Head of the answer to a forwarded call. */
 export interface ForwardHeadMessage {
   readonly type: PeerMessageType.ForwardHead;
   readonly callId: number;
@@ -53,16 +53,16 @@
   readonly headers: Readonly<Record<string, string>>;
 }
 
-/** A part of a forwarded call's answer. */
+/** A chunk of the answer to a forwarded call. */
 export interface ForwardChunkMessage {
   readonly type: PeerMessageType.ForwardChunk;
   readonly callId: number;
-  /** Offset of its first byte; a gap is a fault of the link. */
+  /** Offset of the chunk's first byte in the answer; a gap is a fault of the link. */
   readonly offset: number;
   readonly bytes: Uint8Array;
 }
 
-/** The forwarded call's answer is whole. */
+/** Marks the answer to a forwarded call as complete. */
 export interface ForwardEndMessage {
   readonly type: PeerMessageType.ForwardEnd;
   readonly callId: number;
@@ -70,7 +70,7 @@
   readonly length: number;
 }
 
-/** The forwarded call was refused or its answer broke off. */
+/** Reports that a forwarded call was refused or that its answer was cut off. */
 export interface ForwardErrorMessage {
   readonly type: PeerMessageType.ForwardError;
   readonly callId: number;
@@ -80,14 +80,14 @@
   readonly retryAfterMs: number;
 }
 
-/** The receiver has room for more bytes of the answer. */
+/** Grants the receiver credit to send more bytes of the answer (flow control). */
 export interface ForwardCreditMessage {
   readonly type: PeerMessageType.ForwardCredit;
   readonly callId: number;
   readonly bytes: number;
 }
 
-/** The caller behind a forwarded call has gone. */
+/** Reports that the caller of a forwarded call has disconnected. */
 export interface ForwardCancelMessage {
   readonly type: PeerMessageType.ForwardCancel;
   readonly callId: number;
