--- a/src/ports/backend_server_client.ts
+++ b/src/ports/backend_server_client.ts
@@ -90,7 +90,7 @@
 /** One change of a prefix cache. Events arrive late and with gaps in `sequence`. */
 export interface CacheEvent {
   readonly sequence: number;
-  /** Whether the block was stored; false if it was evicted. */
+  /** Whether the block was stored; false if it was removed. */
   readonly stored: boolean;
   /** Chained hash of one block of the prompt; see docs/API.md. */
   readonly blockHash: string;
--- a/src/ports/direct_calls.ts
+++ b/src/ports/direct_calls.ts
@@ -118,7 +118,7 @@
   Misdirected = 'misdirected',
   /** The answer is malformed or incomplete, or timed out: the request may have run. */
   Broken = 'broken',
-  /** The server closed or reset the connection: the request may have run and crashed it. */
+  /** The server closed or reset the connection: the request may have run, and it may have crashed. */
   Lost = 'lost',
 }
 
--- a/src/ports/forward_messages.ts
+++ b/src/ports/forward_messages.ts
@@ -12,11 +12,11 @@
   Read = 'read',
   ReadState = 'read_state',
   Cancel = 'cancel',
-  /** Asks the entry host of an idempotency key for the key's request ID. */
+  /** Requests the request ID of an idempotency key from the entry host responsible for the key. */
   Assign = 'assign',
 }
 
-/** Passes a caller's call on to the owner of its request ID. */
+/** Forwards a caller's call to the owner of its request ID. */
 export interface ForwardCallMessage {
   readonly type: PeerMessageType.ForwardCall;
   /** ID of the call on this link; unique within the sender's incarnation. */
--- a/src/ports/mod.ts
+++ b/src/ports/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The ports: what the application needs of the world, as abstract classes.
- * Adapters implement them, tests put small fakes in their place.
+ * Defines the ports of the application: abstract classes for everything outside the
+ * process. Adapters implement them; tests replace them by fakes.
  *
  * @module
  */
--- a/src/ports/peer_message_type.ts
+++ b/src/ports/peer_message_type.ts
@@ -1,9 +1,9 @@
 /**
- * The types of messages between entry hosts.
+ * Defines the types of messages between entry hosts.
  *
  * @module
  */
-/** The types of messages. */
+/** Type of a message between entry hosts. */
 export enum PeerMessageType {
   Hello = 'hello',
   Heartbeat = 'heartbeat',
--- a/src/ports/peer_messages.ts
+++ b/src/ports/peer_messages.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between entry hosts. Each is a flat record with a `type`, encoded
- * by the adapter; times inside are durations, since clocks differ.
+ * Defines the messages between entry hosts. Each is a flat record with a `type`, encoded
+ * by the adapter. Times in messages are durations, since the clocks of entry hosts differ.
  *
  * @module
  */
@@ -21,140 +21,142 @@
 import type { ReportScope, RosterEntry } from '../domain/overlay/mod.js';
 import type { PeerMessageType } from './peer_message_type.js';
 
-/** First message on each link, from both ends. */
+/** The first message that each end of a link sends. */
 export interface HelloMessage {
   readonly type: PeerMessageType.Hello;
   readonly identity: EntryHostIdentity;
 }
 
-/** Load of one dispatch group, as its dispatcher tells it. */
+/** Load of one dispatch group as reported by its dispatcher. */
 export interface GroupLoad {
   readonly groupId: string;
-  /** Predicted wait of each tier, highest first, in milliseconds. */
+  /** Estimated wait of each tier, highest tier first, in milliseconds. */
   readonly waitMs: readonly number[];
-  /** Lowest tier that is open; below it everything is refused. */
+  /** Lowest open tier; calls of lower tiers are refused. */
   readonly openTier: Tier;
 }
 
-/** Sign of life; carries what every entry host should know soon. */
+/** Periodic liveness message; carries state that every entry host must learn quickly. */
 export interface HeartbeatMessage {
   readonly type: PeerMessageType.Heartbeat;
   readonly sequence: number;
-  /** Whether the sender serves callers; before, nobody is sent there. */
+  /** Whether the sender is ready to serve callers; no callers are sent to it before. */
   readonly ready: boolean;
+  /** Whether the sender is draining. */
   readonly leaving: boolean;
   /** Highest accepted configuration revision. */
   readonly configurationRevision: number;
   /** Hash over all accepted entries, in lower-case hex. */
   readonly configurationHash: string;
-  /** Backend servers that this entry host knows to leave. */
+  /** Backend servers that the sender itself knows to be draining. */
   readonly leavingBackendServers: readonly string[];
   readonly groups: readonly GroupLoad[];
 }
 
-/** Answers a heartbeat: the application behind the link is awake. */
+/** Reply to a heartbeat; shows that the process behind the link is running. */
 export interface HeartbeatReplyMessage {
   readonly type: PeerMessageType.HeartbeatReply;
   readonly sequence: number;
 }
 
 /**
- * What an entry host of calls that bear their own ID tells of itself, and of others
- * where it passes their reports on, again and again: each report makes up for those
- * that were lost.
+ * Periodic report of an entry host that serves calls with their own request ID. A relay
+ * also reports the stats of other entry hosts. Each report makes up for lost earlier ones.
  */
 export interface HostReportMessage {
   readonly type: PeerMessageType.HostReport;
-  /** Rises with each report of the sender's process. */
+  /** Sequence number; increases with each report of the sender's process. */
   readonly sequence: number;
-  /** Newest report that the sender had from the receiver's process; 0: none. */
+  /** Newest report that the sender received from the receiver's process; 0 if none. */
   readonly heardSequence: number;
-  /** Whose figures it contains. */
+  /** Which entry hosts' stats the report contains. */
   readonly scope: ReportScope;
-  /** Entry hosts whose figures it contains and that are within reach; 0: it has no figures. */
+  /** Number of reachable entry hosts whose stats the report contains; 0 if it has no stats. */
   readonly hostCount: number;
   /** Requests in flight, by backend server. */
   readonly inFlight: Readonly<Record<string, number>>;
   /** Units spent since the sender's start, by client account. */
   readonly spentUnits: Readonly<Record<string, number>>;
-  /** Calls that wait for a slot, by service. */
+  /** Number of calls that wait for a slot, by service. */
   readonly waitingCalls: Readonly<Record<string, number>>;
-  /** Urgency of the first of them, by service; 0 is the most urgent. */
+  /** Urgency of the first waiting call, by service; 0 is the most urgent. */
   readonly firstWaiting: Readonly<Record<string, number>>;
-  /** Entry hosts that leave a backend server alone after failures of their own, by backend server. */
+  /** Number of entry hosts that avoid a backend server after own failures, by backend server. */
   readonly avoidedBy: Readonly<Record<string, number>>;
-  /** Backend servers that requests have shown to have ended. */
+  /** Backend servers whose end was detected through requests. */
   readonly endedServers: readonly string[];
-  /** Entry hosts that have changed since what the receiver is known to have. */
+  /** Roster entries that changed since the revision that the receiver is known to have. */
   readonly roster: readonly RosterEntry[];
-  /** Revision of the sender's roster that the receiver has with these. */
+  /** Revision of the sender's roster that the receiver has after applying these entries. */
   readonly rosterRevision: number;
-  /** Revision of the receiver's roster that the sender has, and the scope that it came with. */
+  /** Revision of the receiver's roster that the sender has. */
   readonly heardRosterRevision: number;
+  /** Scope of the report that contained that revision; undefined if there was none. */
   readonly heardScope: ReportScope | undefined;
 }
 
 /**
- * Hands a slot on that a request of the sender has just given back: the receiver has a
- * more urgent call waiting.
+ * Forwards a slot that a request of the sender has just released to a receiver that has a
+ * more urgent waiting call.
  */
 export interface FreedSlotMessage {
   readonly type: PeerMessageType.FreedSlot;
-  /** Life of the backend server. */
+  /** Incarnation of the backend server. */
   readonly serverId: string;
-  /** How often it was handed on before. */
+  /** How often the slot was forwarded before. */
   readonly hops: number;
 }
 
-/** Tells between two reports that a more urgent call waits than was told last. */
+/** Announces between two reports that a more urgent call is waiting than was last reported. */
 export interface WaitingNoticeMessage {
   readonly type: PeerMessageType.WaitingNotice;
   readonly serviceId: string;
-  /** Calls that wait for a slot of it. */
+  /** Number of calls that wait for a slot of the service. */
   readonly calls: number;
-  /** Urgency of the first of them; 0 is the most urgent. */
+  /** Urgency of the first waiting call; 0 is the most urgent. */
   readonly firstUrgency: number;
 }
 
-/** What one entry host has read from the shared store. */
+/** Changes that one entry host has read from the shared store. */
 export interface FeedUpdateMessage {
   readonly type: PeerMessageType.FeedUpdate;
-  /** Revision behind which the changes follow. */
+  /** Revision after which the changes start. */
   readonly fromRevision: number;
   /** Revision up to which the changes are complete. */
   readonly toRevision: number;
   readonly changes: readonly FeedChange[];
-  /** Time since the question to the store was sent, in milliseconds, when this was written. */
+  /** Time from the request to the store until this message was written, in milliseconds. */
   readonly ageMs: number;
-  /** Whether entries may lack only because the store was away. */
+  /** Whether entries may be missing only because the store was unavailable. */
   readonly wasAway: boolean;
-  /** Newest report that the sender had from the receiver's process; 0: none. */
+  /** Newest report that the sender received from the receiver's process; 0 if none. */
   readonly heardSequence: number;
 }
 
-/** Asks for what the receiver has beyond these revisions. */
+/** Requests the configuration entries that are newer at the receiver than these revisions. */
 export interface ConfigurationDigestMessage {
   readonly type: PeerMessageType.ConfigurationDigest;
+  /** Revision of each entry that the sender has accepted, by key. */
   readonly revisions: Readonly<Record<string, number>>;
 }
 
-/** One accepted configuration entry; `value` is absent after a deletion. */
+/** One accepted configuration entry; `value` is undefined after a deletion. */
 export interface ConfigurationEntry {
   readonly key: string;
   readonly revision: number;
   readonly value: Uint8Array | undefined;
 }
 
-/** Accepted entries that the receiver lacked. */
+/** Accepted entries that the receiver lacks; an empty list ends the answer to a digest. */
 export interface ConfigurationEntriesMessage {
   readonly type: PeerMessageType.ConfigurationEntries;
   readonly entries: readonly ConfigurationEntry[];
 }
 
-/** Asks a dispatcher for a slot on one of a group's backend servers. */
+/** Requests a slot on one of a group's backend servers from the group's dispatcher. */
 export interface SlotRequestMessage {
   readonly type: PeerMessageType.SlotRequest;
-  /** Names the wait; unique for the sender's incarnation. */
+  /** ID of the slot request; unique within the sender's incarnation. */
   readonly ticket: number;
   readonly groupId: string;
   readonly accountId: string;
@@ -162,27 +164,27 @@
   readonly tier: Tier;
   /** Time left until the deadline, in milliseconds. */
   readonly remainingMs: number;
-  /** Time that it has waited already (at another dispatcher), in milliseconds. */
+  /** Time that the request has already waited at another dispatcher, in milliseconds. */
   readonly waitedMs: number;
   readonly promptTokens: number;
   readonly expectedOutputTokens: number;
   /** Chained block hashes of the prompt, first block first. */
   readonly blockHashes: readonly string[];
-  /** Backend servers that refused this request already. */
+  /** Backend servers that have already refused this request. */
   readonly excluded: readonly string[];
 }
 
-/** A slot is granted for a short time. */
+/** Grants a slot for a short time. */
 export interface SlotGrantMessage {
   readonly type: PeerMessageType.SlotGrant;
   readonly ticket: number;
   readonly grantId: number;
   readonly backendServerId: string;
-  /** The owner must hand over within this time, in milliseconds. */
+  /** Time within which the owner must hand the request over, in milliseconds. */
   readonly validMs: number;
 }
 
-/** No slot will be granted. */
+/** Refuses a slot request. */
 export interface SlotRefusalMessage {
   readonly type: PeerMessageType.SlotRefusal;
   readonly ticket: number;
@@ -190,7 +192,7 @@
   readonly retryAfterMs: number;
 }
 
-/** The owner no longer waits. */
+/** Cancels a slot request that the owner no longer waits for. */
 export interface SlotCancelMessage {
   readonly type: PeerMessageType.SlotCancel;
   readonly ticket: number;
@@ -198,64 +200,66 @@
 
 /** How a granted slot was used. */
 export enum SlotOutcome {
-  /** The answer came whole. */
+  /** The answer was received completely. */
   Answered = 'answered',
   /** The owner did not use the grant. */
   Unused = 'unused',
-  /** The backend server refused or could not be reached; nothing ran. */
+  /** The backend server refused the request or could not be reached; nothing ran. */
   Refused = 'refused',
-  /** The answer broke off or never came. */
+  /** The answer was cut off or never arrived. */
   Failed = 'failed',
-  /** The owner cancelled it. */
+  /** The owner cancelled the request. */
   Cancelled = 'cancelled',
 }
 
-/** A slot is free again; tells what was seen. */
+/** Releases a granted slot and reports the outcome of the request. */
 export interface SlotReleaseMessage {
   readonly type: PeerMessageType.SlotRelease;
   readonly groupId: string;
   readonly grantId: number;
   readonly outcome: SlotOutcome;
-  /** Hand-over to the first byte of the answer, in milliseconds; 0 if none came. */
+  /** Time from the hand-over to the first byte of the answer, in milliseconds; 0 if none arrived. */
   readonly firstByteMs: number;
-  /** Hand-over to the end, in milliseconds. */
+  /** Time from the hand-over to the end of the request, in milliseconds. */
   readonly totalMs: number;
-  /** Output as it was seen, in tokens. */
+  /** Observed output in tokens. */
   readonly outputTokens: number;
 }
 
-/** Asks an account's allowance home for a share of its limits. */
+/** Requests a lease on a share of a client account's limits from its allowance lender. */
 export interface AllowanceRequestMessage {
   readonly type: PeerMessageType.AllowanceRequest;
   readonly accountId: string;
-  /** Demand since the last request, a second. */
+  /** Demand since the last request, in requests per second. */
   readonly requestsPerSecond: number;
+  /** Demand since the last request, in tokens per second. */
   readonly tokensPerSecond: number;
-  /** In flight and waiting for room now. */
+  /** Number of requests that are in flight or wait for capacity at the sender. */
   readonly inFlight: number;
-  /** Rises with each request of the sender; 0: it only confirms a lease. */
+  /** Increases with each request of the sender; 0 if this message only confirms a lease. */
   readonly requestNumber: number;
-  /** Number of the lease that the sender holds of the receiver; 0: none. */
+  /** Number of the lease from the receiver that the sender holds; 0 if none. */
   readonly heldLease: number;
-  /** In flight at the sender now. */
+  /** Number of requests that are in flight at the sender. */
   readonly running: number;
 }
 
-/** A share of an account's limits, for a short time. */
+/** Grants a lease on a share of a client account's limits. */
 export interface AllowanceLeaseMessage {
   readonly type: PeerMessageType.AllowanceLease;
   readonly accountId: string;
   readonly requestsPerSecond: number;
   readonly tokensPerSecond: number;
   readonly inFlight: number;
+  /** Lease duration, in milliseconds. */
   readonly validMs: number;
-  /** Rises with each lease of the sender. */
+  /** Increases with each lease of the sender. */
   readonly leaseNumber: number;
-  /** Newest request for this account that the sender had heard; 0: none. */
+  /** Newest request for this client account that the sender received; 0 if none. */
   readonly requestNumber: number;
 }
 
-/** Every message between entry hosts. */
+/** Any message between entry hosts. */
 export type PeerMessage =
   | HelloMessage
   | HeartbeatMessage
--- a/src/ports/peer_network.ts
+++ b/src/ports/peer_network.ts
@@ -1,5 +1,5 @@
 /**
- * Links between entry hosts.
+ * Defines the authenticated links between entry hosts.
  *
  * @module
  */
@@ -10,56 +10,60 @@
 /** The message of one type. */
 export type PeerMessageOf<T extends PeerMessageType> = Extract<PeerMessage, { type: T }>;
 
-/** Takes messages of one type; `from` is the sender, authenticated by the link. */
+/** Handles messages of one type; `from` is the sender, authenticated by the link. */
 export type PeerMessageHandler<T extends PeerMessageType> = (
   from: EntryHostIdentity,
   message: PeerMessageOf<T>,
 ) => void;
 
-/** What happened to a link. */
+/** A change of the links to one incarnation of a peer. */
 export interface LinkEvent {
   readonly peer: EntryHostIdentity;
-  /** True when the first link to this incarnation came up, false when its last went. */
+  /** True if the first link to this incarnation was opened, false if the last was closed. */
   readonly up: boolean;
 }
 
 /**
- * Authenticated links to other entry hosts. Messages to one incarnation arrive
- * in order, at most once, or not at all.
+ * Authenticated links to other entry hosts. Messages to one incarnation are delivered
+ * in order and at most once.
  */
 export abstract class PeerNetwork {
-  /** Addresses to keep links to, as the host list and peers name them. */
+  /**
+   * Sets the peers to keep links to.
+   *
+   * @param peerUrls - peer URLs from the host list and from peers
+   */
   abstract setAddresses(peerUrls: readonly string[]): void;
 
   /**
    * Sends one message.
    *
-   * @param incarnation - which incarnation it is for
+   * @param incarnation - the receiving incarnation
    * @param message - the message
-   * @returns false when there is no link to it; the message went nowhere then
+   * @returns false if there is no link to the incarnation, in which case nothing was sent
    */
   abstract send(incarnation: string, message: PeerMessage): boolean;
 
   /**
-   * Takes messages of one type; one handler a type.
+   * Registers the handler of one message type. Each type has one handler.
    *
-   * @param type - which type
+   * @param type - the message type
    * @param handler - called for each message, in order
    */
   abstract handle<T extends PeerMessageType>(type: T, handler: PeerMessageHandler<T>): void;
 
-  /** @param handler - called when the first link to an incarnation comes up or its last goes */
+  /** @param handler - called when the first link to an incarnation opens or the last one closes */
   abstract onLink(handler: (event: LinkEvent) => void): void;
 
-  /** @returns incarnations that a link leads to now */
+  /** @returns the identities of peers that a link is open to */
   abstract listLinked(): readonly EntryHostIdentity[];
 
-  /** Replaces a link that has gone silent. @param incarnation - whose link */
+  /** Replaces a silent link. @param incarnation - the peer at its other end */
   abstract replaceLink(incarnation: string): void;
 
-  /** Gives up a link that neither end uses. @param incarnation - whose link */
+  /** Closes a link that neither end uses. @param incarnation - the peer at its other end */
   abstract dropLink(incarnation: string): void;
 
-  /** Closes all links. @returns when they are closed */
+  /** Closes all links. @returns a promise that resolves when they are closed */
   abstract close(): Promise<void>;
 }
--- a/src/ports/random_source.ts
+++ b/src/ports/random_source.ts
@@ -1,23 +1,23 @@
 /**
- * Random numbers, as the application sees them.
+ * Defines the source of random numbers that the application uses.
  *
  * @module
  */
 
-/** Source of random numbers. Tests use a seeded one. */
+/** Source of random numbers. Tests use a seeded source. */
 export abstract class RandomSource {
   /** @returns a number in [0, 1) */
   abstract nextFraction(): number;
 
   /**
-   * @param length - how many bytes
-   * @returns that many unpredictable bytes
+   * @param length - number of bytes
+   * @returns unpredictable bytes
    */
   abstract nextBytes(length: number): Uint8Array;
 
   /**
-   * @param length - how many bytes
-   * @returns that many unpredictable bytes as hexadecimal digits, for a name that nobody else has
+   * @param length - number of bytes
+   * @returns unpredictable bytes as hexadecimal digits, for unique IDs
    */
   nextHex(length: number): string {
     return Buffer.from(this.nextBytes(length)).toString('hex');
--- a/src/ports/server_probe.ts
+++ b/src/ports/server_probe.ts
@@ -1,24 +1,24 @@
 /**
- * Whether anybody listens at a backend server's address.
+ * Defines a probe that checks whether a process listens at a backend server's address.
  *
  * @module
  */
 
-/** What came of an attempt to connect. */
+/** Outcome of an attempt to connect. */
 export enum Reachability {
   /** The connection was accepted: some process listens there. */
   Open = 'open',
-  /** It was refused: the machine is there, and nobody listens. */
+  /** The connection was refused: the machine is reachable, but no process listens there. */
   Refused = 'refused',
-  /** Neither: the machine or the way to it is gone, or it is too busy. */
+  /** Neither: the machine is unreachable or overloaded. */
   Unknown = 'unknown',
 }
 
-/** Connects and asks nothing. */
+/** Probes an address by opening a connection without sending a request. */
 export abstract class ServerProbe {
   /**
-   * @param address - IP number and port
-   * @returns what came of it; never fails
+   * @param address - IP address and port
+   * @returns the outcome; the promise never rejects
    */
   abstract check(address: string): Promise<Reachability>;
 }
--- a/src/ports/tracer.ts
+++ b/src/ports/tracer.ts
@@ -1,10 +1,10 @@
 /**
- * Traces, as the application sees them: a span a hop.
+ * Defines tracing for the application, with one span per hop of a request.
  *
  * @module
  */
 
-/** The hops of a request, which name the spans. */
+/** Hop of a request; names the span. */
 export enum Hop {
   Caller = 'caller',
   EntryHost = 'entry_host',
@@ -15,19 +15,19 @@
 
 /** A running span. */
 export interface Span {
-  /** W3C `traceparent` that names this span as the parent of the next hop. */
+  /** W3C `traceparent` that makes this span the parent of the next hop's span. */
   readonly traceparent: string;
-  /** @param fields - attributes to be added */
+  /** Adds attributes. @param fields - the attributes */
   setAttributes(fields: Readonly<Record<string, string | number | boolean>>): void;
-  /** Ends the span. @param error - the error kind, where the hop failed */
+  /** Ends the span. @param error - the error kind if the hop failed */
   end(error?: string): void;
 }
 
 /** Starts spans. */
 export abstract class Tracer {
   /**
-   * @param hop - which hop
-   * @param parent - W3C `traceparent` of the hop before, where there is one
+   * @param hop - the hop that the span covers
+   * @param parent - W3C `traceparent` of the previous hop, if any
    * @returns the running span
    */
   abstract startSpan(hop: Hop, parent?: string): Span;
