--- a/src/application/configuration/configuration_convergence_test.ts
+++ b/src/application/configuration/configuration_convergence_test.ts
@@ -9,12 +9,12 @@
 
 const IDS = ['a', 'b', 'c', 'd'];
 
-/** What may happen to a deployment; the numbers pick hosts. */
+/** One random event in a deployment; the indexes select entry hosts. */
 interface Action {
   readonly kind: string;
-  readonly one: number;
-  readonly other: number;
-  readonly thenMs: number;
+  readonly hostIndex: number;
+  readonly peerIndex: number;
+  readonly delayMs: number;
 }
 
 const actions: fc.Arbitrary<Action[]> = fc.array(
@@ -23,17 +23,17 @@
       ...['publish', 'publish', 'spoil', 'freeze', 'thaw', 'down', 'up'],
       ...['cutReader', 'healReader', 'cutLink', 'silenceLink', 'healLink', 'restart'],
     ),
-    one: fc.nat(IDS.length - 1),
-    other: fc.nat(IDS.length - 1),
-    thenMs: fc.constantFrom(0, 100, 700, 3000),
+    hostIndex: fc.nat(IDS.length - 1),
+    peerIndex: fc.nat(IDS.length - 1),
+    delayMs: fc.constantFrom(0, 100, 700, 3000),
   }),
   { minLength: 5, maxLength: 25 },
 );
 
 async function runAction(deployment: Deployment, action: Action, weight: number): Promise<void> {
   const { service, hub, hosts } = deployment;
-  const one = IDS[action.one] ?? 'a';
-  const other = IDS[action.other] ?? 'a';
+  const hostId = IDS[action.hostIndex] ?? 'a';
+  const peerId = IDS[action.peerIndex] ?? 'a';
   const effects: Readonly<Record<string, () => unknown>> = {
     publish: () => service.publish(FIRM_A, buildContract(weight)),
     spoil: () => service.publish(FIRM_A, 'spoilt'),
@@ -41,27 +41,27 @@
     thaw: () => service.thaw(),
     down: () => service.setDown(true),
     up: () => service.setDown(false),
-    cutReader: () => hosts.get(one)?.reader.setCut(true),
-    healReader: () => hosts.get(one)?.reader.setCut(false),
-    cutLink: () => one !== other && hub.cut(one, other),
-    silenceLink: () => one !== other && hub.silence(one, other),
-    healLink: () => hub.heal(one, other),
+    cutReader: () => hosts.get(hostId)?.reader.setCut(true),
+    healReader: () => hosts.get(hostId)?.reader.setCut(false),
+    cutLink: () => hostId !== peerId && hub.cut(hostId, peerId),
+    silenceLink: () => hostId !== peerId && hub.silence(hostId, peerId),
+    healLink: () => hub.heal(hostId, peerId),
     restart: async () => {
-      await deployment.stop(one);
-      deployment.start(one);
+      await deployment.stop(hostId);
+      deployment.start(hostId);
     },
   };
   await effects[action.kind]?.();
-  await deployment.advance(action.thenMs);
+  await deployment.advance(action.delayMs);
 }
 
-t.test('ConfigurationKeepers never go back and all converge', async (t) => {
+t.test('ConfigurationReplicas never revert an entry and all converge', async (t) => {
   await fc.assert(
-    fc.asyncProperty(actions, async (taken) => {
+    fc.asyncProperty(actions, async (sequence) => {
       const deployment = await startDeployment(IDS);
       const started = [...deployment.hosts.values()];
       let weight = 1;
-      for (const action of taken) {
+      for (const action of sequence) {
         weight += 1;
         await runAction(deployment, action, weight);
         started.push(...deployment.hosts.values());
--- a/src/application/configuration/configuration_keeper.ts
+++ b/src/application/configuration/configuration_keeper.ts
@@ -143,9 +143,9 @@
   }
 
   /**
-   * Handles the configuration revision of a peer's heartbeat. Sends the peer a digest
-   * if its entries differ, unless it is behind; a peer that is behind sends a digest
-   * itself.
+   * Handles the configuration revision of a peer's heartbeat. If the peer's entries
+   * differ, sends it a digest, unless this entry host has loaded and the peer is
+   * behind; a peer that is behind sends a digest itself.
    *
    * @param incarnation - incarnation of the peer
    * @param revision - the peer's highest accepted revision
--- a/src/application/configuration/configuration_keeper_test.ts
+++ b/src/application/configuration/configuration_keeper_test.ts
@@ -11,7 +11,7 @@
 } from '../../../test/support/configuration_hosts.js';
 import { MAX_BATCH_BYTES } from './_entry_batches.js';
 
-t.test('ConfigurationKeeper loads from the service when no peer answers', async (t) => {
+t.test('ConfigurationReplica loads from the service when no peer answers', async (t) => {
   const deployment = await startDeployment([]);
   const { keeper, weights } = deployment.start('a');
   await deployment.advance(PATIENCE_MS - 1);
@@ -25,11 +25,10 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeeper asks peers before it trusts a stale service', async (t) => {
-  // Symptom: after a restart one entry host works by an old contract.
-  // Sequence: a contract changes, the service goes back to a stale state, one
-  // host restarts and hears the service sooner than its peer. Cause: it took the
-  // stale answer at its word.
+t.test('ConfigurationReplica asks peers before it relies on a stale service', async (t) => {
+  // Guards against an entry host that applies an old contract after a restart: a
+  // contract changes, the service returns to a stale state, one host restarts and
+  // receives the service's answer before its peer's.
   const deployment = await startDeployment(['a', 'b']);
   deployment.service.publish(FIRM_A, buildContract(2));
   await deployment.advance(HEARTBEAT_MS);
@@ -46,10 +45,10 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeeper takes no answer from a peer that has not loaded', async (t) => {
-  // Symptom: as above, after two restarts at once. Sequence: b and c restart in a
-  // stale spell, c reaches nobody but b. Cause: the empty answer of b, which knew
-  // nothing itself yet, counted as "nothing newer".
+t.test('ConfigurationReplica ignores peers that have not loaded', async (t) => {
+  // Guards against an old contract after two restarts at once: b and c restart while
+  // the service is stale, and c reaches b only. The empty answer of b, which has not
+  // loaded itself, would count as a confirmation that nothing is newer.
   const deployment = await startDeployment(['a']);
   deployment.service.publish(FIRM_A, buildContract(2));
   await deployment.advance(HEARTBEAT_MS);
@@ -71,7 +70,7 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeeper loads from peers while the service is down', async (t) => {
+t.test('ConfigurationReplica loads from peers while the service is down', async (t) => {
   const deployment = await startDeployment(['a']);
   deployment.service.setDown(true);
   const restarted = deployment.start('b');
@@ -81,9 +80,9 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeeper does not storm a service that is down or hurried', async (t) => {
-  // Symptom: the shared service collapses under reads when it comes back.
-  // Cause: each entry host retries in a tight loop.
+t.test('ConfigurationReplica limits its reads of an idle, down or busy service', async (t) => {
+  // Guards against overload of the shared service when it recovers, which happens if
+  // each entry host retries in a tight loop.
   const deployment = await startDeployment(['a']);
   const { service } = deployment;
   const MINUTE_MS = 60_000;
@@ -106,9 +105,9 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeeper hears a change from the one host that reads the service', async (t) => {
-  // Symptom: a contract is in force on some entry hosts only. Sequence: all but
-  // one are cut from the service, or the service goes stale for them.
+t.test('ConfigurationReplica gets changes from the only peer that can read', async (t) => {
+  // Guards against a contract that takes effect on some entry hosts only, which
+  // happens if all but one are cut off from the service or read stale data.
   const ids = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
   const deployment = await startDeployment(ids);
   ids.slice(1).forEach((id) => deployment.hosts.get(id)?.reader.setCut(true));
@@ -127,9 +126,9 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeeper makes up for lost news by heartbeats', async (t) => {
-  // Symptom: one entry host keeps the old contract for good. Sequence: its link
-  // is silent at the moment of the change, and it can't read the service.
+t.test('ConfigurationReplica recovers lost change messages by heartbeats', async (t) => {
+  // Guards against an entry host that keeps the old contract permanently: its link is
+  // silent at the moment of the change, and it can't read the service.
   const deployment = await startDeployment(['a', 'b']);
   deployment.hosts.get('b')?.reader.setCut(true);
   deployment.hub.silence('a', 'b');
@@ -142,7 +141,7 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeeper limits how often it asks a peer that stays different', async (t) => {
+t.test('ConfigurationReplica limits its digests to a peer that stays different', async (t) => {
   const deployment = await startDeployment(['a', 'b']);
   const host = deployment.hosts.get('a');
   const before = host?.network.sent.length ?? 0;
@@ -154,8 +153,8 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeeper tells few peers of a change, and all hear of it', async (t) => {
-  // Symptom: each change costs every entry host a message to every other one.
+t.test('ConfigurationReplica notifies few peers of a change, and all receive it', async (t) => {
+  // Guards against changes that cost every entry host a message to every other one.
   const ids = Array.from({ length: 60 }, (_, at) => `host-${at}`);
   const deployment = await startDeployment(ids);
   ids.slice(1).forEach((id) => deployment.hosts.get(id)?.reader.setCut(true));
@@ -172,8 +171,8 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeeper splits a long answer, and loads from all of it', async (t) => {
-  // Symptom: heartbeats are late behind one long message, and peers are suspected.
+t.test('ConfigurationReplica splits a long answer and loads all of it', async (t) => {
+  // Guards against suspected peers: one long message delays the heartbeats behind it.
   const deployment = await startDeployment([]);
   for (let at = 0; at < 20; at += 1) {
     const document = buildContract(2, `firm-${at}`) + ' '.repeat(30_000);
@@ -195,7 +194,7 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeeper settles operators who publish at once', async (t) => {
+t.test('ConfigurationReplica converges when operators publish concurrently', async (t) => {
   const deployment = await startDeployment(['a', 'b']);
   deployment.hosts.get('b')?.reader.setCut(true);
   const other = `${CONTRACT_KEY_PREFIX}firm-b`;
@@ -208,7 +207,7 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeeper keeps the last good document and says why', async (t) => {
+t.test('ConfigurationReplica keeps the last valid document and reports why', async (t) => {
   const deployment = await startDeployment(['a', 'b']);
   const bad = deployment.service.publish(FIRM_A, '{\n"account": 7}');
   await deployment.advance(HEARTBEAT_MS);
@@ -220,7 +219,7 @@
     const lines = log.lines.filter(({ event }) => event === 'configuration_document_rejected');
     t.match(lines, [{ fields: { account: 'firm-a', revision: bad } }]);
   });
-  // A restarted host sees only the bad one; peers have the last good.
+  // A restarted host reads only the invalid document; peers have the last valid one.
   await deployment.stop('b');
   const restarted = deployment.start('b');
   await deployment.advance(PATIENCE_MS);
@@ -232,16 +231,16 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeeper never reverts when the service is put back', async (t) => {
-  // Symptom: an old contract is in force again after the service was restored
-  // from a backup, or what is published after it is not heard of.
+t.test('ConfigurationReplica never reverts when the service is restored', async (t) => {
+  // Guards against an old contract that takes effect again after the service was
+  // restored from a backup, and against missing changes published afterwards.
   const deployment = await startDeployment(['a', 'b']);
   deployment.service.publish(FIRM_A, buildContract(2));
   await deployment.advance(HEARTBEAT_MS);
   deployment.service.restore(3);
   await deployment.advance(WAIT_MS);
   t.same(deployment.listWeights(), [2, 2]);
-  // Index 4 is counted again, for another key.
+  // The restored service assigns index 4 again, to another key.
   const other = `${CONTRACT_KEY_PREFIX}firm-b`;
   deployment.service.publish(other, buildContract(5, 'firm-b'));
   await deployment.advance(HEARTBEAT_MS);
@@ -252,10 +251,10 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeepers agree on two documents of one revision', async (t) => {
-  // Symptom: two entry hosts work by different contracts for good, and each has
-  // the revision of the other. Sequence: the service is put back and counts an
-  // index again, while b can neither read it nor reach a.
+t.test('ConfigurationReplicas agree on two documents of one revision', async (t) => {
+  // Guards against two entry hosts that apply different contracts permanently while
+  // both have the same revision: the service is restored and assigns an index again,
+  // while b can neither read it nor reach a.
   const deployment = await startDeployment(['a', 'b']);
   deployment.service.publish(FIRM_A, buildContract(2));
   await deployment.advance(HEARTBEAT_MS);
@@ -275,18 +274,18 @@
   await deployment.close();
 });
 
-t.test('ConfigurationKeeper tells every handler, whatever one of them does', async (t) => {
+t.test('ConfigurationReplica calls every change handler even if one throws', async (t) => {
   const deployment = await startDeployment([]);
   const { keeper, log } = deployment.start('a');
-  let told = 0;
+  let callCount = 0;
   keeper.onChange(() => {
     throw new Error('no');
   });
   keeper.onChange(() => {
-    told += 1;
+    callCount += 1;
   });
   await deployment.advance(PATIENCE_MS);
-  t.ok(told > 0);
+  t.ok(callCount > 0);
   t.ok(log.lines.some(({ event }) => event === 'configuration_handler_failed'));
   await deployment.close();
 });
--- a/src/application/membership/_host_list_watch_test.ts
+++ b/src/application/membership/_host_list_watch_test.ts
@@ -1,55 +1,55 @@
 import t from 'tap';
-import { listBackendServer, startWorld } from './_test_hosts.js';
+import { publishBackendServer, startWorld } from './_test_hosts.js';
 
-t.test('HostListWatch bounds its reads of a list that changes all the time', async (t) => {
+t.test('HostListWatch limits its reads of a list that changes continuously', async (t) => {
   const { clock, platform } = await startWorld(t);
   const readsBefore = platform.readCount;
   for (let tenth = 0; tenth < 100; tenth += 1) {
-    listBackendServer(platform, 'engine-2');
+    publishBackendServer(platform, 'engine-2');
     await clock.advance(100);
   }
   const reads = platform.readCount - readsBefore;
   t.ok(reads <= 3 * 11, `${reads} reads in ten seconds`);
 });
 
-t.test('HostListWatch gives up a read that is never answered', async (t) => {
-  // Symptom: an entry host never hears of a change of the host list again.
-  // Sequence: the connection to the service falls silent while new ones work.
-  // Cause: the waiting read has no limit of its own.
+t.test('HostListWatch aborts a read that is never answered', async (t) => {
+  // Guards against an entry host that misses all further changes of the host list: its
+  // connection to the service falls silent while new connections work, and a read
+  // without a timeout would wait forever.
   const { clock, hub, platform, hosts } = await startWorld(t);
   const [a] = hosts;
   a.reader.isSilent = true;
   await clock.advance(11_000);
   a.reader.isSilent = false;
-  listBackendServer(platform, 'engine-1', 'leaving');
+  publishBackendServer(platform, 'engine-1', 'leaving');
   hub.partition(['a'], ['b', 'c']);
   await clock.advance(15_000);
-  t.ok(a.keeper.isBackendServerLeaving('engine-1'));
+  t.ok(a.membership.isBackendServerLeaving('engine-1'));
 });
 
-t.test('HostListWatch reads the list around an entry that it cannot read', async (t) => {
+t.test('HostListWatch skips an invalid entry and reads the rest of the list', async (t) => {
   const { clock, platform, hosts } = await startWorld(t);
   const [a] = hosts;
   platform.publish('hosts/broken', '{');
-  listBackendServer(platform, 'engine-1', 'leaving');
+  publishBackendServer(platform, 'engine-1', 'leaving');
   await clock.advance(3_000);
-  t.ok(a.keeper.isBackendServerLeaving('engine-1'));
+  t.ok(a.membership.isBackendServerLeaving('engine-1'));
   t.equal(a.log.lines.filter(({ event }) => event === 'host_list_entry_refused').length, 1);
 });
 
-t.test('HostListWatch takes no older read, and a restored list after a while', async (t) => {
-  // Symptom: a backend server that goes away gets new work again for a moment.
-  // Sequence: the list shows it leaving; the next read comes from a replica that lags.
-  // Cause: the last read counts, whatever its index.
+t.test('HostListWatch ignores an older list until it has persisted for a minute', async (t) => {
+  // Guards against new work for a draining backend server: the list shows it as leaving,
+  // and the next read is answered by a replica that lags. A list that stays older was
+  // restored from a backup and is accepted.
   const { clock, platform, hosts } = await startWorld(t);
   const [a] = hosts;
   const before = platform.snapshot.index;
-  listBackendServer(platform, 'engine-1', 'leaving');
+  publishBackendServer(platform, 'engine-1', 'leaving');
   await clock.advance(2_000);
-  t.ok(a.keeper.isBackendServerLeaving('engine-1'));
+  t.ok(a.membership.isBackendServerLeaving('engine-1'));
   platform.restore(before);
   await clock.advance(30_000);
-  t.ok(a.keeper.isBackendServerLeaving('engine-1'));
+  t.ok(a.membership.isBackendServerLeaving('engine-1'));
   await clock.advance(60_000);
-  t.notOk(a.keeper.isBackendServerLeaving('engine-1'));
+  t.notOk(a.membership.isBackendServerLeaving('engine-1'));
 });
--- a/src/application/membership/_test_hosts.ts
+++ b/src/application/membership/_test_hosts.ts
@@ -1,5 +1,5 @@
 /**
- * Entry hosts for this package's tests: keepers in one process, over fakes.
+ * Provides simulated entry hosts for the membership tests, in one process and on fakes.
  *
  * @module
  */
@@ -25,12 +25,12 @@
 import { VirtualClock } from '../../../test/support/virtual_clock.js';
 import { MembershipKeeper } from './mod.js';
 
-/** Time between heartbeats of test keepers. */
+/** Time between two heartbeats of a simulated entry host, in milliseconds. */
 export const HEARTBEAT_MS = 500;
-/** Silence after which test keepers suspect. */
-export const SUSPECT_MS = 2_000;
+/** Silence after which a simulated entry host suspects a peer, in milliseconds. */
+export const SUSPECT_AFTER_MS = 2_000;
 
-/** A reader whose connection can fall silent. */
+/** A platform reader that can be made to never answer. */
 class SilenceableReader extends PlatformReader {
   isSilent = false;
 
@@ -44,7 +44,7 @@
   }
 }
 
-/** A network whose messages wait while the process is frozen. */
+/** A peer network whose events are buffered while the simulated process is frozen. */
 class GatedPeerNetwork extends FakePeerNetwork {
   constructor(
     hub: FakePeerHub,
@@ -55,7 +55,7 @@
   }
 
   override notifyLink(event: LinkEvent): void {
-    // The base class announces the links that are there before the gate is.
+    // The constructor of the base class reports existing links before the gate is set.
     if (this.gate) this.gate.run(() => super.notifyLink(event));
     else super.notifyLink(event);
   }
@@ -65,7 +65,7 @@
   }
 }
 
-/** One entry host. */
+/** One simulated entry host. */
 export class TestHost {
   readonly gate = new ProcessGate();
 
@@ -75,9 +75,9 @@
 
   readonly reader: SilenceableReader;
 
-  readonly keeper: MembershipKeeper;
+  readonly membership: MembershipKeeper;
 
-  /** How often the keeper told of a change. */
+  /** Number of changes that the membership reported. */
   changes = 0;
 
   configuration = { revision: 1, hash: 'aa' };
@@ -90,7 +90,7 @@
   ) {
     this.peers = new GatedPeerNetwork(hub, identity, this.gate);
     this.reader = new SilenceableReader(platform.createReader());
-    this.keeper = new MembershipKeeper({
+    this.membership = new MembershipKeeper({
       clock: new GatedClock(clock, this.gate),
       log: this.log,
       metrics: new FakeMetrics(),
@@ -100,33 +100,33 @@
       self: identity,
       seedPeerUrls: [],
       heartbeatMs: HEARTBEAT_MS,
-      suspectAfterMs: SUSPECT_MS,
+      suspectAfterMs: SUSPECT_AFTER_MS,
       listGroupLoads: () => this.groups,
       isReady: () => true,
       readWaitMs: 10_000,
       getConfiguration: () => this.configuration,
     });
-    this.keeper.onChange(() => {
+    this.membership.onChange(() => {
       this.changes += 1;
     });
-    this.keeper.start();
+    this.membership.start();
   }
 
-  /** @returns states by ID, as this one sees them */
+  /** @returns the states of all entry hosts in this host's view, by ID */
   listStates(): Record<string, string> {
-    const views = this.keeper.listEntryHosts();
+    const views = this.membership.listEntryHosts();
     return Object.fromEntries(views.map(({ identity, state }) => [identity.id, state]));
   }
 
-  /** Ends the process; its links break. */
-  async end(): Promise<void> {
-    this.keeper.stop();
+  /** Stops the process and closes its links. */
+  async stop(): Promise<void> {
+    this.membership.stop();
     await this.peers.close();
   }
 }
 
-/** Lists an entry host. */
-export function listEntryHost(
+/** Publishes an entry host in the host list. */
+export function publishEntryHost(
   platform: FakePlatform,
   { id, peerUrl }: EntryHostIdentity,
   state = 'live',
@@ -135,13 +135,13 @@
   platform.publish(`hosts/${id}`, JSON.stringify(host));
 }
 
-/** Lists a backend server. */
-export function listBackendServer(platform: FakePlatform, id: string, state = 'live'): void {
+/** Publishes a backend server in the host list. */
+export function publishBackendServer(platform: FakePlatform, id: string, state = 'live'): void {
   const host = { id, role: 'backend_server', url: `http://${id}.test`, state };
   platform.publish(`hosts/${id}`, JSON.stringify(host));
 }
 
-/** What {@link startWorld} made. */
+/** The fixture that {@link startWorld} creates. */
 export interface World {
   readonly clock: VirtualClock;
   readonly hub: FakePeerHub;
@@ -149,16 +149,16 @@
   readonly hosts: readonly [TestHost, TestHost, TestHost];
 }
 
-/** Three entry hosts that have found each other, and one backend server. */
+/** Starts three entry hosts, lists one backend server and waits until the hosts are linked. */
 export async function startWorld(t: Test): Promise<World> {
   const clock = new VirtualClock();
   const hub = new FakePeerHub();
   const platform = new FakePlatform(clock);
-  listBackendServer(platform, 'engine-1');
+  publishBackendServer(platform, 'engine-1');
   const identities = ['a', 'b', 'c'].map((id) => buildIdentity(id));
-  identities.forEach((identity) => listEntryHost(platform, identity));
+  identities.forEach((identity) => publishEntryHost(platform, identity));
   const hosts = identities.map((identity) => new TestHost({ clock, hub, platform }, identity));
-  t.teardown(() => hosts.forEach(({ keeper }) => keeper.stop()));
+  t.teardown(() => hosts.forEach(({ membership }) => membership.stop()));
   await clock.advance(HEARTBEAT_MS);
   return { clock, hub, platform, hosts: hosts as unknown as World['hosts'] };
 }
