--- a/src/application/configuration/mod.ts
+++ b/src/application/configuration/mod.ts
@@ -1,7 +1,7 @@
 /**
  * Keeps the configuration of one entry host up to date from the platform's
  * configuration service and from peers. An entry never goes back to an older
- * revision. Create the exported class with its options and call `start()`.
+ * revision: `const replica = new ConfigurationReplica(options); replica.start()`.
  *
  * @module
  */
--- a/src/application/membership/mod.ts
+++ b/src/application/membership/mod.ts
@@ -1,7 +1,8 @@
 /**
  * Tracks the membership of entry hosts: which ones are known, which ones are leaving,
- * and whether this process may act on its view. Create the exported class with its
- * options, call `start()`, and read it as a `MembershipView`.
+ * and whether this process may act on its view. After
+ * `const membership = new MembershipTracker({...}); membership.start();` the tracker is
+ * read as a `MembershipView`.
  *
  * @module
  */
--- a/src/ports/backend_server_client.ts
+++ b/src/ports/backend_server_client.ts
@@ -40,7 +40,7 @@
   readonly headers: Readonly<Record<string, string>>;
   /**
    * Whether the body's length or end is marked by HTTP framing. Without framing, a
-   * server that crashes can't be told from the end of its answer.
+   * crash of the server looks like the end of its answer.
    */
   readonly isFramed: boolean;
   /** ID by which the engine resumes or cancels the stream; undefined if it can do neither. */
--- a/src/ports/direct_calls.ts
+++ b/src/ports/direct_calls.ts
@@ -23,6 +23,7 @@
   /** Headers to forward to the backend server. */
   readonly headers: RawHeaders;
   readonly body: Buffer;
+  /** API key of the caller; undefined if it sent none. */
   readonly key: string | undefined;
   /** Time that the caller allows, counted from the request's arrival; undefined if not stated. */
   readonly deadlineMs: number | undefined;
@@ -90,8 +91,11 @@
 
 /** Load that a backend server reports in the head of its answer. */
 export interface ReportedLoad {
+  /** Number of running requests. */
   readonly running: number;
+  /** Number of queued requests. */
   readonly waiting: number;
+  /** Number of requests that the server can run at once. */
   readonly slots: number;
 }
 
@@ -102,7 +106,7 @@
   readonly isEventStream: boolean;
   /**
    * Whether the body's length or end is marked by HTTP framing. Without framing, a
-   * server that crashes can't be told from the end of its answer.
+   * crash of the server looks like the end of its answer.
    */
   readonly isFramed: boolean;
   readonly load: ReportedLoad | undefined;
@@ -118,7 +122,10 @@
   Misdirected = 'misdirected',
   /** The answer is malformed or incomplete, or timed out: the request may have run. */
   Broken = 'broken',
-  /** The server closed or reset the connection: the request may have run, and it may have crashed. */
+  /**
+   * The server closed or reset the connection: the request may have run, and the server
+   * may have crashed.
+   */
   Lost = 'lost',
 }
 
--- a/src/ports/peer_messages.ts
+++ b/src/ports/peer_messages.ts
@@ -56,6 +56,7 @@
 /** Reply to a heartbeat; shows that the process behind the link is running. */
 export interface HeartbeatReplyMessage {
   readonly type: PeerMessageType.HeartbeatReply;
+  /** Sequence number of the heartbeat. */
   readonly sequence: number;
 }
 
@@ -250,6 +251,7 @@
   readonly accountId: string;
   readonly requestsPerSecond: number;
   readonly tokensPerSecond: number;
+  /** Leased share of the limit on requests in flight. */
   readonly inFlight: number;
   /** Lease duration, in milliseconds. */
   readonly validMs: number;
--- a/src/ports/peer_network.ts
+++ b/src/ports/peer_network.ts
@@ -52,7 +52,7 @@
    */
   abstract handle<T extends PeerMessageType>(type: T, handler: PeerMessageHandler<T>): void;
 
-  /** @param handler - called when the first link to an incarnation opens or the last one closes */
+  /** @param handler - called when the first link to an incarnation opens or its last closes */
   abstract onLink(handler: (event: LinkEvent) => void): void;
 
   /** @returns the identities of peers that a link is open to */
