--- a/src/application/configuration/_change_recorder.ts
+++ b/src/application/configuration/_change_recorder.ts
@@ -48,14 +48,14 @@
   }
 
   /** @param change - the change that took effect */
-  recordChange({ revision, entryCount: count, source, keyClashes }: RecordedChange): void {
+  recordChange({ revision, entryCount, source, keyClashes }: RecordedChange): void {
     const { clock, log, metrics } = this.#options;
-    metrics.count('configuration_changes_total', { source }, count);
+    metrics.count('configuration_changes_total', { source }, entryCount);
     metrics.set('configuration_revision', revision);
     // From this gauge operators compute, for each entry host, how long a published
     // change takes until it is in effect.
     metrics.set('configuration_in_force_at_ms', clock.wallMs());
-    log.write(LogLevel.Info, 'configuration_in_force', { revision, changed: count, source });
+    log.write(LogLevel.Info, 'configuration_in_force', { revision, changed: entryCount, source });
     keyClashes.forEach((account) => {
       log.write(LogLevel.Warn, 'configuration_key_claimed_twice', { account });
     });
--- a/src/application/configuration/_peer_exchange.ts
+++ b/src/application/configuration/_peer_exchange.ts
@@ -36,12 +36,12 @@
   readonly getState: () => ConfigurationState;
   /** Returns the hash over this entry host's accepted entries. */
   readonly getHash: () => string;
-  /** Returns whether this entry host has loaded its configuration and may answer peers. */
+  /** Returns whether this entry host has loaded its configuration and may reply to peers. */
   readonly hasLoaded: () => boolean;
   /** Called with entries that a peer has sent. */
   readonly onEntries: (entries: readonly RawEntry[], from: EntryHostIdentity) => void;
-  /** Called when a peer's answer to a digest is complete. */
-  readonly onAnswerComplete: () => void;
+  /** Called when a peer's reply to a digest is complete. */
+  readonly onReplyComplete: () => void;
 }
 
 /** The current difference between this entry host's entries and those of one peer. */
@@ -70,7 +70,7 @@
     this.#options = options;
   }
 
-  /** Starts to answer peers, and sends them digests until this entry host has loaded. */
+  /** Starts to reply to peers, and sends them digests until this entry host has loaded. */
   start(): void {
     const { peers } = this.#options;
     peers.handle(PeerMessageType.ConfigurationDigest, (from, { revisions }) => {
@@ -157,8 +157,8 @@
   }
 
   /**
-   * Answers a digest, unless this entry host has not loaded yet. A peer that starts
-   * at the same time would take an empty answer as confirmation that the entries of
+   * Replies to a digest, unless this entry host has not loaded yet. A peer that starts
+   * at the same time would take an empty reply as confirmation that the entries of
    * a stale service are the newest.
    */
   #handleDigest(from: EntryHostIdentity, revisions: Readonly<Record<string, number>>): void {
@@ -168,7 +168,7 @@
     const { ahead, isBehind } = compareDigest(state, revisions);
     const isConflict = ahead.length === 0 && !isBehind && this.#hasConflict(from.incarnation);
     this.#sendEntries(from.incarnation, isConflict ? [...state.entries.values()] : ahead);
-    // An empty message marks the end of the answer.
+    // An empty message marks the end of the reply.
     peers.send(from.incarnation, { type: PeerMessageType.ConfigurationEntries, entries: [] });
     if (isBehind) this.sendDigest(from.incarnation);
   }
@@ -187,8 +187,8 @@
   }
 
   #handleEntries(from: EntryHostIdentity, entries: readonly ConfigurationEntry[]): void {
-    const { onAnswerComplete: onAnswered, onEntries } = this.#options;
-    if (entries.length === 0) onAnswered();
+    const { onReplyComplete, onEntries } = this.#options;
+    if (entries.length === 0) onReplyComplete();
     else onEntries(entries.map(normalizeEntry), from);
   }
 
--- a/src/application/configuration/_start_gate.ts
+++ b/src/application/configuration/_start_gate.ts
@@ -5,20 +5,20 @@
  */
 
 /**
- * Opens once both the configuration service and a peer have answered or, after the
+ * Opens once both the configuration service and a peer have replied or, after the
  * start timeout, once either of them has.
  *
  * A restarted entry host has no configuration, and the service may answer with
  * stale data for a long time. If the entry host trusted the service alone, it would
  * return to contracts that its peers have already replaced, after each restart. It
- * therefore waits for a peer's answer too, and relies on the service alone only if
- * no peer answers before the timeout. If the service can't be read, it relies on
+ * therefore waits for a peer's reply too, and relies on the service alone only if no
+ * peer replies before the timeout. If the service can't be read, it relies on
  * peers alone after the same timeout.
  */
 export class StartGate {
   #hasServiceAnswered = false;
 
-  #hasPeerAnswered = false;
+  #hasPeerReplied = false;
 
   #hasTimedOut = false;
 
@@ -27,9 +27,9 @@
     this.#hasServiceAnswered = true;
   }
 
-  /** Records a complete answer of a peer that has loaded its configuration. */
-  recordPeerAnswer(): void {
-    this.#hasPeerAnswered = true;
+  /** Records a complete reply of a peer that has loaded its configuration. */
+  recordPeerReply(): void {
+    this.#hasPeerReplied = true;
   }
 
   /** Records that the start timeout has passed. */
@@ -39,14 +39,14 @@
 
   /** @returns whether the received configuration may be put into effect */
   isOpen(): boolean {
-    const { hasBoth, hasEither } = this.#summarizeAnswers();
+    const { hasBoth, hasEither } = this.#summarizeReplies();
     return hasBoth || (hasEither && this.#hasTimedOut);
   }
 
-  #summarizeAnswers(): { readonly hasBoth: boolean; readonly hasEither: boolean } {
+  #summarizeReplies(): { readonly hasBoth: boolean; readonly hasEither: boolean } {
     return {
-      hasBoth: this.#hasServiceAnswered && this.#hasPeerAnswered,
-      hasEither: this.#hasServiceAnswered || this.#hasPeerAnswered,
+      hasBoth: this.#hasServiceAnswered && this.#hasPeerReplied,
+      hasEither: this.#hasServiceAnswered || this.#hasPeerReplied,
     };
   }
 }
--- a/src/application/configuration/configuration_keeper.ts
+++ b/src/application/configuration/configuration_keeper.ts
@@ -113,8 +113,8 @@
       onEntries: (entries, { incarnation }) => {
         this.#applyMerge(mergeEntries(this.#state, entries), ChangeSource.Peer, incarnation);
       },
-      onAnswerComplete: () => {
-        this.#startGate.recordPeerAnswer();
+      onReplyComplete: () => {
+        this.#startGate.recordPeerReply();
         this.#loadIfReady();
       },
     });
--- a/src/application/configuration/configuration_keeper_test.ts
+++ b/src/application/configuration/configuration_keeper_test.ts
@@ -11,7 +11,7 @@
 } from '../../../test/support/configuration_hosts.js';
 import { MAX_BATCH_BYTES } from './_entry_batches.js';
 
-t.test('ConfigurationReplica loads from the service when no peer answers', async (t) => {
+t.test('ConfigurationReplica loads from the service when no peer replies', async (t) => {
   const deployment = await startDeployment([]);
   const { keeper, weights } = deployment.start('a');
   await deployment.advance(PATIENCE_MS - 1);
@@ -28,7 +28,7 @@
 t.test('ConfigurationReplica asks peers before it relies on a stale service', async (t) => {
   // Guards against an entry host that applies an old contract after a restart: a
   // contract changes, the service returns to a stale state, one host restarts and
-  // receives the service's answer before its peer's.
+  // receives the service's answer before its peer's reply.
   const deployment = await startDeployment(['a', 'b']);
   deployment.service.publish(FIRM_A, buildContract(2));
   await deployment.advance(HEARTBEAT_MS);
@@ -47,7 +47,7 @@
 
 t.test('ConfigurationReplica ignores peers that have not loaded', async (t) => {
   // Guards against an old contract after two restarts at once: b and c restart while
-  // the service is stale, and c reaches b only. The empty answer of b, which has not
+  // the service is stale, and c reaches b only. The empty reply of b, which has not
   // loaded itself, would count as a confirmation that nothing is newer.
   const deployment = await startDeployment(['a']);
   deployment.service.publish(FIRM_A, buildContract(2));
@@ -171,7 +171,7 @@
   await deployment.close();
 });
 
-t.test('ConfigurationReplica splits a long answer and loads all of it', async (t) => {
+t.test('ConfigurationReplica splits a long reply and loads all of it', async (t) => {
   // Guards against suspected peers: one long message delays the heartbeats behind it.
   const deployment = await startDeployment([]);
   for (let at = 0; at < 20; at += 1) {
--- a/src/application/membership/_freshness.ts
+++ b/src/application/membership/_freshness.ts
@@ -21,7 +21,7 @@
   readonly heartbeatMs: number;
   readonly suspectAfterMs: number;
   /** Called right after a pause was detected. */
-  readonly onWake: (nowMs: number) => void;
+  readonly onResume: (nowMs: number) => void;
 }
 
 /**
@@ -73,13 +73,13 @@
 
   /** @returns whether this process was paused since the last call */
   detectPause(): boolean {
-    const { clock, log, metrics, onWake } = this.#options;
+    const { clock, log, metrics, onResume } = this.#options;
     const nowMs = clock.nowMs();
     const pausedMs = this.#pauseDetector.detectPause(nowMs);
     if (pausedMs === 0) return false;
     log.write(LogLevel.Warn, 'process_paused', { pausedMs });
     metrics.count('process_pauses_total');
-    onWake(nowMs);
+    onResume(nowMs);
     return true;
   }
 
--- a/src/application/membership/_host_list_watch.ts
+++ b/src/application/membership/_host_list_watch.ts
@@ -46,7 +46,7 @@
 export class HostListWatch {
   readonly #options: HostListWatchOptions;
 
-  readonly #listOrder = new HostListOrder(RESTORE_CONFIRMATION_MS);
+  readonly #staleReadFilter = new HostListOrder(RESTORE_CONFIRMATION_MS);
 
   readonly #loggedFaultIndexes = new Map<string, number>();
 
@@ -134,7 +134,7 @@
   }
 
   #applySnapshot(snapshot: PlatformSnapshot, startedAtMs: number): void {
-    if (!this.#listOrder.acceptIndex(snapshot.index, this.#options.clock.nowMs())) {
+    if (!this.#staleReadFilter.acceptIndex(snapshot.index, this.#options.clock.nowMs())) {
       this.#options.metrics.count('host_list_older_reads_total');
       return;
     }
--- a/src/application/membership/_silent_links.ts
+++ b/src/application/membership/_silent_links.ts
@@ -1,5 +1,5 @@
 /**
- * Replaces links to peers that no longer answer heartbeats.
+ * Replaces links to peers that no longer reply to heartbeats.
  *
  * @module
  */
@@ -14,12 +14,12 @@
   readonly peers: PeerNetwork;
   /** Minimum time between two replacements of the same link, in milliseconds. */
   readonly suspectAfterMs: number;
-  /** Returns whether a peer does not answer heartbeats. */
+  /** Returns whether a peer does not reply to heartbeats. */
   readonly isSilent: (incarnation: string) => boolean;
 }
 
 /**
- * Replaces links whose peer does not answer. A middlebox can lose track of a
+ * Replaces links whose peer does not reply. A middlebox can lose track of a
  * connection without notifying either end, while new connections work. Without a
  * replacement, a running peer would stay suspected forever.
  */
--- a/src/application/membership/membership_keeper.ts
+++ b/src/application/membership/membership_keeper.ts
@@ -70,7 +70,7 @@
     });
     this.#freshness = new FreshnessTracker({
       ...options,
-      onWake: (nowMs) => this.#handleWake(nowMs),
+      onResume: (nowMs) => this.#handleResume(nowMs),
     });
     this.#silentLinkReplacer = new SilentLinkReplacer({
       ...options,
@@ -192,7 +192,7 @@
    * that were sent before the pause can't confirm the view: their answers may be as old
    * as the requests.
    */
-  #handleWake(nowMs: number): void {
+  #handleResume(nowMs: number): void {
     this.#directory.recordWake(nowMs);
     if (!this.#isRunning) return;
     this.#hostListWatch.restart();
--- a/src/ports/peer_messages.ts
+++ b/src/ports/peer_messages.ts
@@ -148,7 +148,7 @@
   readonly value: Uint8Array | undefined;
 }
 
-/** Accepted entries that the receiver lacks; an empty list ends the answer to a digest. */
+/** Accepted entries that the receiver lacks; an empty list ends the reply to a digest. */
 export interface ConfigurationEntriesMessage {
   readonly type: PeerMessageType.ConfigurationEntries;
   readonly entries: readonly ConfigurationEntry[];
