--- a/src/application/configuration/_platform_watch.ts
+++ b/src/application/configuration/_platform_watch.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps one watch open at the platform's configuration service.
+ * Watches the platform's configuration service with repeated long-polling reads.
  *
  * @module
  */
@@ -15,46 +15,46 @@
 import { settle, startProcess } from '../channels/mod.js';
 import type { Step } from '../channels/mod.js';
 
-/** Least time from one read to the next, in milliseconds. */
-export const READ_INTERVAL_MS = 500;
+/** Minimum time between the starts of two reads, in milliseconds. */
+export const MIN_READ_INTERVAL_MS = 500;
 
-/** Wait after the first failed read, in milliseconds; each further failure doubles it. */
-export const FIRST_BACKOFF_MS = 500;
+/** Delay after the first failed read, in milliseconds; doubled by each consecutive failure. */
+export const MIN_BACKOFF_MS = 500;
 
-/** Longest wait after a failed read, in milliseconds. */
-export const LONGEST_BACKOFF_MS = 4000;
+/** Maximum delay after a failed read, in milliseconds. */
+export const MAX_BACKOFF_MS = 4000;
 
-/** What a watch needs. */
-export interface PlatformWatchOptions {
+/** Dependencies and settings of {@link ConfigurationWatch}. */
+export interface ConfigurationWatchOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
   readonly platform: PlatformReader;
-  /** How long the service may hold a watch, in milliseconds. */
+  /** How long one read waits for a change, in milliseconds. */
   readonly waitMs: number;
-  /** Called with each answer. */
+  /** Called with each answer of the service. */
   readonly onSnapshot: (snapshot: PlatformSnapshot) => void;
 }
 
-/** The watch of one entry host. */
-export class PlatformWatch {
-  readonly #options: PlatformWatchOptions;
+/** Reads the configuration service until it is stopped. */
+export class ConfigurationWatch {
+  readonly #options: ConfigurationWatchOptions;
 
   readonly #abort = new AbortController();
 
-  #running: Promise<void> | undefined;
+  #runPromise: Promise<void> | undefined;
 
-  /** Ends the pause between two reads. */
-  #endWait: () => void = () => undefined;
+  /** Ends the delay between two reads. */
+  #endDelay: () => void = () => undefined;
 
-  #failures = 0;
+  #consecutiveFailures = 0;
 
   #index = 0;
 
-  #answeredAtMs: number | undefined;
+  #lastAnswerAtMs: number | undefined;
 
-  /** @param options - what the watch needs */
-  constructor(options: PlatformWatchOptions) {
+  /** @param options - dependencies and settings */
+  constructor(options: ConfigurationWatchOptions) {
     this.#options = options;
   }
 
@@ -63,91 +63,91 @@
     return this.#index;
   }
 
-  /** Time since the last answer in milliseconds; undefined before the first. */
-  get silentMs(): number | undefined {
-    if (this.#answeredAtMs === undefined) return undefined;
-    return this.#options.clock.nowMs() - this.#answeredAtMs;
+  /** Time since the last answer, in milliseconds; undefined before the first. */
+  get answerAgeMs(): number | undefined {
+    if (this.#lastAnswerAtMs === undefined) return undefined;
+    return this.#options.clock.nowMs() - this.#lastAnswerAtMs;
   }
 
-  /** Starts to read and watch. */
+  /** Starts to read the service. */
   start(): void {
-    this.#running ??= startProcess(() => this.#run());
+    this.#runPromise ??= startProcess(() => this.#run());
   }
 
-  /** Ends the watch. @returns when it has ended */
+  /** Stops the watch. @returns a promise that resolves when the watch has ended */
   async stop(): Promise<void> {
     this.#abort.abort();
-    this.#endWait();
-    await this.#running;
+    this.#endDelay();
+    await this.#runPromise;
   }
 
   *#run(): Step<void> {
     while (!this.#abort.signal.aborted) {
       const startedAtMs = this.#options.clock.nowMs();
-      yield* this.#read();
-      yield* settle(this.#wait(this.#computePauseMs(startedAtMs)));
+      yield* this.#readOnce();
+      yield* settle(this.#delay(this.#computeDelayMs(startedAtMs)));
     }
   }
 
-  *#read(): Step<void> {
+  *#readOnce(): Step<void> {
     const { clock, metrics, onSnapshot, platform, waitMs } = this.#options;
     try {
       const snapshot = yield* settle(
         platform.read(CONFIGURATION_PREFIX, {
-          // After a failure the service is asked at once: it may have gone back
-          // to an older state, and a watch for a later one would only sit there.
-          afterIndex: this.#failures > 0 ? 0 : this.#index,
+          // After a failure the read returns at once: the service may have gone back
+          // to a lower index, and a read after the old index would wait in vain.
+          afterIndex: this.#consecutiveFailures > 0 ? 0 : this.#index,
           waitMs,
           signal: this.#abort.signal,
         }),
       );
       metrics.count('configuration_reads_total', { outcome: 'answered' });
-      this.#answeredAtMs = clock.nowMs();
-      // The service's own index, also when it is lower than before: a watch
-      // beyond what the service has would hear of no change until it timed out.
+      this.#lastAnswerAtMs = clock.nowMs();
+      // Follows the service's index even when it is lower than before: a read after
+      // an index that the service hasn't reached reports no change until it times out.
       this.#index = snapshot.index;
       onSnapshot(snapshot);
-      this.#noteAnswer();
+      this.#recordSuccess();
     } catch (error) {
-      if (!this.#abort.signal.aborted) this.#noteFailure(error);
+      if (!this.#abort.signal.aborted) this.#recordFailure(error);
     }
   }
 
-  #noteAnswer(): void {
-    if (this.#failures > 0) {
+  #recordSuccess(): void {
+    if (this.#consecutiveFailures > 0) {
       this.#options.log.write(LogLevel.Info, 'configuration_service_back', { index: this.#index });
     }
-    this.#failures = 0;
+    this.#consecutiveFailures = 0;
   }
 
-  #noteFailure(error: unknown): void {
+  #recordFailure(error: unknown): void {
     const { log, metrics } = this.#options;
-    this.#failures += 1;
+    this.#consecutiveFailures += 1;
     metrics.count('configuration_reads_total', { outcome: 'failed' });
-    const level = this.#failures === 1 ? LogLevel.Warn : LogLevel.Debug;
+    const level = this.#consecutiveFailures === 1 ? LogLevel.Warn : LogLevel.Debug;
     log.write(level, 'configuration_service_unreachable', {
-      failures: this.#failures,
+      failures: this.#consecutiveFailures,
       reason: formatReason(error),
     });
   }
 
   /**
-   * A service that is down, or answers every watch at once, would otherwise be
-   * read in a tight loop by every entry host, and all of them share its two
-   * thousand reads a second.
+   * Computes the delay before the next read. Without it every entry host would read
+   * in a tight loop when the service is down or answers every read at once, and all
+   * entry hosts share the service's capacity of two thousand reads per second.
    */
-  #computePauseMs(startedAtMs: number): number {
-    if (this.#failures > 0) {
-      return Math.min(LONGEST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** (this.#failures - 1));
+  #computeDelayMs(startedAtMs: number): number {
+    if (this.#consecutiveFailures > 0) {
+      return Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** (this.#consecutiveFailures - 1));
     }
-    return startedAtMs + READ_INTERVAL_MS - this.#options.clock.nowMs();
+    return startedAtMs + MIN_READ_INTERVAL_MS - this.#options.clock.nowMs();
   }
 
-  #wait(delayMs: number): Promise<void> {
+  #delay(delayMs: number): Promise<void> {
     if (delayMs <= 0 || this.#abort.signal.aborted) return Promise.resolve();
     return new Promise((resolve) => {
       const timer = this.#options.clock.setTimer(delayMs, resolve);
-      this.#endWait = () => {
+      this.#endDelay = () => {
         timer.cancel();
         resolve();
       };
--- a/src/application/membership/_peer_directory.ts
+++ b/src/application/membership/_peer_directory.ts
@@ -1,5 +1,5 @@
 /**
- * Joins links, heartbeats and the host list to one view of the entry hosts.
+ * Combines links, heartbeats and the host list into one view of the entry hosts.
  *
  * @module
  */
@@ -21,15 +21,18 @@
   PeerReport,
 } from '../../domain/membership/mod.js';
 
-/** What the directory needs. */
+/** Options of {@link PeerDirectory}. */
 export interface PeerDirectoryOptions {
   readonly self: EntryHostIdentity;
+  /** Peers to keep links to, whether or not the host list contains them. */
   readonly seedPeerUrls: readonly string[];
+  /** Silence after which a peer is suspected, in milliseconds. */
   readonly suspectAfterMs: number;
+  /** Silence after which an unlisted peer is removed, in milliseconds. */
   readonly forgetAfterMs: number;
 }
 
-/** Keeps who is there; time comes in as an argument. */
+/** Keeps the known entry hosts and their states. Callers pass the current time in. */
 export class PeerDirectory {
   readonly #options: PeerDirectoryOptions;
 
@@ -37,104 +40,115 @@
 
   readonly #reports = new PeerReports();
 
-  readonly #picks = new Map<string, EntryHostIdentity>();
+  readonly #responsibleByKey = new Map<string, EntryHostIdentity>();
 
-  #listed: ReadonlyMap<string, ListedHost> = new Map();
+  #listedHosts: ReadonlyMap<string, ListedHost> = new Map();
 
   #states: ReadonlyMap<string, PeerState> = new Map();
 
   #isSelfStopping = false;
 
-  /** @param options - what the directory needs */
+  /** @param options - this entry host's identity, seed peers and timeouts */
   constructor(options: PeerDirectoryOptions) {
     this.#options = options;
     this.#table = new EntryHostTable(options);
     this.updateStates(0);
   }
 
-  /** Whether this process was told to stop. */
+  /** Whether this process is stopping. */
   get isSelfStopping(): boolean {
     return this.#isSelfStopping;
   }
 
-  /** Takes note that this process was told to stop. */
+  /** Records that this process is stopping. */
   setSelfStopping(): void {
     this.#isSelfStopping = true;
   }
 
-  /** @param list - the host list in force */
+  /** Replaces the host list. @param list - the newest accepted list */
   applyHostList(list: HostList): void {
     const entryHosts = list.hosts.filter((host) => host.role === HostRole.EntryHost);
-    this.#listed = new Map(entryHosts.map((host) => [host.id, host]));
+    this.#listedHosts = new Map(entryHosts.map((host) => [host.id, host]));
   }
 
-  /** @param identity - who came up. @param nowMs - monotonic time. @returns what became of it */
+  /** Adds a peer. @param identity - the peer. @param nowMs - monotonic time. @returns the outcome */
   addPeer(identity: EntryHostIdentity, nowMs: number): AddedIncarnation {
-    const listIndex = this.#listed.get(identity.id)?.modifyIndex ?? 0;
+    const listIndex = this.#listedHosts.get(identity.id)?.modifyIndex ?? 0;
     const added = this.#table.addIncarnation(identity, nowMs, listIndex);
     if (added.replaced) this.#reports.remove(added.replaced.incarnation);
     return added;
   }
 
-  /** @param incarnation - who said something. @param nowMs - monotonic time */
-  noteHeard(incarnation: string, nowMs: number): void {
+  /** Records a message from a peer. @param incarnation - the peer. @param nowMs - monotonic time */
+  recordContact(incarnation: string, nowMs: number): void {
     this.#table.noteHeard(incarnation, nowMs);
   }
 
-  /** @param incarnation - who answered. @param askedAtMs - when the question was sent */
-  noteReply(incarnation: string, askedAtMs: number): void {
-    this.#table.noteReply(incarnation, askedAtMs);
+  /**
+   * Records a reply to a heartbeat.
+   *
+   * @param incarnation - the peer that replied
+   * @param requestedAtMs - when the heartbeat was sent
+   */
+  recordReply(incarnation: string, requestedAtMs: number): void {
+    this.#table.noteReply(incarnation, requestedAtMs);
   }
 
-  /** @param nowMs - when this process woke from a pause */
-  noteWake(nowMs: number): void {
+  /** Records the end of a pause of this process. @param nowMs - monotonic time */
+  recordWake(nowMs: number): void {
     this.#table.noteWake(
       nowMs,
       (incarnation) => this.#states.get(incarnation) !== PeerState.Suspected,
     );
   }
 
-  /** @param incarnation - whose word. @returns its newest word */
+  /** @param incarnation - the reporting peer. @returns the peer's newest report */
   findReport(incarnation: string): PeerReport | undefined {
     return this.#reports.find(incarnation);
   }
 
-  /** @param incarnation - whose word. @param report - the word. @returns whether it is newer */
+  /**
+   * Stores a peer's report unless a newer one is stored already.
+   *
+   * @param incarnation - the reporting peer
+   * @param report - the report
+   * @returns whether the report is newer than the stored one
+   */
   mergeReport(incarnation: string, report: PeerReport): boolean {
     return this.#reports.merge(incarnation, report);
   }
 
   /**
-   * Judges everybody anew.
+   * Recomputes the state of every entry host and removes expired peers.
    *
    * @param nowMs - monotonic time
-   * @returns whether anybody came, went or changed state
+   * @returns whether an entry host was added, was removed or changed its state
    */
   updateStates(nowMs: number): boolean {
-    const forgotten = this.#table.prune(nowMs, (id) => this.#listed.has(id));
-    forgotten.forEach(({ incarnation }) => this.#reports.remove(incarnation));
+    const removed = this.#table.prune(nowMs, (id) => this.#listedHosts.has(id));
+    removed.forEach(({ incarnation }) => this.#reports.remove(incarnation));
     const { self } = this.#options;
     const next = new Map<string, PeerState>([[self.incarnation, this.#getSelfState()]]);
     this.#table.list().forEach((record) => {
-      const state = this.#table.getState(record, this.#findClaimed(record), nowMs);
+      const state = this.#table.getState(record, this.#getReportedState(record), nowMs);
       next.set(record.identity.incarnation, state);
     });
-    const isSame =
+    const isUnchanged =
       next.size === this.#states.size &&
       [...next].every(([incarnation, state]) => this.#states.get(incarnation) === state);
-    if (isSame) return false;
+    if (isUnchanged) return false;
     this.#states = next;
-    this.#picks.clear();
+    this.#responsibleByKey.clear();
     return true;
   }
 
-  /** @param incarnation - which one. @returns its state as last judged */
+  /** @param incarnation - which incarnation. @returns its state as last computed */
   getState(incarnation: string): PeerState | undefined {
     return this.#states.get(incarnation);
   }
 
-  /** @param incarnation - which one. @param nowMs - monotonic time. @returns its view */
-  findIncarnation(incarnation: string, nowMs: number): EntryHostView | undefined {
+  /** @param incarnation - which incarnation. @param nowMs - monotonic time. @returns its view */
+  findView(incarnation: string, nowMs: number): EntryHostView | undefined {
     const { self } = this.#options;
     if (incarnation === self.incarnation) return this.#buildSelfView();
     const record = this.#table.find(incarnation);
@@ -147,16 +161,16 @@
     return [this.#buildSelfView(), ...peers];
   }
 
-  /** @returns IDs that the host list has or that are known without it, this one's too, sorted */
-  listIds(): readonly string[] {
+  /** @returns sorted IDs of listed and other known entry hosts, including this one */
+  listKnownIds(): readonly string[] {
     const known = this.#table.list().map(({ identity }) => identity.id);
-    return [...new Set([this.#options.self.id, ...this.#listed.keys(), ...known])].sort();
+    return [...new Set([this.#options.self.id, ...this.#listedHosts.keys(), ...known])].sort();
   }
 
-  /** @returns peer URLs to keep links to */
+  /** @returns sorted URLs of the peers to keep links to, without this entry host */
   listPeerUrls(): readonly string[] {
     const { self, seedPeerUrls } = this.#options;
-    const listed = [...this.#listed.values()].filter(({ id }) => id !== self.id);
+    const listed = [...this.#listedHosts.values()].filter(({ id }) => id !== self.id);
     const known = this.#table.list().map(({ identity }) => identity.peerUrl);
     const urls = new Set([
       ...seedPeerUrls,
@@ -167,10 +181,10 @@
     return [...urls].sort();
   }
 
-  /** @param key - the key. @returns who is responsible for it */
+  /** @param key - the key. @returns the live entry host that is responsible for it */
   pickResponsible(key: string): EntryHostIdentity {
-    const known = this.#picks.get(key);
-    if (known) return known;
+    const cached = this.#responsibleByKey.get(key);
+    if (cached) return cached;
     const live = [...this.#states].filter(([, state]) => state === PeerState.Live);
     const picked = pickByRendezvous(
       key,
@@ -178,19 +192,23 @@
     );
     const record = picked === undefined ? undefined : this.#table.find(picked);
     const responsible = record?.identity ?? this.#options.self;
-    this.#picks.set(key, responsible);
+    this.#responsibleByKey.set(key, responsible);
     return responsible;
   }
 
   #getSelfState(): PeerState {
-    const isListedLeaving = this.#listed.get(this.#options.self.id)?.state === HostState.Leaving;
+    const isListedLeaving =
+      this.#listedHosts.get(this.#options.self.id)?.state === HostState.Leaving;
     return this.#isSelfStopping || isListedLeaving ? PeerState.Leaving : PeerState.Live;
   }
 
-  /** The list's word about an earlier incarnation does not hold for its successor. */
-  #findClaimed({ identity, staleListIndex }: EntryHostRecord): PeerState {
+  /**
+   * Derives a peer's state from its report and the host list. A list entry that was
+   * written before this incarnation appeared refers to an earlier one and is ignored.
+   */
+  #getReportedState({ identity, staleListIndex }: EntryHostRecord): PeerState {
     const report = this.#reports.find(identity.incarnation);
-    const listed = this.#listed.get(identity.id);
+    const listed = this.#listedHosts.get(identity.id);
     const isListedLeaving =
       listed?.state === HostState.Leaving && listed.modifyIndex > staleListIndex;
     if (report?.leaving || isListedLeaving) return PeerState.Leaving;
--- a/src/application/membership/membership_keeper.ts
+++ b/src/application/membership/membership_keeper.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps this entry host's view of the others and of itself.
+ * Keeps this entry host's view of all entry hosts, itself included.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 import { PeerMessageType } from '../../ports/mod.js';
 import type { HeartbeatMessage, HeartbeatReplyMessage, LinkEvent, Timer } from '../../ports/mod.js';
 import { MembershipView } from '../views/mod.js';
-import { Freshness } from './_freshness.js';
+import { FreshnessTracker } from './_freshness.js';
 import { HeartbeatExchange } from './_heartbeat_exchange.js';
 import type { HeartbeatContent } from './_heartbeat_exchange.js';
 import { HostListWatch } from './_host_list_watch.js';
 import { PeerDirectory } from './_peer_directory.js';
-import { SilentLinks } from './_silent_links.js';
+import { SilentLinkReplacer } from './_silent_links.js';
 import type {
   GroupLoadsHandler,
   MembershipKeeperOptions,
@@ -22,11 +22,12 @@
 } from './membership_keeper_options.js';
 
 /**
- * Silence after which an unlisted peer is forgotten. Its requests are answered
- * `owner_gone` from then on; the default life of a request ID is shorter.
+ * Silence after which an unlisted peer is removed. Its requests are answered
+ * `owner_gone` from then on; the default lifetime of a request ID is shorter.
  */
 const FORGET_AFTER_MS = 3_600_000;
-/** Keeps the view by the host list and by heartbeats, each of which does without the other. */
+
+/** Maintains the view from the host list and from heartbeats; either of them suffices alone. */
 export class MembershipKeeper extends MembershipView {
   override readonly self: EntryHostIdentity;
 
@@ -34,41 +35,44 @@
 
   readonly #directory: PeerDirectory;
 
-  readonly #leaving = new LeavingBackendServers();
+  readonly #leavingServers = new LeavingBackendServers();
 
-  readonly #exchange: HeartbeatExchange;
+  readonly #heartbeats: HeartbeatExchange;
 
-  readonly #watch: HostListWatch;
+  readonly #hostListWatch: HostListWatch;
 
-  readonly #freshness: Freshness;
+  readonly #freshness: FreshnessTracker;
 
-  readonly #silentLinks: SilentLinks;
+  readonly #silentLinkReplacer: SilentLinkReplacer;
 
   readonly #changeHandlers: (() => void)[] = [];
 
   readonly #configurationHandlers: PeerConfigurationHandler[] = [];
 
-  readonly #loadHandlers: GroupLoadsHandler[] = [];
+  readonly #groupLoadHandlers: GroupLoadsHandler[] = [];
 
-  #leavingIds = '';
+  #lastLeavingIds = '';
 
   #timer: Timer | undefined;
 
   #isRunning = false;
 
-  /** @param options - what the keeper needs */
+  /** @param options - dependencies and times */
   constructor(options: MembershipKeeperOptions) {
     super();
     this.#options = options;
     this.self = options.self;
     this.#directory = new PeerDirectory({ ...options, forgetAfterMs: FORGET_AFTER_MS });
-    this.#exchange = new HeartbeatExchange(options);
-    this.#watch = new HostListWatch({
+    this.#heartbeats = new HeartbeatExchange(options);
+    this.#hostListWatch = new HostListWatch({
       ...options,
       onList: (list, begunAtMs) => this.#handleHostList(list, begunAtMs),
     });
-    this.#freshness = new Freshness({ ...options, onWake: (nowMs) => this.#handleWake(nowMs) });
-    this.#silentLinks = new SilentLinks({
+    this.#freshness = new FreshnessTracker({
+      ...options,
+      onResume: (nowMs) => this.#handleResume(nowMs),
+    });
+    this.#silentLinkReplacer = new SilentLinkReplacer({
       ...options,
       isSilent: (incarnation) => this.#directory.getState(incarnation) === PeerState.Suspected,
     });
@@ -81,57 +85,57 @@
     );
   }
 
-  /** Begins to watch the host list and to send heartbeats. */
+  /** Starts to watch the host list and to send heartbeats. */
   start(): void {
     this.#isRunning = true;
     this.#freshness.start();
     this.#options.peers.listLinked().forEach((peer) => this.#addPeer(peer));
     this.#updateAddresses();
-    this.#watch.run().catch((error: unknown) => {
+    this.#hostListWatch.run().catch((error: unknown) => {
       this.#options.log.write(LogLevel.Error, 'host_list_watch_failed', { reason: String(error) });
     });
     this.#handleTick();
   }
 
-  /** Ends the watch and the heartbeats. The links stay; whoever made them closes them. */
+  /** Stops the watch and the heartbeats. The owner of the peer network closes the links. */
   stop(): void {
     this.#isRunning = false;
-    this.#watch.stop();
+    this.#hostListWatch.stop();
     this.#timer?.cancel();
     this.#freshness.stop();
   }
 
-  /** Takes note that this process was told to stop, and tells all peers at once. */
+  /** Records that this process is stopping, and notifies all peers at once. */
   setStopping(): void {
     if (this.#directory.isSelfStopping) return;
     this.#directory.setSelfStopping();
     this.#sendHeartbeats();
-    this.#update();
+    this.#updateStates();
   }
 
   /**
-   * Takes a load report or refusal that says that a backend server leaves; tells
-   * all peers at once.
+   * Records that a backend server is leaving, as it said in a load report or a
+   * refusal, and notifies all peers at once.
    *
-   * @param backendServerId - which one
+   * @param backendServerId - ID of the backend server
    */
   noteBackendServerLeaving(backendServerId: string): void {
-    if (!this.#leaving.noteOwn(backendServerId, this.#options.clock.nowMs())) return;
+    if (!this.#leavingServers.noteOwn(backendServerId, this.#options.clock.nowMs())) return;
     this.#options.log.write(LogLevel.Info, 'backend_server_leaving', {
       backendServer: backendServerId,
     });
     this.#sendHeartbeats();
-    this.#update();
+    this.#updateStates();
   }
 
-  /** @param handler - called with each heartbeat's configuration revision and hash */
+  /** @param handler - called with the configuration revision and hash of each heartbeat */
   onPeerConfiguration(handler: PeerConfigurationHandler): void {
     this.#configurationHandlers.push(handler);
   }
 
-  /** @param handler - called with each heartbeat's group loads */
+  /** @param handler - called with the group loads of each heartbeat */
   onGroupLoads(handler: GroupLoadsHandler): void {
-    this.#loadHandlers.push(handler);
+    this.#groupLoadHandlers.push(handler);
   }
 
   override onChange(handler: () => void): void {
@@ -143,11 +147,11 @@
   }
 
   override listListedIds(): readonly string[] {
-    return this.#directory.listIds();
+    return this.#directory.listKnownIds();
   }
 
   override findIncarnation(incarnation: string): EntryHostView | undefined {
-    return this.#directory.findIncarnation(incarnation, this.#options.clock.nowMs());
+    return this.#directory.findView(incarnation, this.#options.clock.nowMs());
   }
 
   override findEntryHost(id: string): EntryHostView | undefined {
@@ -159,12 +163,12 @@
   }
 
   override isBackendServerLeaving(backendServerId: string): boolean {
-    return this.#leaving.isLeaving(backendServerId);
+    return this.#leavingServers.isLeaving(backendServerId);
   }
 
-  /** @returns backend servers that anybody within reach knows to leave, sorted */
+  /** @returns sorted IDs of backend servers that any reachable entry host reports as leaving */
   listLeavingBackendServers(): readonly string[] {
-    return this.#leaving.listLeaving();
+    return this.#leavingServers.listLeaving();
   }
 
   override isFresh(): boolean {
@@ -179,67 +183,68 @@
     if (!this.#isRunning) return;
     this.#timer = this.#options.clock.setTimer(this.#options.heartbeatMs, () => this.#handleTick());
     if (!this.#freshness.detectPause()) this.#sendHeartbeats();
-    this.#update();
-    this.#silentLinks.replaceAll();
+    this.#updateStates();
+    this.#silentLinkReplacer.replaceSilentLinks();
   }
 
   /**
-   * After a pause every question that is still open was asked before it, so its
-   * answer tells of the time before: heartbeats and the list read start anew.
+   * Sends new heartbeats and restarts the read of the host list after a pause. Requests
+   * that were sent before the pause can't confirm the view: their answers may be as old
+   * as the requests.
    */
-  #handleWake(nowMs: number): void {
-    this.#directory.noteWake(nowMs);
+  #handleResume(nowMs: number): void {
+    this.#directory.recordWake(nowMs);
     if (!this.#isRunning) return;
-    this.#watch.restart();
+    this.#hostListWatch.restart();
     this.#sendHeartbeats();
   }
 
-  #handleHostList(list: HostList, begunAtMs: number): void {
+  #handleHostList(list: HostList, readStartedAtMs: number): void {
     const nowMs = this.#options.clock.nowMs();
-    const toldBefore = this.#leaving.listKnownAtFirstHand().join();
+    const idsBefore = this.#leavingServers.listKnownAtFirstHand().join();
     this.#directory.applyHostList(list);
-    this.#leaving.applyHostList(list, nowMs);
-    this.#freshness.acceptRefresh(begunAtMs);
+    this.#leavingServers.applyHostList(list, nowMs);
+    this.#freshness.acceptRefresh(readStartedAtMs);
     this.#updateAddresses();
-    if (this.#leaving.listKnownAtFirstHand().join() !== toldBefore) this.#sendHeartbeats();
-    this.#update();
+    if (this.#leavingServers.listKnownAtFirstHand().join() !== idsBefore) this.#sendHeartbeats();
+    this.#updateStates();
   }
 
   #handleLink({ peer, up }: LinkEvent): void {
     if (!this.#isRunning) return;
     if (up && this.#addPeer(peer)) {
-      this.#exchange.sendTo(peer.incarnation, this.#buildContent());
+      this.#heartbeats.sendTo(peer.incarnation, this.#buildContent());
     }
-    this.#update();
+    this.#updateStates();
   }
 
   #handleHeartbeat(from: EntryHostIdentity, message: HeartbeatMessage): void {
     if (!this.#isRunning || !this.#addPeer(from)) return;
     const nowMs = this.#options.clock.nowMs();
     const { incarnation } = from;
-    this.#directory.noteHeard(incarnation, nowMs);
-    this.#exchange.sendReply(incarnation, message);
-    const before = this.#directory.findReport(incarnation);
-    // A heartbeat that was overtaken on another link must not take back newer word.
+    this.#directory.recordContact(incarnation, nowMs);
+    this.#heartbeats.sendReply(incarnation, message);
+    const previousReport = this.#directory.findReport(incarnation);
+    // A heartbeat that a newer one has overtaken on another link must not replace it.
     if (!this.#directory.mergeReport(incarnation, message)) return;
-    this.#leaving.applyClaims(incarnation, message.leavingBackendServers, nowMs);
-    if (!hasSameWord(before, message)) this.#update();
+    this.#leavingServers.applyClaims(incarnation, message.leavingBackendServers, nowMs);
+    if (!hasSameWord(previousReport, message)) this.#updateStates();
     const { configurationRevision, configurationHash, groups } = message;
     this.#configurationHandlers.forEach((handler) =>
       handler(incarnation, configurationRevision, configurationHash),
     );
-    this.#loadHandlers.forEach((handler) => handler(incarnation, groups));
+    this.#groupLoadHandlers.forEach((handler) => handler(incarnation, groups));
   }
 
   #handleReply({ incarnation }: EntryHostIdentity, message: HeartbeatReplyMessage): void {
-    // The pause must be seen before a reply that waited in a buffer all through it.
+    // A reply may have waited in a buffer during a pause, so the pause is detected first.
     this.#freshness.detectPause();
-    const sentAtMs = this.#exchange.findSentAt(message);
-    if (sentAtMs === undefined) return;
-    this.#directory.noteHeard(incarnation, this.#options.clock.nowMs());
-    this.#directory.noteReply(incarnation, sentAtMs);
-    this.#freshness.acceptRefresh(sentAtMs);
-    if (this.#directory.getState(incarnation) === PeerState.Suspected) this.#update();
+    const heartbeatSentAtMs = this.#heartbeats.matchReply(message);
+    if (heartbeatSentAtMs === undefined) return;
+    this.#directory.recordContact(incarnation, this.#options.clock.nowMs());
+    this.#directory.recordReply(incarnation, heartbeatSentAtMs);
+    this.#freshness.acceptRefresh(heartbeatSentAtMs);
+    if (this.#directory.getState(incarnation) === PeerState.Suspected) this.#updateStates();
   }
 
   #addPeer(identity: EntryHostIdentity): boolean {
@@ -254,15 +259,15 @@
       peerUrl,
       replaced: replaced?.incarnation,
     });
-    // The old incarnation's link may hang half open without ever being closed.
+    // The link to the old incarnation may be half-open and never be closed.
     if (replaced) this.#options.peers.replaceLink(replaced.incarnation);
     this.#updateAddresses();
-    this.#update();
+    this.#updateStates();
     return true;
   }
 
   #sendHeartbeats(): void {
-    if (this.#isRunning) this.#exchange.sendToAll(this.#buildContent());
+    if (this.#isRunning) this.#heartbeats.sendToAll(this.#buildContent());
   }
 
   #buildContent(): HeartbeatContent {
@@ -272,7 +277,7 @@
       leaving: this.#directory.isSelfStopping,
       configurationRevision: revision,
       configurationHash: hash,
-      leavingBackendServers: this.#leaving.listKnownAtFirstHand(),
+      leavingBackendServers: this.#leavingServers.listKnownAtFirstHand(),
       groups: this.#options.listGroupLoads(),
     };
   }
@@ -281,11 +286,11 @@
     this.#options.peers.setAddresses(this.#directory.listPeerUrls());
   }
 
-  #update(): void {
+  #updateStates(): void {
     const isChanged = this.#directory.updateStates(this.#options.clock.nowMs());
-    const leavingIds = this.#leaving.listLeaving().join();
-    if (!isChanged && leavingIds === this.#leavingIds) return;
-    this.#leavingIds = leavingIds;
+    const leavingIds = this.#leavingServers.listLeaving().join();
+    if (!isChanged && leavingIds === this.#lastLeavingIds) return;
+    this.#lastLeavingIds = leavingIds;
     this.#changeHandlers.forEach((handler) => handler());
   }
 }
--- a/src/application/membership/mod.ts
+++ b/src/application/membership/mod.ts
@@ -1,13 +1,14 @@
 /**
- * Membership of entry hosts: who is there, who leaves, and whether this process
- * may trust what it knows. `const membership = new MembershipKeeper({...});
- * membership.start();`, then read it as a `MembershipView`.
+ * Tracks the membership of entry hosts: which ones are known, which ones are leaving,
+ * and whether this process may act on its view. After
+ * `const membership = new MembershipTracker({...}); membership.start();` the tracker is
+ * read as a `MembershipView`.
  *
  * @module
  */
 export { MembershipKeeper } from './membership_keeper.js';
 export type {
-  ConfigurationMark,
+  ConfigurationVersion,
   GroupLoadsHandler,
   MembershipKeeperOptions,
   PeerConfigurationHandler,
