--- a/src/application/allowances/_account_limiter.ts
+++ b/src/application/allowances/_account_limiter.ts
@@ -1,5 +1,5 @@
 /**
- * One account's limits on this entry host.
+ * Enforces the limits of one client account on this entry host.
  *
  * @module
  */
@@ -10,31 +10,31 @@
 import type { Admission } from '../views/mod.js';
 import { DemandMeter } from './_demand_meter.js';
 
-/** A bucket gathers what its rate gives in this time. */
+/** A token bucket holds at most what its rate supplies in this time. */
 const BURST_SECONDS = 1;
 
 const MIN_RETRY_AFTER_MS = 50;
 const MAX_RETRY_AFTER_MS = 60_000;
 
-/** Advice before any request of the account has ended. */
-const DEFAULT_IN_FLIGHT_RETRY_MS = 1000;
+/** Assumed mean duration of a request until the first request of the account has ended. */
+const INITIAL_MEAN_DURATION_MS = 1000;
 
-/** Weight of the newest request in the mean time in flight. */
-const MEAN_WEIGHT = 0.2;
+/** Weight of the newest request in the moving average of request durations. */
+const NEWEST_DURATION_WEIGHT = 0.2;
 
-function computeCapacity(rate: number): number {
+function computeBurstCapacity(rate: number): number {
   return Math.max(1, rate * BURST_SECONDS);
 }
 
-function computeAdvice(waitMs: number): number {
+function clampRetryAfterMs(waitMs: number): number {
   return Math.ceil(Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, waitMs)));
 }
 
-/** Buckets, count in flight, held lease and measured demand of one account. */
+/** Combines token buckets, the in-flight count, leases and measured demand of one account. */
 export class AccountLimiter {
   readonly meter: DemandMeter;
 
-  readonly #holder = new LeaseHolder();
+  readonly #leaseHolder = new LeaseHolder();
 
   readonly #requests: TokenBucket;
 
@@ -42,168 +42,170 @@
 
   #account: AccountContract;
 
-  #base: AllowanceShare;
+  #baseShare: AllowanceShare;
 
   #share: AllowanceShare;
 
-  /** When each request in flight started, oldest first. */
-  readonly #startedAtMs = new Map<Admission, number>();
+  /** Start times of the requests in flight, oldest first. */
+  readonly #startTimesMs = new Map<Admission, number>();
 
-  #meanRunMs = DEFAULT_IN_FLIGHT_RETRY_MS;
+  #meanDurationMs = INITIAL_MEAN_DURATION_MS;
 
   #updatedAtMs: number;
 
   /**
-   * @param account - whose limits
-   * @param base - the share that holds without a lease
+   * @param account - contract of the account, with its limits
+   * @param base - share of the limits that applies without a lease
    * @param nowMs - monotonic time in milliseconds
    */
   constructor(account: AccountContract, base: AllowanceShare, nowMs: number) {
     this.#account = account;
-    this.#base = base;
+    this.#baseShare = base;
     this.#share = base;
     this.#updatedAtMs = nowMs;
     this.meter = new DemandMeter(nowMs);
-    this.#requests = this.#openBucket(base.requestsPerSecond, nowMs);
-    this.#tokens = this.#openBucket(base.tokensPerSecond, nowMs);
+    this.#requests = this.#createBucket(base.requestsPerSecond, nowMs);
+    this.#tokens = this.#createBucket(base.tokensPerSecond, nowMs);
   }
 
-  /** The contract that the limiter goes by. */
+  /** The contract whose limits are enforced. */
   get account(): AccountContract {
     return this.#account;
   }
 
-  /** Requests in flight. */
+  /** Number of requests in flight. */
   get running(): number {
-    return this.#startedAtMs.size;
+    return this.#startTimesMs.size;
   }
 
-  /** Whether anything was asked since the last request for a lease, or is in flight. */
+  /** Whether a request is in flight or was attempted since the last lease request. */
   get isActive(): boolean {
-    return this.running > 0 || this.meter.attempts > 0;
+    return this.running > 0 || this.meter.attemptCount > 0;
   }
 
-  /** The share in force at the last update. */
+  /** The share of the limits that was in effect at the last update. */
   get share(): AllowanceShare {
     return this.#share;
   }
 
-  /** Takes over a changed contract or base share. */
-  setBase(account: AccountContract, base: AllowanceShare, nowMs: number): void {
+  /** Applies a changed contract or base share. */
+  setLimits(account: AccountContract, base: AllowanceShare, nowMs: number): void {
     this.update(nowMs);
     this.#account = account;
-    this.#base = base;
+    this.#baseShare = base;
     this.#applyShare(nowMs);
   }
 
-  /** Brings the share up to date, through every moment at which it changed. */
+  /** Updates the share and applies each change since the last update at its own time. */
   update(nowMs: number): void {
-    this.#holder.listChanges(this.#updatedAtMs, nowMs).forEach((atMs) => this.#applyShare(atMs));
+    this.#leaseHolder
+      .listChanges(this.#updatedAtMs, nowMs)
+      .forEach((atMs) => this.#applyShare(atMs));
     this.#updatedAtMs = nowMs;
   }
 
-  /** Notes a request for a lease. */
-  noteRequest(requestNumber: number, nowMs: number): void {
-    this.#holder.noteRequest(requestNumber, nowMs);
+  /** Records that a lease was requested. */
+  recordLeaseRequest(requestNumber: number, nowMs: number): void {
+    this.#leaseHolder.noteRequest(requestNumber, nowMs);
   }
 
-  /** @returns number of the lease held of a home; 0: none */
-  getHeldNumber(home: string): number {
-    return this.#holder.getHeldNumber(home);
+  /** @returns number of the lease held from a lender's incarnation; 0 without a lease */
+  getLeaseNumber(home: string): number {
+    return this.#leaseHolder.getHeldNumber(home);
   }
 
-  /** Takes a lease. @returns false for an old one */
+  /** Applies a received lease. @returns false when the lease is outdated */
   acceptLease(lease: ReceivedLease, nowMs: number): boolean {
     this.update(nowMs);
-    if (!this.#holder.accept(lease, nowMs)) return false;
+    if (!this.#leaseHolder.accept(lease, nowMs)) return false;
     this.#applyShare(nowMs);
     return true;
   }
 
   /**
-   * Admits one request.
+   * Admits one request if every limit allows it.
    *
-   * @param expectedTokens - predicted tokens
+   * @param expectedTokens - predicted tokens of the request
    * @param getNowMs - reads the monotonic time in milliseconds
-   * @returns the admission
+   * @returns the admission, to be released when the request ends
    * @throws SchedulerError when a limit is reached
    */
   admit(expectedTokens: number, getNowMs: () => number): Admission {
     const startedAtMs = getNowMs();
     this.update(startedAtMs);
-    this.meter.noteAttempt(expectedTokens, this.running);
+    this.meter.recordAttempt(expectedTokens, this.running);
     try {
-      this.#check(expectedTokens, startedAtMs);
+      this.#checkLimits(expectedTokens, startedAtMs);
     } catch (error) {
-      this.meter.noteRefusal(this.running);
+      this.meter.recordRefusal(this.running);
       throw error;
     }
     this.#requests.take(1, startedAtMs);
     this.#tokens.take(expectedTokens, startedAtMs);
     const admission: Admission = {
       release: (usedTokens) => {
-        // A second release would count a request twice.
-        if (!this.#startedAtMs.delete(admission)) return;
+        // Ignores a second release, which would settle the same request twice.
+        if (!this.#startTimesMs.delete(admission)) return;
         this.#release(expectedTokens - usedTokens, startedAtMs, getNowMs());
       },
     };
-    this.#startedAtMs.set(admission, startedAtMs);
+    this.#startTimesMs.set(admission, startedAtMs);
     return admission;
   }
 
-  /** @returns whether the limiter holds nothing that a new one would not have */
+  /** @returns whether the limiter can be dropped: a new limiter would have the same state */
   isIdle(nowMs: number): boolean {
     this.update(nowMs);
     return (
       this.running === 0 &&
-      this.meter.attempts === 0 &&
-      !this.#holder.isHolding(nowMs) &&
+      this.meter.attemptCount === 0 &&
+      !this.#leaseHolder.isHolding(nowMs) &&
       this.#requests.isFull(nowMs) &&
       this.#tokens.isFull(nowMs)
     );
   }
 
-  #openBucket(rate: number, nowMs: number): TokenBucket {
-    return new TokenBucket({ rate, capacity: computeCapacity(rate), nowMs });
+  #createBucket(rate: number, nowMs: number): TokenBucket {
+    return new TokenBucket({ rate, capacity: computeBurstCapacity(rate), nowMs });
   }
 
-  #check(expectedTokens: number, nowMs: number): void {
+  #checkLimits(expectedTokens: number, nowMs: number): void {
     if (this.running >= this.#share.inFlight)
-      throw this.#refuse(ErrorKind.InFlightLimited, this.#computeRoomWaitMs(nowMs));
+      throw this.#buildRefusal(ErrorKind.InFlightLimited, this.#estimateInFlightWaitMs(nowMs));
     const requestsWaitMs = this.#requests.computeWaitMs(1, nowMs);
-    if (requestsWaitMs > 0) throw this.#refuse(ErrorKind.RateLimited, requestsWaitMs);
+    if (requestsWaitMs > 0) throw this.#buildRefusal(ErrorKind.RateLimited, requestsWaitMs);
     const tokensWaitMs = this.#tokens.computeWaitMs(expectedTokens, nowMs);
-    if (tokensWaitMs > 0) throw this.#refuse(ErrorKind.TokensLimited, tokensWaitMs);
+    if (tokensWaitMs > 0) throw this.#buildRefusal(ErrorKind.TokensLimited, tokensWaitMs);
   }
 
-  /** Expected time until the oldest request in flight ends. */
-  #computeRoomWaitMs(nowMs: number): number {
-    const [oldestMs = nowMs] = this.#startedAtMs.values();
+  /** Estimates the time until the oldest request in flight ends. */
+  #estimateInFlightWaitMs(nowMs: number): number {
+    const [oldestMs = nowMs] = this.#startTimesMs.values();
     return Math.max(
-      this.#meanRunMs - (nowMs - oldestMs),
-      this.#meanRunMs / Math.max(1, this.running),
+      this.#meanDurationMs - (nowMs - oldestMs),
+      this.#meanDurationMs / Math.max(1, this.running),
     );
   }
 
-  #refuse(kind: ErrorKind, waitMs: number): SchedulerError {
+  #buildRefusal(kind: ErrorKind, waitMs: number): SchedulerError {
     return new SchedulerError(kind, {
       message: `Cannot admit request of ${this.#account.accountId}: ${kind.replaceAll('_', ' ')}`,
-      retryAfterMs: computeAdvice(waitMs),
+      retryAfterMs: clampRetryAfterMs(waitMs),
     });
   }
 
   #release(unusedTokens: number, startedAtMs: number, nowMs: number): void {
     this.update(nowMs);
     this.#tokens.settle(unusedTokens, nowMs);
-    this.#meanRunMs += MEAN_WEIGHT * (nowMs - startedAtMs - this.#meanRunMs);
+    this.#meanDurationMs += NEWEST_DURATION_WEIGHT * (nowMs - startedAtMs - this.#meanDurationMs);
   }
 
   #applyShare(nowMs: number): void {
     const { limits } = this.#account;
-    const held = this.#holder.computeShare(this.#base, nowMs);
+    const held = this.#leaseHolder.computeShare(this.#baseShare, nowMs);
     this.#share = buildShare((kind) => Math.min(held[kind], limits[kind]));
     const { requestsPerSecond, tokensPerSecond } = this.#share;
-    this.#requests.setRate(requestsPerSecond, computeCapacity(requestsPerSecond), nowMs);
-    this.#tokens.setRate(tokensPerSecond, computeCapacity(tokensPerSecond), nowMs);
+    this.#requests.setRate(requestsPerSecond, computeBurstCapacity(requestsPerSecond), nowMs);
+    this.#tokens.setRate(tokensPerSecond, computeBurstCapacity(tokensPerSecond), nowMs);
   }
 }
--- a/src/application/allowances/_allowance_lender.ts
+++ b/src/application/allowances/_allowance_lender.ts
@@ -1,5 +1,5 @@
 /**
- * The allowance home's work for all accounts that it is the home of.
+ * Lends shares of account limits to other entry hosts, for the accounts assigned to this host.
  *
  * @module
  */
@@ -10,50 +10,50 @@
 import type { AllowanceRequestMessage, Clock, EventLog, Metrics } from '../../ports/mod.js';
 import type { ConfigurationView, MembershipView } from '../views/mod.js';
 
-/** What the lender works with. */
+/** Options of {@link AllowanceLender}. */
 export interface AllowanceLenderOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
   readonly configuration: ConfigurationView;
   readonly membership: MembershipView;
-  /** Life of a lease in milliseconds. */
-  readonly leaseLifeMs: number;
-  /** Delivers a lease, to this entry host itself too. */
+  /** Duration of a lease in milliseconds. */
+  readonly leaseDurationMs: number;
+  /** Delivers a lease to its borrower, which may be this entry host. */
   readonly sendLease: (grant: LedgerGrant, accountId: string) => void;
 }
 
-/** Keeps a ledger for each account that somebody asks a share of. */
+/** Keeps a ledger of granted leases for each account that an entry host requests a share of. */
 export class AllowanceLender {
   readonly #options: AllowanceLenderOptions;
 
   readonly #ledgers = new Map<string, AllowanceLedger>();
 
-  #listedIds: readonly string[];
+  #knownIds: readonly string[];
 
-  #lastLease = 0;
+  #lastLeaseNumber = 0;
 
-  /** Set while leases go out; a confirmation that comes meanwhile asks for one more round. */
+  /** Set while due leases are sent; a confirmation that arrives meanwhile requests another round. */
   #isSending = false;
 
   #isRoundDue = false;
 
-  /** Since when this view of the host list holds, or the process runs. */
-  #listedSinceMs: number;
+  /** When the list of known entry hosts last changed, or when the process started. */
+  #knownIdsChangedAtMs: number;
 
-  /** @param options - what it works with */
+  /** @param options - the lender's dependencies and settings */
   constructor(options: AllowanceLenderOptions) {
     this.#options = options;
-    this.#listedIds = options.membership.listListedIds();
-    this.#listedSinceMs = options.clock.nowMs();
+    this.#knownIds = options.membership.listListedIds();
+    this.#knownIdsChangedAtMs = options.clock.nowMs();
   }
 
-  /** Takes a request of another entry host, or of this one. */
+  /** Handles a lease request from an entry host, which may be this one. */
   handleRequest(from: EntryHostIdentity, message: AllowanceRequestMessage): void {
     const { accountId } = message;
     const context = this.#buildContext(accountId);
-    if (!context || !this.#isHome(accountId)) return;
-    const ledger = this.#openLedger(accountId);
+    if (!context || !this.#isLender(accountId)) return;
+    const ledger = this.#getOrCreateLedger(accountId);
     const { requestNumber, heldLease, running } = message;
     ledger.record(
       {
@@ -67,40 +67,41 @@
       context.nowMs,
     );
     const hasDemand = LIMIT_KINDS.some((kind) => message[kind] > 0);
-    if (requestNumber > 0 && hasDemand) this.#send(ledger.grant(from.id, context), accountId);
-    this.#sendDue(ledger, accountId, context);
+    if (requestNumber > 0 && hasDemand) this.#sendLease(ledger.grant(from.id, context), accountId);
+    this.#sendDueLeases(ledger, accountId, context);
   }
 
   /**
-   * Renews what is due without being asked, drops what is no longer needed and
-   * notes a changed host list.
+   * Sends leases that are due without a request, drops ledgers that are no longer
+   * needed and applies a changed list of known entry hosts.
    */
-  update(listedIds: readonly string[]): void {
-    if (listedIds.join() !== this.#listedIds.join()) {
-      this.#listedIds = listedIds;
-      this.#listedSinceMs = this.#options.clock.nowMs();
+  update(knownIds: readonly string[]): void {
+    if (knownIds.join() !== this.#knownIds.join()) {
+      this.#knownIds = knownIds;
+      this.#knownIdsChangedAtMs = this.#options.clock.nowMs();
     }
     this.#ledgers.forEach((ledger, accountId) => {
       const context = this.#buildContext(accountId);
-      if (!context || !this.#isHome(accountId) || ledger.isIdle(context))
+      if (!context || !this.#isLender(accountId) || ledger.isIdle(context))
         this.#ledgers.delete(accountId);
-      else this.#sendDue(ledger, accountId, context);
+      else this.#sendDueLeases(ledger, accountId, context);
     });
   }
 
-  #isHome(accountId: string): boolean {
-    return pickAllowanceHome(accountId, this.#listedIds) === this.#options.membership.self.id;
+  #isLender(accountId: string): boolean {
+    return pickAllowanceHome(accountId, this.#knownIds) === this.#options.membership.self.id;
   }
 
-  #openLedger(accountId: string): AllowanceLedger {
+  #getOrCreateLedger(accountId: string): AllowanceLedger {
     const known = this.#ledgers.get(accountId);
     if (known) return known;
-    const { leaseLifeMs } = this.#options;
-    // Another home, or this process before its restart, may have leases out.
-    const quietUntilMs = this.#listedSinceMs + leaseLifeMs;
+    const { leaseDurationMs: leaseLifeMs } = this.#options;
+    // An earlier lender, or an earlier incarnation of this one, may have granted leases that
+    // still run.
+    const quietUntilMs = this.#knownIdsChangedAtMs + leaseLifeMs;
     const nextLeaseNumber = (): number => {
-      this.#lastLease += 1;
-      return this.#lastLease;
+      this.#lastLeaseNumber += 1;
+      return this.#lastLeaseNumber;
     };
     const lifeMs = leaseLifeMs;
     const ledger = new AllowanceLedger({ accountId, quietUntilMs, nextLeaseNumber, lifeMs });
@@ -112,37 +113,37 @@
     const { clock, configuration, membership } = this.#options;
     const account = configuration.findAccount(accountId);
     if (!account) return undefined;
-    const heard = membership
+    const reachableHosts = membership
       .listEntryHosts()
       .filter((host) => host.state !== PeerState.Suspected)
       .map(({ identity }): [string, string] => [identity.id, identity.incarnation]);
     return {
       limits: account.limits,
-      listedIds: this.#listedIds,
-      reachable: new Map(heard),
+      listedIds: this.#knownIds,
+      reachable: new Map(reachableHosts),
       maxRunMs: account.longestDeadlineMs,
       nowMs: clock.nowMs(),
     };
   }
 
   /**
-   * Sends leases that nobody asked for. This entry host confirms its own lease
-   * while the loop runs; without the guard that would start the same loop inside.
+   * Sends leases that are due without a request. This entry host confirms its own
+   * lease while the loop runs; the guard keeps that from starting a nested loop.
    */
-  #sendDue(ledger: AllowanceLedger, accountId: string, context: LedgerContext): void {
+  #sendDueLeases(ledger: AllowanceLedger, accountId: string, context: LedgerContext): void {
     this.#isRoundDue = true;
     if (this.#isSending) return;
     this.#isSending = true;
     while (this.#isRoundDue) {
       this.#isRoundDue = false;
       ledger.listDue(context).forEach((entryHostId) => {
-        this.#send(ledger.grant(entryHostId, context), accountId);
+        this.#sendLease(ledger.grant(entryHostId, context), accountId);
       });
     }
     this.#isSending = false;
   }
 
-  #send(grant: LedgerGrant | undefined, accountId: string): void {
+  #sendLease(grant: LedgerGrant | undefined, accountId: string): void {
     if (!grant) return;
     this.#options.metrics.count('allowance_leases_total');
     this.#options.sendLease(grant, accountId);
--- a/src/application/allowances/_demand_meter.ts
+++ b/src/application/allowances/_demand_meter.ts
@@ -1,5 +1,5 @@
 /**
- * Measures what an account asks of this entry host.
+ * Measures the demand of one account on this entry host.
  *
  * @module
  */
@@ -7,15 +7,15 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Counts since the last request for a lease, refused attempts included. */
+/** Counts attempts, including refused ones, since the last lease request. */
 export class DemandMeter {
-  #attempts = 0;
+  #attemptCount = 0;
 
-  #tokens = 0;
+  #tokenCount = 0;
 
-  #mostInFlight = 0;
+  #peakInFlight = 0;
 
-  #sinceMs: number;
+  #countingSinceMs: number;
 
   #refusedCount = 0;
 
@@ -27,80 +27,83 @@
 
   /** @param nowMs - monotonic time in milliseconds */
   constructor(nowMs: number) {
-    this.#sinceMs = nowMs;
+    this.#countingSinceMs = nowMs;
   }
 
-  /** Attempts since the last {@link DemandMeter.take}. */
-  get attempts(): number {
-    return this.#attempts;
+  /** Number of attempts since the last {@link DemandMeter.takeDemand}. */
+  get attemptCount(): number {
+    return this.#attemptCount;
   }
 
-  /** Refusals since the last {@link DemandMeter.take}. */
+  /** Number of refusals since the last {@link DemandMeter.takeDemand}. */
   get refusedCount(): number {
     return this.#refusedCount;
   }
 
-  /** Whether refusals began after the last {@link DemandMeter.take}: the home may have more room. */
+  /**
+   * Whether refusals began after the last {@link DemandMeter.takeDemand}, so that the lender may
+   * have more to lend.
+   */
   get hasNewRefusals(): boolean {
     return this.#refusedCount > 0 && !this.#hadRefusals;
   }
 
-  /** Whether the last {@link DemandMeter.take} gave any demand. */
+  /** Whether the last {@link DemandMeter.takeDemand} returned any demand. */
   get hadDemand(): boolean {
     return this.#hadDemand;
   }
 
-  /** When the counts began, in milliseconds. */
-  get sinceMs(): number {
-    return this.#sinceMs;
+  /** When counting began, in monotonic milliseconds. */
+  get countingSinceMs(): number {
+    return this.#countingSinceMs;
   }
 
-  /** Whether the home is to hear of the next attempt at once. */
+  /** Whether the account was idle, so that its next attempt is reported to the lender at once. */
   get wasIdle(): boolean {
     return this.#wasIdle;
   }
 
-  /** Lets the home hear of the next attempt at once: the account was idle. */
-  noteIdle(): void {
+  /** Marks the account as idle, so that its next attempt is reported to the lender at once. */
+  markIdle(): void {
     this.#wasIdle = true;
   }
 
-  /** @param tokens - expected tokens of an attempt. @param running - in flight before it */
-  noteAttempt(tokens: number, running: number): void {
-    this.#attempts += 1;
-    this.#tokens += tokens;
-    this.#mostInFlight = Math.max(this.#mostInFlight, running + 1);
+  /** @param tokens - expected tokens of an attempt. @param running - requests in flight before it */
+  recordAttempt(tokens: number, running: number): void {
+    this.#attemptCount += 1;
+    this.#tokenCount += tokens;
+    this.#peakInFlight = Math.max(this.#peakInFlight, running + 1);
   }
 
-  /** Notes that the last attempt was refused. @param running - in flight now */
-  noteRefusal(running: number): void {
+  /** Records that the last attempt was refused. @param running - requests in flight now */
+  recordRefusal(running: number): void {
     this.#refusedCount += 1;
-    this.#mostInFlight = Math.max(this.#mostInFlight, running + this.#refusedCount);
+    this.#peakInFlight = Math.max(this.#peakInFlight, running + this.#refusedCount);
   }
 
   /**
-   * Gives the demand and begins to count anew.
+   * Returns the measured demand and restarts the counts.
    *
-   * @param running - in flight now
+   * @param running - requests in flight now
    * @param minSpanMs - shortest time over which rates are computed, in milliseconds
    * @param nowMs - monotonic time in milliseconds
-   * @returns demand since the last call
+   * @returns the demand since the last call
    */
-  take(running: number, minSpanMs: number, nowMs: number): AllowanceShare {
-    const seconds = Math.max(minSpanMs, nowMs - this.#sinceMs) / MS_PER_SECOND;
+  takeDemand(running: number, minSpanMs: number, nowMs: number): AllowanceShare {
+    const seconds = Math.max(minSpanMs, nowMs - this.#countingSinceMs) / MS_PER_SECOND;
     const demand = {
-      requestsPerSecond: this.#attempts / seconds,
-      tokensPerSecond: this.#tokens / seconds,
-      inFlight: Math.max(running, this.#mostInFlight),
+      requestsPerSecond: this.#attemptCount / seconds,
+      tokensPerSecond: this.#tokenCount / seconds,
+      inFlight: Math.max(running, this.#peakInFlight),
     };
-    this.#attempts = 0;
-    this.#tokens = 0;
-    this.#mostInFlight = 0;
+    this.#attemptCount = 0;
+    this.#tokenCount = 0;
+    this.#peakInFlight = 0;
     this.#hadDemand = demand.inFlight > 0;
     this.#hadRefusals = this.#refusedCount > 0;
     this.#refusedCount = 0;
     this.#wasIdle = false;
-    this.#sinceMs = nowMs;
+    this.#countingSinceMs = nowMs;
     return demand;
   }
 }
--- a/src/application/allowances/allowance_bound_test.ts
+++ b/src/application/allowances/allowance_bound_test.ts
@@ -4,16 +4,16 @@
 import { SeededRandom } from '../../../test/support/fakes.js';
 
 const IDS = ['eh-1', 'eh-2', 'eh-3', 'eh-4', 'eh-5', 'eh-6', 'eh-7', 'eh-8'];
-const LIFE_SECONDS = 2;
+const LEASE_SECONDS = 2;
 const STEP_MS = 25;
-/** Small requests let the requests' limit bind, large ones the tokens'. */
+/** With small requests the request limit binds, with large requests the token limit. */
 const MAX_TOKENS = 800;
 const PHASE_STEPS = 100;
 const STEPS = 1000;
 const NUM_RUNS = 20;
 const LIMITS = { requestsPerSecond: 80, tokensPerSecond: 20_000, inFlight: 64 };
 
-/** Each fault begins at its time and, where it has an end, ends there. */
+/** Faults begin at their step; cuts and partitions end after their number of steps. */
 enum Fault {
   CutLink = 'cut_link',
   Partition = 'partition',
@@ -78,7 +78,7 @@
   if (fault.kind === Fault.Restart) hosts.start(a);
 }
 
-/** Sends what each entry host is asked in one step, on average its figure in `demands`. */
+/** Sends the requests of one step; `demands` holds the mean number for each entry host. */
 function sendStep(
   hosts: AllowanceHosts,
   run: Run,
@@ -93,17 +93,17 @@
   });
 }
 
-/** Runs random demand that moves between the entry hosts. */
+/** Runs random demand that shifts between the entry hosts. */
 function runRandom(run: Run): AllowanceHosts {
   const random = new SeededRandom(run.seed);
   const hosts = new AllowanceHosts({ ids: IDS, limits: LIMITS, ...run });
   let demands: number[] = [];
   for (let step = 0; step < run.steps; step += 1) {
     if (step % PHASE_STEPS === 0) {
-      // Now and then every entry host is busy, otherwise a few.
-      const busyPart = random.nextFraction() < 0.3 ? 1 : 0.3;
+      // All entry hosts are busy in some phases, and only a few in the others.
+      const busyFraction = random.nextFraction() < 0.3 ? 1 : 0.3;
       demands = IDS.map(() =>
-        random.nextFraction() < busyPart ? 8 * random.nextFraction() ** 2 : 0,
+        random.nextFraction() < busyFraction ? 8 * random.nextFraction() ** 2 : 0,
       );
     }
     run.faults.forEach((fault) => applyFault(hosts, fault, step));
@@ -113,10 +113,10 @@
   return hosts;
 }
 
-/** The stated burst; see docs/design/account-limits.md. */
-function computeBursts(restarts: number): { requests: number; tokens: number } {
+/** Computes the documented bound on bursts; see docs/design/account-limits.md. */
+function computeBurstBounds(restarts: number): { requests: number; tokens: number } {
   const { requestsPerSecond, tokensPerSecond } = LIMITS;
-  const perRestart = (1 + 2 * LIFE_SECONDS) / IDS.length;
+  const perRestart = (1 + 2 * LEASE_SECONDS) / IDS.length;
   return {
     requests: requestsPerSecond + IDS.length + restarts * (requestsPerSecond * perRestart + 1),
     tokens:
@@ -126,7 +126,7 @@
   };
 }
 
-function computeSeen(hosts: AllowanceHosts): { requests: number; tokens: number } {
+function computeObservedBursts(hosts: AllowanceHosts): { requests: number; tokens: number } {
   const { admitted } = hosts;
   return {
     requests: computeLargestBurst(
@@ -152,8 +152,8 @@
       const restarts = run.faults.filter(({ kind }) =>
         [Fault.Restart, Fault.RestartHome].includes(kind),
       ).length;
-      const stated = computeBursts(restarts);
-      const seen = computeSeen(hosts);
+      const stated = computeBurstBounds(restarts);
+      const seen = computeObservedBursts(hosts);
       worst.requests = Math.max(worst.requests, seen.requests / stated.requests);
       worst.tokens = Math.max(worst.tokens, seen.tokens / stated.tokens);
       worst.running = Math.max(worst.running, hosts.mostRunning);
@@ -166,36 +166,37 @@
     { seed: 42, numRuns: NUM_RUNS },
   );
   note(
-    `largest part of the stated burst: requests ${worst.requests.toFixed(3)}, ` +
+    `largest fraction of the burst bound: requests ${worst.requests.toFixed(3)}, ` +
       `tokens ${worst.tokens.toFixed(3)}; most in flight ${worst.running} of ${LIMITS.inFlight}`,
   );
 }
 
-t.test('AllowanceKeeper keeps the bound while messages are lost and late', async (t) => {
-  // Symptom: an account gets more than its limit over a long time.
-  // Sequence: a lease arrives late or never; its room is lent to another.
-  // Cause: lender and borrower disagree on which lease is in force, and until when.
+t.test('AllowanceKeeper keeps the burst bound while messages are lost or delayed', async (t) => {
+  // Guards against an account that exceeds its limit for a long time. A lease arrives late or
+  // never while its share is lent to another host, because lender and borrower disagree on
+  // which lease is in effect and until when.
   checkRuns([], LIMITS.inFlight, (line) => t.comment(line));
-  t.pass('no window exceeds the stated burst');
+  t.pass('no window exceeds the burst bound');
 });
 
-t.test('AllowanceKeeper keeps the bound through pauses, cuts and partitions', async (t) => {
-  // Symptom: each side of a partition, or a process that wakes, uses the whole limit.
-  // Sequence: the home lends most of the limit; the borrower freezes or is cut off; the
-  // home lends the same room again.
-  // Cause: permission that outlives the home's own count.
-  checkRuns([Fault.CutLink, Fault.Partition, Fault.Pause], 2 * LIMITS.inFlight, (line) =>
-    t.comment(line),
-  );
-  t.pass('no window exceeds the stated burst');
-});
+t.test(
+  'AllowanceKeeper keeps the burst bound through pauses, cut links and partitions',
+  async (t) => {
+    // Guards against each side of a partition, or a process that resumes, using the whole limit.
+    // The lender lends most of the limit, the borrower freezes or is cut off, and the lender lends
+    // the same share again, because a lease outlives the lender's record of it.
+    checkRuns([Fault.CutLink, Fault.Partition, Fault.Pause], 2 * LIMITS.inFlight, (line) =>
+      t.comment(line),
+    );
+    t.pass('no window exceeds the burst bound');
+  },
+);
 
-t.test('AllowanceKeeper keeps the bound through restarts', async (t) => {
-  // Symptom: after a restart of the home an account gets nearly twice its limit.
-  // Sequence: the home lends, dies, starts anew and lends the same room again.
-  // Cause: the new incarnation knows nothing of the leases that are out.
+t.test('AllowanceKeeper keeps the burst bound through restarts', async (t) => {
+  // Guards against an account that gets nearly twice its limit after its lender restarts. The
+  // new incarnation does not know the leases granted before and lends the same share again.
   checkRuns([Fault.RestartHome, Fault.Restart, Fault.Partition], 2 * LIMITS.inFlight, (line) =>
     t.comment(line),
   );
-  t.pass('no window exceeds the stated burst');
+  t.pass('no window exceeds the burst bound');
 });
--- a/src/application/allowances/allowance_keeper.ts
+++ b/src/application/allowances/allowance_keeper.ts
@@ -1,5 +1,5 @@
 /**
- * Admits requests within their accounts' limits, and borrows and lends shares.
+ * Admits requests within the limits of their accounts, and borrows and lends shares of the limits.
  *
  * @module
  */
@@ -29,12 +29,12 @@
 import { AccountLimiter } from './_account_limiter.js';
 import { AllowanceLender } from './_allowance_lender.js';
 
-/** Parts of a lease's life after which an account asks again. */
-const RENEW_LIVES = 1 / 2;
-/** The same where requests were refused since it last asked, and for the ticks. */
-const URGENT_LIVES = 1 / 8;
+/** Fraction of the lease duration after which an active account requests a new lease. */
+const RENEWAL_FRACTION = 1 / 2;
+/** Fraction of the lease duration between ticks, and between lease requests after new refusals. */
+const URGENT_FRACTION = 1 / 8;
 
-/** What the keeper works with. */
+/** Options of {@link AllowanceKeeper}. */
 export interface AllowanceKeeperOptions {
   readonly clock: Clock;
   readonly log: EventLog;
@@ -42,38 +42,38 @@
   readonly configuration: ConfigurationView;
   readonly membership: MembershipView;
   readonly peers: PeerNetwork;
-  /** Life of a lease in milliseconds. Default: {@link LEASE_LIFE_MS}. */
+  /** Duration of a lease in milliseconds. Default: {@link LEASE_LIFE_MS}. */
   readonly leaseLifeMs?: number;
 }
 
-/** Admits by local buckets whose rates follow the leases of the allowance home. */
+/** Admits requests by local token buckets whose rates follow the leases of the allowance lender. */
 export class AllowanceKeeper extends AllowanceSource {
   readonly #options: AllowanceKeeperOptions;
 
-  readonly #lifeMs: number;
+  readonly #leaseDurationMs: number;
 
   readonly #limiters = new Map<string, AccountLimiter>();
 
   readonly #lender: AllowanceLender;
 
-  #listedIds: readonly string[];
+  #knownIds: readonly string[];
 
   #timer: Timer | undefined;
 
   #lastRequestNumber = ACK_REQUEST_NUMBER;
 
-  /** @param options - what it works with */
+  /** @param options - dependencies and settings */
   constructor(options: AllowanceKeeperOptions) {
     super();
     this.#options = options;
-    this.#lifeMs = options.leaseLifeMs ?? LEASE_LIFE_MS;
-    this.#listedIds = options.membership.listListedIds();
+    this.#leaseDurationMs = options.leaseLifeMs ?? LEASE_LIFE_MS;
+    this.#knownIds = options.membership.listListedIds();
     this.#lender = new AllowanceLender({
       ...options,
-      leaseLifeMs: this.#lifeMs,
+      leaseDurationMs: this.#leaseDurationMs,
       sendLease: (grant, accountId) => this.#sendLease(grant, accountId),
     });
-    options.membership.onChange(() => this.#updateListed());
+    options.membership.onChange(() => this.#updateKnownIds());
     options.peers.handle(PeerMessageType.AllowanceRequest, (from, message) =>
       this.#lender.handleRequest(from, message),
     );
@@ -82,19 +82,19 @@
     );
   }
 
-  /** Starts asking for leases. Until then, and without them, base shares hold. */
+  /** Starts requesting leases. Base shares apply until a lease arrives. */
   start(): void {
     if (!this.#timer) this.#scheduleTick();
   }
 
-  /** Stops asking for leases; admitting goes on with what is left. */
+  /** Stops requesting leases; requests are still admitted within the remaining shares. */
   stop(): void {
     this.#timer?.cancel();
     this.#timer = undefined;
   }
 
   override admit(account: AccountContract, expectedTokens: number): Admission {
-    const limiter = this.#openLimiter(account);
+    const limiter = this.#getOrCreateLimiter(account);
     try {
       return limiter.admit(expectedTokens, () => this.#options.clock.nowMs());
     } catch (error) {
@@ -102,103 +102,108 @@
         this.#options.metrics.count('allowance_refusals_total', { kind: error.kind });
       throw error;
     } finally {
-      this.#sendIfDue(limiter);
+      this.#requestLeaseIfDue(limiter);
     }
   }
 
-  #openLimiter(account: AccountContract): AccountLimiter {
+  #getOrCreateLimiter(account: AccountContract): AccountLimiter {
     const nowMs = this.#options.clock.nowMs();
     const known = this.#limiters.get(account.accountId);
     if (known) {
-      if (known.account !== account) known.setBase(account, this.#computeBase(account), nowMs);
+      if (known.account !== account)
+        known.setLimits(account, this.#computeBaseShare(account), nowMs);
       return known;
     }
-    const limiter = new AccountLimiter(account, this.#computeBase(account), nowMs);
+    const limiter = new AccountLimiter(account, this.#computeBaseShare(account), nowMs);
     this.#limiters.set(account.accountId, limiter);
-    // The first request of an idle account lets the home hear of it at once.
-    limiter.meter.noteIdle();
+    // The first request of an idle account is reported to the lender at once.
+    limiter.meter.markIdle();
     return limiter;
   }
 
-  #computeBase(account: AccountContract): ReturnType<typeof computeBaseShare> {
+  #computeBaseShare(account: AccountContract): ReturnType<typeof computeBaseShare> {
     const { membership } = this.#options;
-    return computeBaseShare(account.limits, account.accountId, membership.self.id, this.#listedIds);
+    return computeBaseShare(account.limits, account.accountId, membership.self.id, this.#knownIds);
   }
 
   #scheduleTick(): void {
-    this.#timer = this.#options.clock.setTimer(URGENT_LIVES * this.#lifeMs, () => {
+    this.#timer = this.#options.clock.setTimer(URGENT_FRACTION * this.#leaseDurationMs, () => {
       this.#scheduleTick();
       this.#tick();
     });
   }
 
   #tick(): void {
-    this.#updateListed();
+    this.#updateKnownIds();
     const nowMs = this.#options.clock.nowMs();
     this.#limiters.forEach((limiter, accountId) => {
-      this.#sendIfDue(limiter);
+      this.#requestLeaseIfDue(limiter);
       if (limiter.isIdle(nowMs)) this.#limiters.delete(accountId);
     });
-    this.#lender.update(this.#listedIds);
+    this.#lender.update(this.#knownIds);
   }
 
-  #updateListed(): void {
-    const listedIds = this.#options.membership.listListedIds();
-    if (listedIds.join() === this.#listedIds.join()) return;
-    this.#listedIds = listedIds;
+  #updateKnownIds(): void {
+    const knownIds = this.#options.membership.listListedIds();
+    if (knownIds.join() === this.#knownIds.join()) return;
+    this.#knownIds = knownIds;
     const nowMs = this.#options.clock.nowMs();
     this.#limiters.forEach((limiter) => {
-      limiter.setBase(limiter.account, this.#computeBase(limiter.account), nowMs);
+      limiter.setLimits(limiter.account, this.#computeBaseShare(limiter.account), nowMs);
     });
-    this.#lender.update(listedIds);
+    this.#lender.update(knownIds);
   }
 
-  #sendIfDue(limiter: AccountLimiter): void {
+  #requestLeaseIfDue(limiter: AccountLimiter): void {
     const { meter } = limiter;
-    const ageMs = this.#options.clock.nowMs() - meter.sinceMs;
+    const ageMs = this.#options.clock.nowMs() - meter.countingSinceMs;
     const { isActive } = limiter;
-    const isUrgent = meter.hasNewRefusals && ageMs >= URGENT_LIVES * this.#lifeMs;
-    // One last request without demand gives the room back before its lease ends.
-    const isRenewal = (isActive || meter.hadDemand) && ageMs >= RENEW_LIVES * this.#lifeMs;
+    const isUrgent = meter.hasNewRefusals && ageMs >= URGENT_FRACTION * this.#leaseDurationMs;
+    // A last lease request without demand returns the share before its lease ends.
+    const isRenewal =
+      (isActive || meter.hadDemand) && ageMs >= RENEWAL_FRACTION * this.#leaseDurationMs;
     if (this.#timer && (isUrgent || isRenewal || (isActive && meter.wasIdle)))
-      this.#sendRequest(limiter, false);
+      this.#requestLease(limiter, false);
   }
 
-  #sendRequest(limiter: AccountLimiter, isBareConfirmation: boolean): void {
-    const home = this.#findHome(limiter.account.accountId);
+  #requestLease(limiter: AccountLimiter, isConfirmationOnly: boolean): void {
+    const lender = this.#findLender(limiter.account.accountId);
     const nowMs = this.#options.clock.nowMs();
-    const minSpanMs = (limiter.meter.refusedCount > 0 ? URGENT_LIVES : RENEW_LIVES) * this.#lifeMs;
-    const demand = isBareConfirmation
+    const minSpanMs =
+      (limiter.meter.refusedCount > 0 ? URGENT_FRACTION : RENEWAL_FRACTION) * this.#leaseDurationMs;
+    const demand = isConfirmationOnly
       ? { requestsPerSecond: 0, tokensPerSecond: 0, inFlight: 0 }
-      : limiter.meter.take(limiter.running, minSpanMs, nowMs);
-    if (!home) return;
-    const requestNumber = isBareConfirmation ? ACK_REQUEST_NUMBER : this.#assignNumber(limiter);
+      : limiter.meter.takeDemand(limiter.running, minSpanMs, nowMs);
+    if (!lender) return;
+    const requestNumber = isConfirmationOnly
+      ? ACK_REQUEST_NUMBER
+      : this.#takeRequestNumber(limiter);
     const message: AllowanceRequestMessage = {
       type: PeerMessageType.AllowanceRequest,
       accountId: limiter.account.accountId,
       ...demand,
       requestNumber,
-      heldLease: limiter.getHeldNumber(home.incarnation),
+      heldLease: limiter.getLeaseNumber(lender.incarnation),
       running: limiter.running,
     };
     const { membership, peers } = this.#options;
-    if (home.id === membership.self.id) this.#lender.handleRequest(membership.self, message);
-    else peers.send(home.incarnation, message);
+    if (lender.id === membership.self.id) this.#lender.handleRequest(membership.self, message);
+    else peers.send(lender.incarnation, message);
   }
 
-  /** One sequence for all accounts: a limiter that is dropped and comes back repeats no number. */
-  #assignNumber(limiter: AccountLimiter): number {
+  /** Numbers all accounts in one sequence, so that a limiter created anew repeats no number. */
+  #takeRequestNumber(limiter: AccountLimiter): number {
     this.#lastRequestNumber += 1;
-    limiter.noteRequest(this.#lastRequestNumber, this.#options.clock.nowMs());
+    limiter.recordLeaseRequest(this.#lastRequestNumber, this.#options.clock.nowMs());
     return this.#lastRequestNumber;
   }
 
-  #findHome(accountId: string): EntryHostIdentity | undefined {
+  #findLender(accountId: string): EntryHostIdentity | undefined {
     const { membership } = this.#options;
-    const homeId = pickAllowanceHome(accountId, this.#listedIds);
-    if (homeId === undefined) return undefined;
-    if (homeId === membership.self.id) return membership.self;
-    return membership.findEntryHost(homeId)?.identity;
+    const lenderId = pickAllowanceHome(accountId, this.#knownIds);
+    if (lenderId === undefined) return undefined;
+    if (lenderId === membership.self.id) return membership.self;
+    return membership.findEntryHost(lenderId)?.identity;
   }
 
   #sendLease(grant: LedgerGrant, accountId: string): void {
@@ -219,16 +224,16 @@
   #handleLease(from: EntryHostIdentity, message: AllowanceLeaseMessage): void {
     const { clock, configuration, log } = this.#options;
     const account = configuration.findAccount(message.accountId);
-    const isFromHome = pickAllowanceHome(message.accountId, this.#listedIds) === from.id;
-    if (!account || !isFromHome) {
+    const isFromLender = pickAllowanceHome(message.accountId, this.#knownIds) === from.id;
+    if (!account || !isFromLender) {
       log.write(LogLevel.Debug, 'allowance_lease_ignored', {
         account: message.accountId,
         entryHost: from.id,
       });
       return;
     }
-    const limiter = this.#openLimiter(account);
-    const before = limiter.share;
+    const limiter = this.#getOrCreateLimiter(account);
+    const previousShare = limiter.share;
     const lease = {
       home: from.incarnation,
       leaseNumber: message.leaseNumber,
@@ -237,9 +242,9 @@
       validMs: message.validMs,
     };
     if (!limiter.acceptLease(lease, clock.nowMs())) return;
-    // What shrinks here can be lent to others once the home knows that it arrived;
-    // where nothing is asked, no later request would tell it.
-    const shrank = LIMIT_KINDS.some((kind) => limiter.share[kind] < before[kind]);
-    if (shrank || !limiter.isActive) this.#sendRequest(limiter, true);
+    // The lender can lend a reduced share to other hosts only after this confirmation;
+    // an inactive account sends no later request that would confirm the lease.
+    const hasShrunk = LIMIT_KINDS.some((kind) => limiter.share[kind] < previousShare[kind]);
+    if (hasShrunk || !limiter.isActive) this.#requestLease(limiter, true);
   }
 }
--- a/src/application/allowances/allowance_keeper_test.ts
+++ b/src/application/allowances/allowance_keeper_test.ts
@@ -5,20 +5,20 @@
 
 const IDS = ['eh-1', 'eh-2', 'eh-3', 'eh-4', 'eh-5', 'eh-6', 'eh-7', 'eh-8'];
 const LIMITS = { requestsPerSecond: 80, tokensPerSecond: 20_000, inFlight: 64 };
-const LIFE_MS = 2000;
+const LEASE_DURATION_MS = 2000;
 
 function startHosts(options: Partial<AllowanceHostsOptions> = {}): AllowanceHosts {
   const hosts = new AllowanceHosts({ ids: IDS, limits: LIMITS, ...options });
-  // The home lends nothing in the first lease life of its process.
-  hosts.advance(2 * LIFE_MS);
+  // The lender grants nothing during the first lease duration of its process.
+  hosts.advance(2 * LEASE_DURATION_MS);
   return hosts;
 }
 
-function pickOther(hosts: AllowanceHosts): string {
+function pickBorrower(hosts: AllowanceHosts): string {
   return IDS.find((id) => id !== hosts.home) ?? '';
 }
 
-/** Sends requests at a steady rate. @returns how many were admitted in each second */
+/** Sends requests at a constant rate. @returns the number admitted in each second */
 function runDemand(
   hosts: AllowanceHosts,
   id: string,
@@ -36,93 +36,96 @@
   return admitted;
 }
 
-t.test('AllowanceKeeper gives nearly the whole limit to one busy entry host', async (t) => {
+t.test('AllowanceKeeper lends nearly the whole limit to a single busy entry host', async (t) => {
   const hosts = startHosts({ maxDelayMs: 5 });
-  const admitted = runDemand(hosts, pickOther(hosts), 200, 6);
-  t.comment(`admitted a second of 80: ${admitted.join(' ')}`);
+  const admitted = runDemand(hosts, pickBorrower(hosts), 200, 6);
+  t.comment(`admitted per second of 80: ${admitted.join(' ')}`);
   t.ok(admitted.slice(1).every((count) => count >= 0.93 * LIMITS.requestsPerSecond));
 });
 
-t.test('AllowanceKeeper moves the limit when the demand moves', async (t) => {
+t.test('AllowanceKeeper shifts the limit when the demand shifts', async (t) => {
   const hosts = startHosts({ maxDelayMs: 5 });
   const [first = '', second = ''] = IDS.filter((id) => id !== hosts.home);
   runDemand(hosts, first, 200, 4);
   const admitted = runDemand(hosts, second, 200, 6);
-  t.comment(`admitted a second of 80 after the move: ${admitted.join(' ')}`);
+  t.comment(`admitted per second of 80 after the shift: ${admitted.join(' ')}`);
   t.ok(admitted.slice(3).every((count) => count >= 0.93 * LIMITS.requestsPerSecond));
 });
 
-t.test('AllowanceKeeper lends requests in flight to one busy entry host', async (t) => {
+t.test('AllowanceKeeper lends the in-flight limit to a single busy entry host', async (t) => {
   const hosts = startHosts();
-  runDemand(hosts, pickOther(hosts), 50, 5, 30_000);
+  runDemand(hosts, pickBorrower(hosts), 50, 5, 30_000);
   t.comment(`in flight of 64: ${hosts.mostRunning}`);
   t.equal(hosts.mostRunning, LIMITS.inFlight - (IDS.length - 1));
 });
 
 t.test('AllowanceKeeper admits the first request of an idle account at once', async (t) => {
   const hosts = startHosts();
-  runDemand(hosts, pickOther(hosts), 200, 5, 200);
+  runDemand(hosts, pickBorrower(hosts), 200, 5, 200);
   IDS.forEach((id) => {
-    if (id !== pickOther(hosts)) t.ok(hosts.sendRequest(id, 5000, 100), id);
+    if (id !== pickBorrower(hosts)) t.ok(hosts.sendRequest(id, 5000, 100), id);
   });
 });
 
 t.test('AllowanceKeeper sends nothing for idle accounts', async (t) => {
   const hosts = startHosts();
-  hosts.sendRequest(pickOther(hosts), 100, 100);
-  hosts.advance(10 * LIFE_MS);
+  hosts.sendRequest(pickBorrower(hosts), 100, 100);
+  hosts.advance(10 * LEASE_DURATION_MS);
   const before = hosts.messageCount;
   hosts.advance(60_000);
   t.equal(hosts.messageCount, before);
 });
 
-t.test('AllowanceKeeper asks about twice a lease life', async (t) => {
+t.test('AllowanceKeeper requests about two leases per lease duration', async (t) => {
   const hosts = startHosts();
   const before = hosts.messageCount;
-  runDemand(hosts, pickOther(hosts), 5, 20);
-  const perLife = (hosts.messageCount - before) / (20_000 / LIFE_MS);
-  t.comment(`messages a lease life, requests and leases together: ${perLife}`);
+  runDemand(hosts, pickBorrower(hosts), 5, 20);
+  const perLife = (hosts.messageCount - before) / (20_000 / LEASE_DURATION_MS);
+  t.comment(`messages per lease duration, requests and leases together: ${perLife}`);
   t.ok(perLife <= 5);
 });
 
-t.test('AllowanceKeeper messages for a pressed account grow with the entry hosts', async (t) => {
-  const SECONDS = 10;
-  [2, 4, 8, 16, 32].forEach((count) => {
-    const ids = Array.from({ length: count }, (_, index) => `eh-${index + 1}`);
-    const hosts = startHosts({ ids });
-    const id = ids.find((one) => one !== hosts.home) ?? '';
-    runDemand(hosts, id, 200, 5);
-    const before = hosts.messageCount;
-    runDemand(hosts, id, 200, SECONDS);
-    const perSecond = (hosts.messageCount - before) / SECONDS;
-    t.comment(`${count} entry hosts: ${perSecond} messages a second in all`);
-    // A lease and its confirmation for each other entry host, twice a lease life.
-    t.ok(perSecond <= 3 * count);
-  });
-});
+t.test(
+  'AllowanceKeeper messages for a busy account grow linearly with the entry hosts',
+  async (t) => {
+    const SECONDS = 10;
+    [2, 4, 8, 16, 32].forEach((count) => {
+      const ids = Array.from({ length: count }, (_, index) => `eh-${index + 1}`);
+      const hosts = startHosts({ ids });
+      const id = ids.find((one) => one !== hosts.home) ?? '';
+      runDemand(hosts, id, 200, 5);
+      const before = hosts.messageCount;
+      runDemand(hosts, id, 200, SECONDS);
+      const perSecond = (hosts.messageCount - before) / SECONDS;
+      t.comment(`${count} entry hosts: ${perSecond} messages per second in total`);
+      // Each other entry host gets and confirms a lease twice per lease duration.
+      t.ok(perSecond <= 3 * count);
+    });
+  },
+);
 
-t.test('AllowanceKeeper falls back to the base share without the home', async (t) => {
-  // Symptom: an account gets its whole limit on each side of a partition.
-  // Sequence: one entry host is lent nearly everything, then its link to the home is cut.
-  // Cause: a share that does not end with its lease.
+t.test('AllowanceKeeper falls back to the base share when the lender is unreachable', async (t) => {
+  // Guards against an account that gets its whole limit on each side of a partition. An entry
+  // host that borrowed nearly everything loses its link to the lender, and keeps the share after
+  // its lease has ended.
   const hosts = startHosts();
-  const other = pickOther(hosts);
+  const other = pickBorrower(hosts);
   runDemand(hosts, other, 200, 4);
   IDS.forEach((id) => hosts.setCut(other, id, true));
   const admitted = runDemand(hosts, other, 200, 8);
   const base = LIMITS.requestsPerSecond / IDS.length;
-  t.comment(`admitted a second after the cut: ${admitted.join(' ')}`);
+  t.comment(`admitted per second after the cut: ${admitted.join(' ')}`);
   t.ok(admitted.slice(3).every((count) => count <= base + 1 && count >= base - 1));
 });
 
-t.test('AllowanceKeeper admits at most the limit once for each differing host list', async (t) => {
-  // Symptom: an account gets more than its limit though no lease is wrong.
-  // Sequence: half of the entry hosts see a host list that lacks the other half.
-  // Cause: each list has its own home and its own division of the limit.
+t.test('AllowanceKeeper admits at most the limit once for each distinct host list', async (t) => {
+  // Half of the entry hosts see a host list that lacks the other half. Each list has its own
+  // lender and its own division of the limit, so an account exceeds its limit although every
+  // lease is correct; the test guards the bound on that excess.
   const hosts = startHosts();
   const halves = [IDS.slice(0, 4), IDS.slice(4)];
   halves.forEach((half) => half.forEach((id) => hosts.listed.set(id, half)));
-  hosts.advance(2 * LIFE_MS);
+  hosts.advance(2 * LEASE_DURATION_MS);
   const before = hosts.admitted.length;
   const SECONDS = 10;
   for (let step = 0; step < SECONDS * 100; step += 1) {
@@ -130,26 +133,26 @@
     IDS.forEach((id) => hosts.sendRequest(id, 100, 10));
   }
   const perSecond = (hosts.admitted.length - before) / SECONDS;
-  t.comment(`admitted a second of 80 under two lists: ${perSecond}`);
+  t.comment(`admitted per second of 80 under two lists: ${perSecond}`);
   t.ok(perSecond <= 2 * (LIMITS.requestsPerSecond + LIMITS.requestsPerSecond / SECONDS));
 });
 
-t.test('AllowanceKeeper keeps 2 in flight over 8 entry hosts', async (t) => {
-  // With fewer in flight than entry hosts most have no base share: the first
-  // request there is refused, and one soon after is admitted by a lease.
+t.test('AllowanceKeeper keeps a limit of 2 in flight across 8 entry hosts', async (t) => {
+  // With an in-flight limit below the number of entry hosts, most hosts have no base share:
+  // they refuse their first request and admit a later one under a lease.
   const hosts = startHosts({ limits: { ...LIMITS, inFlight: 2 } });
   const refusedFirst = IDS.filter((id) => !hosts.sendRequest(id, 100, 50));
   t.equal(refusedFirst.length, 6);
   t.ok(hosts.refused.every(({ kind }) => kind === ErrorKind.InFlightLimited));
-  hosts.advance(10 * LIFE_MS);
+  hosts.advance(10 * LEASE_DURATION_MS);
   const id = refusedFirst.find((refused) => refused !== hosts.home) ?? '';
   const admitted = runDemand(hosts, id, 10, 4, 500);
-  t.comment(`admitted a second where the base share is none: ${admitted.join(' ')}`);
+  t.comment(`admitted per second where the base share is zero: ${admitted.join(' ')}`);
   t.ok(admitted.slice(1).every((count) => count >= 2));
   t.equal(hosts.mostRunning, 2);
 });
 
-t.test('AllowanceKeeper tells when to come back from the bucket', async (t) => {
+t.test('AllowanceKeeper returns a retry-after time at which the request is admitted', async (t) => {
   const cases = [
     { kind: ErrorKind.RateLimited, tokens: 1, runMs: 1 },
     { kind: ErrorKind.TokensLimited, tokens: 8000, runMs: 1 },
--- a/src/application/allowances/mod.ts
+++ b/src/application/allowances/mod.ts
@@ -1,7 +1,7 @@
 /**
- * Limits of client accounts that hold across entry hosts without shared state.
- * Each entry host admits by its own buckets; for accounts that are active it
- * borrows from the account's allowance home what other entry hosts don't use:
+ * Enforces the limits of client accounts across entry hosts without shared state.
+ * Each entry host admits requests by its own token buckets; for active accounts it
+ * borrows from the account's allowance lender what other entry hosts don't use:
  * `keeper.start(); keeper.admit(account, 900).release(850)`.
  *
  * @module
