--- a/src/application/allowances/_allowance_lender.ts
+++ b/src/application/allowances/_allowance_lender.ts
@@ -33,7 +33,7 @@
 
   #lastLeaseNumber = 0;
 
-  /** Set while due leases are sent; a confirmation that arrives meanwhile requests another round. */
+  /** Set while due leases are sent; a confirmation that arrives meanwhile causes another round. */
   #isSending = false;
 
   #isRoundDue = false;
--- a/src/application/allowances/_demand_meter.ts
+++ b/src/application/allowances/_demand_meter.ts
@@ -68,7 +68,12 @@
     this.#wasIdle = true;
   }
 
-  /** @param tokens - expected tokens of an attempt. @param running - requests in flight before it */
+  /**
+   * Records an attempt.
+   *
+   * @param tokens - expected tokens of the attempt
+   * @param running - requests in flight before the attempt
+   */
   recordAttempt(tokens: number, running: number): void {
     this.#attemptCount += 1;
     this.#tokenCount += tokens;
--- a/src/application/crashes/_answered_contents.ts
+++ b/src/application/crashes/_answered_contents.ts
@@ -1,5 +1,5 @@
 /**
- * Contents that were answered here, and what that says of ends under which they ran.
+ * Remembers which contents this entry host answered, as evidence when servers crash under them.
  *
  * @module
  */
@@ -8,40 +8,46 @@
 import type { CrashNote } from '../../domain/crashes/mod.js';
 
 /**
- * How long an answer speaks for a content, in milliseconds. A popular one runs at many servers
- * at any moment, also at those that a failing rack takes along; one that was answered a while
- * ago is held after a trial only. It may have begun to end servers since.
+ * Time for which an answer is evidence that a content is harmless, in milliseconds. A popular
+ * content runs at many servers at any moment, including all servers that a failing rack takes
+ * down, so a content with a recent answer is quarantined only after a trial. The answer does not
+ * clear it, because the content may have begun to crash servers since.
  */
-const VOUCHED_MS = 60_000;
+const VOUCH_DURATION_MS = 60_000;
 
 /**
- * Ends up to this time after an answer are not laid to what was answered, in milliseconds: it ran
- * elsewhere at about the same moment, and times of other entry hosts are late.
+ * Time after an answer in which crashes are not attributed to the answered content, in
+ * milliseconds. The content ran elsewhere at about the same moment, and times reported by other
+ * entry hosts are late.
  */
-const COVERED_MS = 1_000;
+const CLEARING_WINDOW_MS = 1_000;
 
-/** Most contents whose answers are remembered. */
-const MAX_ANSWERED = 4_096;
+/** Maximum number of contents whose answers are remembered. */
+const MAX_ANSWERED_CONTENTS = 4_096;
 
-/** Remembers answers of requests that were run to a good end. */
+/** Remembers when each content was last answered with success. */
 export class AnsweredContents {
-  readonly #answeredAtMs = new RecentKeys<number>(MAX_ANSWERED);
+  readonly #answeredAtMs = new RecentKeys<number>(MAX_ANSWERED_CONTENTS);
 
-  /** @param contentId - a content that was answered. @param nowMs - monotonic time in milliseconds */
-  note(contentId: string, nowMs: number): void {
+  /** @param contentId - content that was answered. @param nowMs - monotonic time in milliseconds */
+  recordAnswer(contentId: string, nowMs: number): void {
     this.#answeredAtMs.set(contentId, nowMs);
   }
 
   /**
-   * @param note - a run under which a server ended
+   * Adds the evidence of a remembered answer to a crash note.
+   *
+   * @param note - a run during which a server crashed
    * @param nowMs - monotonic time in milliseconds
-   * @returns the note with what an answer says of it
+   * @returns the note, cleared or marked as vouched for where an answer is recent enough
    */
-  reviewNote(note: CrashNote, nowMs: number): CrashNote {
+  addEvidence(note: CrashNote, nowMs: number): CrashNote {
     const answeredAtMs = this.#answeredAtMs.get(note.contentId);
     if (answeredAtMs === undefined || note.state === CrashState.Cleared) return note;
     const sinceAnswerMs = nowMs - note.endedAgoMs - answeredAtMs;
-    if (sinceAnswerMs < COVERED_MS) return { ...note, state: CrashState.Cleared };
-    return sinceAnswerMs < VOUCHED_MS && !note.isVouched ? { ...note, isVouched: true } : note;
+    if (sinceAnswerMs < CLEARING_WINDOW_MS) return { ...note, state: CrashState.Cleared };
+    return sinceAnswerMs < VOUCH_DURATION_MS && !note.isVouched
+      ? { ...note, isVouched: true }
+      : note;
   }
 }
--- a/src/application/crashes/_trial_queue.ts
+++ b/src/application/crashes/_trial_queue.ts
@@ -1,5 +1,6 @@
 /**
- * Calls whose content is in doubt: one is sent as a trial, the others wait for what it shows.
+ * Queues calls whose content is on probation: one is sent as a trial, the others wait for its
+ * result.
  *
  * @module
  */
@@ -10,43 +11,46 @@
 import type { Clock, EventLog, Metrics, RandomSource, Timer } from '../../ports/mod.js';
 import type { CrashPaths } from './crash_paths.js';
 
-/** Time between two looks at what waits, in milliseconds. */
-const LOOK_INTERVAL_MS = 50;
+/** Interval between checks of the waiting calls, in milliseconds. */
+const CHECK_INTERVAL_MS = 50;
 
 /**
- * Longest time that calls wait for the next trial, and for what the last one shows, in
- * milliseconds. Whoever would wait longer hears when to come back.
+ * Longest time that calls wait for the next trial, or for the result of the last one, in
+ * milliseconds. Calls that would wait longer are refused with a retry-after time.
  */
-const PATIENCE_MS = 2_000;
+const MAX_WAIT_MS = 2_000;
 
-/** Pause between the turns of two contents that are in doubt at the same time, in milliseconds. */
-const PLACE_STEP_MS = 100;
+/** Time between the turns of two contents on probation at the same time, in milliseconds. */
+const TURN_STEP_MS = 100;
 
-/** Place from which on all have the same turn: hundreds in doubt must not keep one from it for good. */
-const MAX_PLACE = 10;
+/**
+ * Last position that delays a turn further: with hundreds of contents on probation, each must
+ * still get its turn.
+ */
+const MAX_DELAYED_POSITION = 10;
 
 const TRIAL_ID_BYTES = 6;
 
-/** What a request may do. */
+/** How a request may be sent. */
 export enum PassKind {
   Free = 'free',
-  /** It is the one request of its content that is sent now, to see what becomes of it. */
+  /** The request is sent as a trial, the only one of its content at this time. */
   Trial = 'trial',
-  /** It may not be sent yet. */
+  /** The request may not be sent yet. */
   Wait = 'wait',
 }
 
-/** Leave to send a request. */
+/** Permit to send a request. */
 export interface Pass {
   readonly kind: PassKind;
-  /** Gives the leave back: the request never ran. */
+  /** Returns an unused permit when the request never ran; the trial is then void. */
   readonly handBack: () => void;
 }
 
-const FREE: Pass = { kind: PassKind.Free, handBack: () => undefined };
-const WAIT: Pass = { kind: PassKind.Wait, handBack: () => undefined };
+const FREE_PERMIT: Pass = { kind: PassKind.Free, handBack: () => undefined };
+const WAIT_PERMIT: Pass = { kind: PassKind.Wait, handBack: () => undefined };
 
-/** What the queue needs. */
+/** Options of {@link TrialQueue}. */
 export interface TrialQueueOptions {
   readonly clock: Clock;
   readonly log: EventLog;
@@ -54,149 +58,158 @@
   readonly random: RandomSource;
   readonly paths: CrashPaths;
   readonly ledger: CrashLedger;
-  /** Judges anew what time has decided. */
+  /** Applies state changes of contents that have become due. */
   readonly review: () => void;
-  /** Tells peers what has happened here. */
-  readonly notify: (notes: readonly CrashNote[]) => void;
-  /** Has the calls of a content refused that would wait for too long. */
-  readonly refuse: (contentId: string) => void;
+  /** Sends notes of what happened at this entry host to its peers. */
+  readonly notifyPeers: (notes: readonly CrashNote[]) => void;
+  /** Refuses the waiting calls of a content whose next step is too far away. */
+  readonly refuseCalls: (contentId: string) => void;
 }
 
-/** A content that is asked for here while it is in doubt. */
-interface Asked {
-  readonly sinceMs: number;
-  /** Calls that wait, by what has them try again. */
+/** A content on probation that callers request at this entry host. */
+interface RequestedContent {
+  readonly requestedSinceMs: number;
+  /** Callbacks that let the waiting calls ask for a permit again. */
   readonly waiting: Set<() => void>;
-  /** Place of this entry host in line, worked out once for each trial. */
+  /** Rank of this entry host among those that may run a trial, computed once for each trial. */
   rank: { readonly trialCount: number; readonly value: number } | undefined;
 }
 
-/** Decides which call may be a trial, and wakes the others. */
+/** Decides which call runs as a trial, and wakes the waiting calls. */
 export class TrialQueue {
   readonly #options: TrialQueueOptions;
 
-  readonly #asked = new Map<string, Asked>();
+  readonly #requestedContents = new Map<string, RequestedContent>();
 
   #timer: Timer | undefined;
 
-  /** Since when no trial is open. */
-  #quietSinceMs = Number.NEGATIVE_INFINITY;
+  /** When the last open trial was found to have ended. */
+  #noTrialSinceMs = Number.NEGATIVE_INFINITY;
 
-  #wasOpen = false;
+  #wasTrialOpen = false;
 
-  /** @param options - what the queue needs */
+  /** @param options - dependencies and callbacks */
   constructor(options: TrialQueueOptions) {
     this.#options = options;
   }
 
   /**
-   * @param contentId - a content
-   * @returns how long the next trial, or the decision, is away, in milliseconds, where that is too
-   *   long to wait
+   * Computes the delay after which a caller that can't wait may retry.
+   *
+   * @param contentId - content of the call
+   * @returns time until the next trial or state change, in milliseconds, where that is too long to
+   *   wait; undefined when calls may wait or the content is not on probation
    */
-  findDelayMs(contentId: string): number | undefined {
+  computeRetryAfterMs(contentId: string): number | undefined {
     const doubt = this.#options.ledger.doubts.find(contentId);
-    return doubt && this.#computeDelayMs(doubt);
+    return doubt && this.#computeRetryAfterMs(doubt);
   }
 
   /**
-   * Asks for leave to send a request right now. Where its content is in doubt, that is a trial, and
-   * the leave is used up.
+   * Acquires a permit to send a request now. A permit for a content on probation starts a trial.
    *
-   * @param contentId - its content
-   * @param hasTime - whether its caller waits long enough for a trial to show something
-   * @returns whether it may be sent, and as what
+   * @param contentId - content of the request
+   * @param hasTime - whether the caller's deadline leaves enough time for a trial
+   * @returns the permit, which tells whether and how the request may be sent
    */
-  takePass(contentId: string, hasTime: boolean): Pass {
+  acquirePermit(contentId: string, hasTime: boolean): Pass {
     const { ledger, clock, log, metrics } = this.#options;
     const doubt = ledger.doubts.find(contentId);
-    if (!doubt) return FREE;
-    if (!hasTime) return WAIT;
+    if (!doubt) return FREE_PERMIT;
+    if (!hasTime) return WAIT_PERMIT;
     const nowMs = clock.nowMs();
-    if (this.#isTrialOpen() || nowMs < this.#computeTurnMs(contentId, doubt)) return WAIT;
+    if (this.#isTrialOpen() || nowMs < this.#computeTurnAtMs(contentId, doubt)) return WAIT_PERMIT;
     const id = this.#options.random.nextHex(TRIAL_ID_BYTES);
     log.write(LogLevel.Warn, 'request_tried', { contentId, trial: doubt.trialCount + 1 });
     metrics.count('request_trials_total');
     const trial = { id, startedAtMs: nowMs, isVoid: false };
-    this.#options.notify(ledger.noteTrial(contentId, trial, nowMs));
+    this.#options.notifyPeers(ledger.noteTrial(contentId, trial, nowMs));
     return {
       kind: PassKind.Trial,
       handBack: () => {
-        const voided = { ...trial, isVoid: true };
-        this.#options.notify(ledger.noteTrial(contentId, voided, clock.nowMs()));
+        const voidTrial = { ...trial, isVoid: true };
+        this.#options.notifyPeers(ledger.noteTrial(contentId, voidTrial, clock.nowMs()));
       },
     };
   }
 
   /**
-   * Has a call wait that got no leave.
+   * Adds a call without a permit to the waiting calls.
    *
-   * @param contentId - its content
-   * @param resume - called once, when it may ask again
-   * @returns ends the wait
+   * @param contentId - content of the call
+   * @param resume - called once, when the call may ask for a permit again
+   * @returns function that removes the call from the waiting calls
    */
   wait(contentId: string, resume: () => void): () => void {
-    const { waiting } = this.#takeAsked(contentId);
+    const { waiting } = this.#getOrCreateRequested(contentId);
     waiting.add(resume);
-    this.#schedule();
+    this.#scheduleCheck();
     return () => waiting.delete(resume);
   }
 
-  /** Wakes calls whose content is in doubt no more, and one of those that may be tried. */
-  update(): void {
+  /** Wakes all calls whose content left probation, and one call of each content due for a trial. */
+  wakeCalls(): void {
     const isOpen = this.#isTrialOpen();
-    [...this.#asked].forEach(([contentId, asked]) => {
+    [...this.#requestedContents].forEach(([contentId, requested]) => {
       const doubt = this.#options.ledger.doubts.find(contentId);
-      if (doubt && this.#computeDelayMs(doubt) === undefined) {
-        const isDue = this.#options.clock.nowMs() >= this.#computeTurnMs(contentId, doubt);
-        if (isDue && !isOpen) notifyWaiting(asked.waiting, 1);
+      if (doubt && this.#computeRetryAfterMs(doubt) === undefined) {
+        const isDue = this.#options.clock.nowMs() >= this.#computeTurnAtMs(contentId, doubt);
+        if (isDue && !isOpen) wakeLatest(requested.waiting, 1);
         return;
       }
-      if (doubt) this.#options.refuse(contentId);
-      this.#asked.delete(contentId);
-      notifyWaiting(asked.waiting, Infinity);
+      if (doubt) this.#options.refuseCalls(contentId);
+      this.#requestedContents.delete(contentId);
+      wakeLatest(requested.waiting, Infinity);
     });
   }
 
-  /** Wakes nobody any more. */
+  /** Stops waking calls and forgets those that wait. */
   stop(): void {
     this.#timer?.cancel();
-    this.#asked.clear();
+    this.#requestedContents.clear();
   }
 
-  #computeDelayMs(doubt: Doubt): number | undefined {
+  #computeRetryAfterMs(doubt: Doubt): number | undefined {
     const nowMs = this.#options.clock.nowMs();
     const delayMs = computeNextStepMs(doubt) - nowMs;
-    const isOpen = nowMs - (doubt.lastTrialAtMs ?? -Infinity) < PATIENCE_MS;
-    return delayMs <= PATIENCE_MS || isOpen ? undefined : delayMs;
+    const isOpen = nowMs - (doubt.lastTrialAtMs ?? -Infinity) < MAX_WAIT_MS;
+    return delayMs <= MAX_WAIT_MS || isOpen ? undefined : delayMs;
   }
 
-  #takeAsked(contentId: string): Asked {
-    const known = this.#asked.get(contentId);
+  #getOrCreateRequested(contentId: string): RequestedContent {
+    const known = this.#requestedContents.get(contentId);
     if (known) return known;
     const sinceMs = this.#options.clock.nowMs();
-    const asked: Asked = { sinceMs, waiting: new Set(), rank: undefined };
-    this.#asked.set(contentId, asked);
-    return asked;
+    const created: RequestedContent = {
+      requestedSinceMs: sinceMs,
+      waiting: new Set(),
+      rank: undefined,
+    };
+    this.#requestedContents.set(contentId, created);
+    return created;
   }
 
-  #computeTurnMs(contentId: string, doubt: Doubt): number {
-    const asked = this.#takeAsked(contentId);
+  #computeTurnAtMs(contentId: string, doubt: Doubt): number {
+    const requested = this.#getOrCreateRequested(contentId);
     const { trialCount } = doubt;
-    if (asked.rank?.trialCount !== trialCount) {
-      asked.rank = { trialCount, value: this.#computeRank(contentId, trialCount) };
+    if (requested.rank?.trialCount !== trialCount) {
+      requested.rank = { trialCount, value: this.#computeRank(contentId, trialCount) };
     }
-    const place = Math.min(MAX_PLACE, this.#options.ledger.doubts.findPlace(contentId));
-    const fromMs = Math.max(asked.sinceMs, this.#quietSinceMs) + place * PLACE_STEP_MS;
-    return computeTurnMs(doubt, fromMs, asked.rank.value);
+    const position = Math.min(
+      MAX_DELAYED_POSITION,
+      this.#options.ledger.doubts.findPlace(contentId),
+    );
+    const fromMs =
+      Math.max(requested.requestedSinceMs, this.#noTrialSinceMs) + position * TURN_STEP_MS;
+    return computeTurnMs(doubt, fromMs, requested.rank.value);
   }
 
-  /** Two trials at the same server would show nothing. */
+  /** Checks for an open trial; two trials at the same server at once would prove nothing. */
   #isTrialOpen(): boolean {
     const nowMs = this.#options.clock.nowMs();
     const isOpen = this.#options.ledger.doubts.findOpen(nowMs) !== undefined;
-    if (this.#wasOpen && !isOpen) this.#quietSinceMs = nowMs;
-    this.#wasOpen = isOpen;
+    if (this.#wasTrialOpen && !isOpen) this.#noTrialSinceMs = nowMs;
+    this.#wasTrialOpen = isOpen;
     return isOpen;
   }
 
@@ -206,19 +219,19 @@
     return sortByRendezvous(`${contentId} ${trialCount}`, ids).indexOf(paths.selfId);
   }
 
-  #schedule(): void {
+  #scheduleCheck(): void {
     if (this.#timer) return;
-    this.#timer = this.#options.clock.setTimer(LOOK_INTERVAL_MS, () => {
+    this.#timer = this.#options.clock.setTimer(CHECK_INTERVAL_MS, () => {
       this.#timer = undefined;
       this.#options.review();
-      this.update();
-      if (this.#asked.size > 0) this.#schedule();
+      this.wakeCalls();
+      if (this.#requestedContents.size > 0) this.#scheduleCheck();
     });
   }
 }
 
-/** Has those that came last ask again: they have the most time left for an answer. */
-function notifyWaiting(waiting: Set<() => void>, count: number): void {
+/** Wakes the calls that came last, because they have the most time left for an answer. */
+function wakeLatest(waiting: Set<() => void>, count: number): void {
   const woken = [...waiting].reverse().slice(0, count);
   woken.forEach((resume) => {
     if (waiting.delete(resume)) resume();
--- a/src/application/crashes/_trial_queue_test.ts
+++ b/src/application/crashes/_trial_queue_test.ts
@@ -3,11 +3,12 @@
 import { PassKind } from './_trial_queue.js';
 import type { CrashKeeper } from './crash_keeper.js';
 
-/** Advice to callers of what is held, in milliseconds. */
-const HELD_MS = 600_000;
+/** Retry-after time for callers of a quarantined content, in milliseconds. */
+const QUARANTINE_RETRY_MS = 600_000;
 
-t.test('entry hosts behind relays try what is in doubt three times in all', async (t) => {
-  // Guards against entry hosts that each try for themselves what word of a trial has not reached.
+t.test('entry hosts behind relays run three trials of a content in total', async (t) => {
+  // Guards against entry hosts that each run their own trials because notes of a trial have not
+  // reached them.
   const line = new CrashLine(t, ['a', 'relay-1', 'relay-2', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await line.crash(crash % 2, ['x', 'y']);
   const triedAtMs: number[] = [];
@@ -22,13 +23,14 @@
   t.same(
     [0, 1, 2, 3].map((index) => line.isHeld(index, 'x')),
     [true, true, true, true],
-    'none was answered',
+    'no trial was answered',
   );
   t.notOk(line.isHeld(0, 'y'));
 });
 
-t.test('callers between trials hear when to come back', async (t) => {
-  // Guards against an answer that gives no time, or ten minutes, while a trial may still be answered.
+t.test('callers between trials get a retry-after time', async (t) => {
+  // Guards against a refusal without a retry-after time, or with ten minutes, while a trial may
+  // still be answered.
   const line = new CrashLine(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await line.crash(0, ['x', 'y']);
   const [keeper] = line.keepers as [CrashKeeper];
@@ -40,11 +42,11 @@
   }
   const given = delaysMs.filter((delayMs) => delayMs !== undefined);
   t.ok(given.length > 0);
-  t.ok(given.every((delayMs) => delayMs <= 10_000 || delayMs === HELD_MS));
-  t.equal(delaysMs.at(-1), HELD_MS);
+  t.ok(given.every((delayMs) => delayMs <= 10_000 || delayMs === QUARANTINE_RETRY_MS));
+  t.equal(delaysMs.at(-1), QUARANTINE_RETRY_MS);
 });
 
-t.test('calls that wait are woken when their content is cleared, or held', async (t) => {
+t.test('waiting calls are woken when their content is cleared or quarantined', async (t) => {
   const line = new CrashLine(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await line.crash(0, ['x', 'y']);
   const [keeper] = line.keepers as [CrashKeeper];
@@ -56,6 +58,6 @@
   const run = { contentId: 'y', serverId: 's-9', startedAtMs, hasSucceeded: true };
   line.keepers[2]?.noteAnswered(run);
   await line.clock.advance(100);
-  t.same(woken.sort(), ['x', 'y'], 'x is all that is left, and held');
+  t.same(woken.sort(), ['x', 'y'], 'x is the only suspect left, and quarantined');
   t.ok(line.isHeld(0, 'x'));
 });
--- a/src/application/crashes/crash_keeper.ts
+++ b/src/application/crashes/crash_keeper.ts
@@ -1,5 +1,6 @@
 /**
- * Finds the requests that end backend servers, together with all entry hosts, and holds them.
+ * Detects contents that crash backend servers, together with the other entry hosts, and
+ * quarantines them.
  *
  * @module
  */
@@ -16,30 +17,30 @@
   Timer,
 } from '../../ports/mod.js';
 import { AnsweredContents } from './_answered_contents.js';
-import { CrashSharing } from './_crash_sharing.js';
+import { CrashNoteExchange } from './_crash_note_exchange.js';
 import { TrialQueue } from './_trial_queue.js';
 import type { Pass } from './_trial_queue.js';
 import type { CrashPaths } from './crash_paths.js';
-import { CrashWatch } from './crash_watch.js';
+import { CrashDetector } from './crash_watch.js';
 import type { LostRun, ServerCrash } from './crash_watch.js';
 
-/** Time in which word of what else ran at an end comes from peers, in milliseconds. */
-const SETTLE_MS = 50;
+/** Time in which peers' notes of other runs at a crash arrive, in milliseconds. */
+const NOTE_SETTLE_MS = 50;
 
 /**
- * Age up to which an end says anything of who is at the server's address now, in milliseconds.
- * Later on, the server may have been started again there.
+ * Age up to which a crash tells anything about the process at the server's address, in
+ * milliseconds. An older crash may concern a server that has restarted there since.
  */
-const FRESH_MS = 500;
+const RECENT_CRASH_MS = 500;
 
-/** Log events and metrics of verdicts. */
-const VERDICT_EVENTS: Readonly<Record<SuspectState, string>> = {
+/** Log events and metrics of a content's state changes. */
+const STATE_CHANGE_EVENTS: Readonly<Record<SuspectState, string>> = {
   [SuspectState.Free]: 'request_released',
   [SuspectState.Doubted]: 'request_doubted',
   [SuspectState.Held]: 'request_held',
 };
 
-/** What the keeper needs. */
+/** Options of {@link CrashKeeper}. */
 export interface CrashKeeperOptions {
   readonly clock: Clock;
   readonly log: EventLog;
@@ -50,84 +51,84 @@
   readonly paths: CrashPaths;
 }
 
-/** A run that has come to its end with a whole answer. */
+/** A run that ended with a complete answer. */
 export interface AnsweredRun {
   readonly contentId: string;
   readonly serverId: string;
-  /** When it was sent, on the monotonic clock. */
+  /** When the request was sent, in monotonic milliseconds. */
   readonly startedAtMs: number;
-  /** Whether the request was run to a good end. A server may answer with an error before it runs it. */
+  /** Whether the request succeeded. A server may answer with an error before it runs a request. */
   readonly hasSucceeded: boolean;
 }
 
 /**
- * A request may end every server that begins to run it. Each repeat is a request of its own, may
- * come to any entry host, and finds servers that know nothing of it; without a memory of contents
- * that all entry hosts share, one such request takes the whole service down, and every call that
- * runs beside it fails as well.
+ * Quarantines contents that crash backend servers. A content may crash every server that begins to
+ * run it. Each repeat is a new request, may arrive at any entry host, and reaches servers that know
+ * nothing of it; without a memory that all entry hosts share, one such content takes the whole
+ * service down, along with every call that runs beside it.
  */
 export class CrashKeeper {
   readonly #options: CrashKeeperOptions;
 
   readonly #ledger: CrashLedger;
 
-  readonly #watch: CrashWatch;
+  readonly #detector: CrashDetector;
 
-  readonly #sharing: CrashSharing;
+  readonly #noteExchange: CrashNoteExchange;
 
   readonly #trials: TrialQueue;
 
   #settleTimer: Timer | undefined;
 
-  readonly #answered = new AnsweredContents();
+  readonly #answeredContents = new AnsweredContents();
 
-  readonly #heldHandlers: ((contentId: string) => void)[] = [];
+  readonly #quarantineHandlers: ((contentId: string) => void)[] = [];
 
-  /** @param options - what the keeper needs */
+  /** @param options - dependencies */
   constructor(options: CrashKeeperOptions) {
     this.#options = options;
     const { paths } = options;
     this.#ledger = new CrashLedger({
-      getSettleMs: () => (paths.listTargets().length > 0 ? SETTLE_MS : 0),
+      getSettleMs: () => (paths.listTargets().length > 0 ? NOTE_SETTLE_MS : 0),
     });
     this.#trials = new TrialQueue({
       ...options,
       ledger: this.#ledger,
-      notify: (notes) => this.#sharing.notify(notes),
+      notifyPeers: (notes) => this.#noteExchange.sendNotes(notes),
       review: () => this.#review(),
-      refuse: (contentId) => this.#refuse(contentId),
+      refuseCalls: (contentId) => this.#refuseCalls(contentId),
     });
-    this.#watch = new CrashWatch({
+    this.#detector = new CrashDetector({
       ...options,
       createCrashId: (serverId) => paths.createCrashId(serverId),
       onCrash: (crash) => this.#handleCrash(crash),
     });
-    this.#sharing = new CrashSharing({
+    this.#noteExchange = new CrashNoteExchange({
       ...options,
       ledger: this.#ledger,
-      apply: (notes) => this.#applyOfPeer(notes),
+      applyNotes: (notes) => this.#applyPeerNotes(notes),
       review: () => this.#review(),
     });
   }
 
-  /** Begins to tell peers. */
+  /** Starts exchanging crash notes with peers. */
   start(): void {
-    this.#sharing.start();
+    this.#noteExchange.start();
   }
 
-  /** Tells peers no more. */
+  /** Stops exchanging crash notes and cancels the timers. */
   stop(): void {
-    this.#sharing.stop();
+    this.#noteExchange.stop();
     this.#trials.stop();
     this.#settleTimer?.cancel();
   }
 
-  /** @param handler - called with each content whose calls are refused from now on */
+  /** @param handler - called with the ID of each content whose calls are refused from now on */
   onHeld(handler: (contentId: string) => void): void {
-    this.#heldHandlers.push(handler);
+    this.#quarantineHandlers.push(handler);
   }
 
-  /** Contents that are held. */
+  /** Number of quarantined contents. */
   get heldCount(): number {
     return this.#ledger.heldCount;
   }
@@ -135,50 +136,50 @@
   /**
    * Checks whether a request may be sent to a server.
    *
-   * @param contentId - its content
-   * @returns why not; undefined when it may
+   * @param contentId - content of the request
+   * @returns the refusal; undefined when the request may be sent or wait for a permit
    */
   findRefusal(contentId: string): SchedulerError | undefined {
-    const delayMs = this.#trials.findDelayMs(contentId);
+    const delayMs = this.#trials.computeRetryAfterMs(contentId);
     if (delayMs === undefined && !this.#ledger.isHeld(contentId)) return undefined;
-    this.#sharing.notify(this.#ledger.noteSeen(contentId, this.#options.clock.nowMs()));
+    this.#noteExchange.sendNotes(this.#ledger.noteSeen(contentId, this.#options.clock.nowMs()));
     return new SchedulerError(ErrorKind.RequestHeld, {
-      message: `Cannot send the call: backend servers ended under content ${contentId}`,
+      message: `Cannot send the call: backend servers crashed while running content ${contentId}`,
       ...(delayMs === undefined ? {} : { retryAfterMs: delayMs }),
     });
   }
 
   /**
-   * Asks for leave to send a request right now. One whose content is in doubt is sent singly, and
-   * its leave is used up.
+   * Acquires a permit to send a request now. A content on probation is sent as a single trial, for
+   * which the permit is used up.
    *
-   * @param contentId - its content
-   * @param hasTime - whether its caller waits long enough for a trial to show something
-   * @returns whether it may be sent, and as what
+   * @param contentId - content of the request
+   * @param hasTime - whether the caller's deadline leaves enough time for a trial
+   * @returns the permit, which tells whether and how the request may be sent
    */
   takePass(contentId: string, hasTime = true): Pass {
-    return this.#trials.takePass(contentId, hasTime);
+    return this.#trials.acquirePermit(contentId, hasTime);
   }
 
   /**
-   * Waits until a request may ask for leave again.
+   * Waits until a request may ask for a permit again.
    *
-   * @param contentId - its content
-   * @param resume - called once, when it may; not where its content is held
-   * @returns ends the wait
+   * @param contentId - content of the request
+   * @param resume - called once, when the request may ask again
+   * @returns function that ends the wait
    */
   waitForPass(contentId: string, resume: () => void): () => void {
     return this.#trials.wait(contentId, resume);
   }
 
-  /** @param run - a run whose connection its server has closed */
+  /** Records a lost run. @param run - a run whose connection was closed by its server */
   noteLost(run: LostRun): void {
-    this.#watch.noteLost(run);
+    this.#detector.recordLostRun(run);
   }
 
   /**
-   * Takes note of an answer. Any shows that its server lives; only a success shows that its
-   * content does servers no harm.
+   * Records an answer. Any answer shows that its server is alive; only a success shows that the
+   * content is harmless.
    *
    * @param run - the run that was answered
    */
@@ -189,11 +190,11 @@
 
   #clearContent(contentId: string): void {
     const nowMs = this.#options.clock.nowMs();
-    this.#answered.note(contentId, nowMs);
+    this.#answeredContents.recordAnswer(contentId, nowMs);
     if (this.#ledger.size === 0) return;
     const notes = this.#ledger.clearContent(contentId, nowMs);
-    this.#noteVerdicts();
-    this.#sharing.notify(notes);
+    this.#publishStateChanges();
+    this.#noteExchange.sendNotes(notes);
   }
 
   #handleCrash({ serverId, crashId, runs }: ServerCrash): void {
@@ -215,53 +216,53 @@
       endedAgoMs: nowMs - endedAtMs,
       seenAgoMs: nowMs - endedAtMs,
     }));
-    this.#sharing.notify(this.#apply(notes));
+    this.#noteExchange.sendNotes(this.#applyNotes(notes));
   }
 
-  #applyOfPeer(notes: readonly CrashNote[]): CrashNote[] {
-    const news = this.#apply(notes);
-    // Whoever told of a suspect hears that this entry host knows better.
-    this.#sharing.notify(news.filter((note) => !notes.includes(note)));
-    listFresh(news).forEach((crashId) => this.#check(crashId));
+  #applyPeerNotes(notes: readonly CrashNote[]): CrashNote[] {
+    const news = this.#applyNotes(notes);
+    // Tells the peers where this entry host has evidence that clears their suspects.
+    this.#noteExchange.sendNotes(news.filter((note) => !notes.includes(note)));
+    listRecentCrashIds(news).forEach((crashId) => this.#checkPeerCrash(crashId));
     return news;
   }
 
-  /** A server that listens lives: the peer's links were cut. */
-  async #check(crashId: string): Promise<void> {
+  /** Clears a peer's crash when the server still listens: only the peer's links were cut. */
+  async #checkPeerCrash(crashId: string): Promise<void> {
     const serverId = this.#options.paths.readServerId(crashId);
     const address = this.#options.paths.findAddress(serverId);
-    if (address === undefined || !(await this.#watch.isListening(serverId, address))) return;
+    if (address === undefined || !(await this.#detector.isListening(serverId, address))) return;
     this.#clearCrash(crashId);
   }
 
   #clearCrash(crashId: string): void {
     const notes = this.#ledger.clearCrash(crashId, this.#options.clock.nowMs());
-    this.#noteVerdicts();
-    this.#sharing.notify(notes);
+    this.#publishStateChanges();
+    this.#noteExchange.sendNotes(notes);
   }
 
-  /** @returns what is news of it, with what this entry host knows better */
-  #apply(notes: readonly CrashNote[]): CrashNote[] {
+  /** @returns the notes that are new here, with this entry host's own evidence added */
+  #applyNotes(notes: readonly CrashNote[]): CrashNote[] {
     const nowMs = this.#options.clock.nowMs();
-    const known = notes.map((note) => this.#answered.reviewNote(note, nowMs));
-    const news = this.#ledger.apply(known, nowMs);
-    listFresh(news).forEach((crashId) => {
-      this.#watch.noteCrash(this.#options.paths.readServerId(crashId), crashId);
+    const reviewed = notes.map((note) => this.#answeredContents.addEvidence(note, nowMs));
+    const news = this.#ledger.apply(reviewed, nowMs);
+    listRecentCrashIds(news).forEach((crashId) => {
+      this.#detector.recordCrash(this.#options.paths.readServerId(crashId), crashId);
     });
-    this.#noteVerdicts();
+    this.#publishStateChanges();
     if (news.length > 0) this.#scheduleReview();
     return news;
   }
 
-  #refuse(contentId: string): void {
-    this.#heldHandlers.forEach((handler) => handler(contentId));
+  #refuseCalls(contentId: string): void {
+    this.#quarantineHandlers.forEach((handler) => handler(contentId));
   }
 
-  /** Judges anew once word of what else ran at an end must have come. */
+  /** Schedules a review for when peers' notes of other runs at a crash must have arrived. */
   #scheduleReview(): void {
     if (this.#settleTimer) return;
     const { clock } = this.#options;
-    this.#settleTimer = clock.setTimer(SETTLE_MS, () => {
+    this.#settleTimer = clock.setTimer(NOTE_SETTLE_MS, () => {
       this.#settleTimer = undefined;
       this.#review();
     });
@@ -269,30 +270,30 @@
 
   #review(): void {
     this.#ledger.review(this.#options.clock.nowMs());
-    this.#noteVerdicts();
+    this.#publishStateChanges();
   }
 
-  #noteVerdicts(): void {
+  #publishStateChanges(): void {
     const { log, metrics, clock } = this.#options;
-    const verdicts = this.#ledger.takeVerdicts();
-    if (verdicts.length === 0) return;
+    const changes = this.#ledger.takeVerdicts();
+    if (changes.length === 0) return;
     metrics.set('requests_held', this.#ledger.heldCount);
-    verdicts.forEach(({ contentId, state, isHeld, crashIds }) => {
-      const event = VERDICT_EVENTS[state];
+    changes.forEach(({ contentId, state, isHeld, crashIds }) => {
+      const event = STATE_CHANGE_EVENTS[state];
       log.write(LogLevel.Warn, event, { contentId, crashes: crashIds.join() });
       metrics.count(`${event}_total`);
       if (!isHeld) return;
-      this.#sharing.notify(this.#ledger.listContent(contentId, clock.nowMs()));
-      this.#refuse(contentId);
+      this.#noteExchange.sendNotes(this.#ledger.listContent(contentId, clock.nowMs()));
+      this.#refuseCalls(contentId);
     });
-    this.#trials.update();
+    this.#trials.wakeCalls();
   }
 }
 
-/** @returns crashes of a moment ago that something is suspected of */
-function listFresh(notes: readonly CrashNote[]): string[] {
-  const fresh = notes.filter(
-    ({ state, endedAgoMs }) => state === CrashState.Suspected && endedAgoMs < FRESH_MS,
+/** @returns IDs of recent crashes that the notes suspect a content of */
+function listRecentCrashIds(notes: readonly CrashNote[]): string[] {
+  const recent = notes.filter(
+    ({ state, endedAgoMs }) => state === CrashState.Suspected && endedAgoMs < RECENT_CRASH_MS,
   );
-  return [...new Set(fresh.map(({ crashId }) => crashId))];
+  return [...new Set(recent.map(({ crashId }) => crashId))];
 }
--- a/src/application/crashes/crash_keeper_test.ts
+++ b/src/application/crashes/crash_keeper_test.ts
@@ -3,10 +3,10 @@
 import type { FakeProbe } from '../../../test/support/direct_ends.js';
 import { CrashUpdateKind } from '../../ports/mod.js';
 
-t.test('word of ends goes on through relays', async (t) => {
-  // Symptom: one half of the fleet goes on sending what the other half refuses.
-  // Sequence: the servers end under calls of a host that has a link to its relay only.
-  // Cause: a relay kept to itself what it had heard.
+t.test('crash notes are forwarded through relays', async (t) => {
+  // Guards against one half of the fleet sending a content that the other half refuses. Servers
+  // crash under calls of a host that is linked to its relay only, and the relay does not forward
+  // the notes.
   const line = new CrashLine(t, ['a', 'relay-1', 'relay-2', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await line.crash(0, ['x']);
   t.same(
@@ -15,7 +15,7 @@
   );
 });
 
-t.test('word that was lost is made up for by the next digests', async (t) => {
+t.test('lost crash notes are repaired by the next digests', async (t) => {
   const line = new CrashLine(t, ['a', 'relay', 'b']);
   line.hub.silence('relay', 'b');
   for (let crash = 0; crash < 3; crash += 1) await line.crash(0, ['x']);
@@ -25,10 +25,10 @@
   t.ok(line.isHeld(2, 'x'));
 });
 
-t.test('late word of an end says nothing of the server that is there by then', async (t) => {
-  // Symptom: a run that broke at a server that lives is laid to that server's former end.
-  // Sequence: word of the end comes seconds later, and the run breaks right after it.
-  // Cause: when the word came was taken for when the server had ended.
+t.test('a late crash note is not applied to the server that has restarted since', async (t) => {
+  // Guards against attributing a run that broke at a live server to that server's earlier crash.
+  // The crash note arrives seconds late, the run breaks right after it, and the arrival time is
+  // taken for the time of the crash.
   const line = new CrashLine(t, ['a', 'relay', 'b']);
   line.hub.silence('relay', 'b');
   await line.crash(0, ['x']);
@@ -41,7 +41,7 @@
   t.same(line.probes[2]?.asked, ['s-1:80']);
 });
 
-t.test('ends that several hosts saw are joined', async (t) => {
+t.test('crashes observed by several hosts are combined', async (t) => {
   const line = new CrashLine(t, ['a', 'relay', 'b']);
   for (const index of [0, 1, 2]) await line.crash(index, ['x', `beside ${index}`]);
   await line.crash(0, ['x']);
@@ -49,26 +49,29 @@
   t.notOk(line.isHeld(2, 'beside 0'));
 });
 
-t.test('a relay that reaches the server speaks against a host that is cut off', async (t) => {
-  const line = new CrashLine(t, ['a', 'relay', 'b']);
-  const [probe] = line.probes as [FakeProbe];
-  probe.isCut = true;
-  for (let crash = 0; crash < 4; crash += 1) {
-    line.ended.clear();
-    const crashed = line.crash(0, ['x']);
-    line.ended.clear();
-    await crashed;
-  }
-  t.same(
-    [0, 1, 2].map((index) => line.isHeld(index, 'x')),
-    [false, false, false],
-  );
-});
+t.test(
+  'a relay that reaches the server clears the suspects of a host that is cut off',
+  async (t) => {
+    const line = new CrashLine(t, ['a', 'relay', 'b']);
+    const [probe] = line.probes as [FakeProbe];
+    probe.isCut = true;
+    for (let crash = 0; crash < 4; crash += 1) {
+      line.ended.clear();
+      const crashed = line.crash(0, ['x']);
+      line.ended.clear();
+      await crashed;
+    }
+    t.same(
+      [0, 1, 2].map((index) => line.isHeld(index, 'x')),
+      [false, false, false],
+    );
+  },
+);
 
-t.test('what was answered a moment ago did not end the servers that it ran at since', async (t) => {
-  // Symptom: what many callers ask for is refused on a day on which servers fail.
-  // Sequence: it runs everywhere all the time, so also at each server that ends, one after the other.
-  // Cause: only answers after the ends spoke for it.
+t.test('a recently answered content is not blamed for later crashes', async (t) => {
+  // Guards against refusing a popular content while servers fail for other reasons. The content
+  // runs everywhere at all times, so also at each server that crashes, and only answers after the
+  // crashes count as evidence for it.
   const line = new CrashLine(t, ['a', 'relay', 'b']);
   const startedAtMs = line.clock.nowMs();
   line.keepers[2]?.noteAnswered({
@@ -81,10 +84,10 @@
   t.notOk(line.isHeld(0, 'popular'));
   await line.clock.advance(120_000);
   for (let crash = 0; crash < 4; crash += 1) await line.crash(0, ['popular']);
-  t.ok(line.isHeld(0, 'popular'), 'an old answer says nothing of the servers of today');
+  t.ok(line.isHeld(0, 'popular'), 'an old answer is no evidence for later crashes');
 });
 
-t.test('nothing is said while no server has ended', async (t) => {
+t.test('no message is sent while no server has crashed', async (t) => {
   const line = new CrashLine(t, ['a', 'relay', 'b']);
   await line.clock.advance(10_000);
   t.same(line.listMessages(), []);
@@ -92,9 +95,9 @@
 });
 
 t.test('messages stay bounded while callers invent new contents', async (t) => {
-  // Symptom: links between entry hosts are full of word about requests.
-  // Sequence: a caller sends new requests all the time, and servers end under hundreds of them.
-  // Cause: all that was ever seen was told again and again.
+  // Guards against crash notes that saturate the links between entry hosts. A caller sends new
+  // contents all the time, servers crash under hundreds of them, and every note ever seen is sent
+  // again and again.
   const line = new CrashLine(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 20; crash += 1) {
     const contentIds = Array.from({ length: 200 }, (_, index) => `${crash} ${index}`);
@@ -104,11 +107,11 @@
   await line.clock.advance(10_000);
   const messages = line.listMessages();
   t.ok(messages.every(({ notes }) => notes.length <= 96));
-  // A digest, an offer and an answer a second from each end of each link.
+  // Each end of each link sends a digest, an offer and an answer per second.
   t.ok(messages.length - before <= 10 * 4 * 3 + 12);
 });
 
-t.test('hosts that know the same send digests only', async (t) => {
+t.test('hosts with the same knowledge send only digests', async (t) => {
   const line = new CrashLine(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await line.crash(0, ['x']);
   const before = line.listMessages().length;
--- a/src/application/crashes/crash_paths.ts
+++ b/src/application/crashes/crash_paths.ts
@@ -1,36 +1,36 @@
 /**
- * What differs between the two ways of a request through the entry hosts.
+ * Defines which peers exchange crash notes, and how crashes are identified.
  *
  * @module
  */
 import type { EntryHostIdentity } from '../../domain/membership/mod.js';
 
-/** Whom word of crashes goes to, and how crashes are named. */
+/** Peers that receive crash notes, and IDs of crashes; differs between the two request paths. */
 export abstract class CrashPaths {
-  /** Name of this entry host. */
+  /** ID of this entry host. */
   abstract get selfId(): string;
 
-  /** @returns names of all entry hosts that take calls, as far as this one knows */
+  /** @returns IDs of all entry hosts that take calls, as far as this one knows */
   abstract listHostIds(): readonly string[];
 
-  /** @returns peers that this entry host tells what happens here */
+  /** @returns peers that this entry host sends its own crash notes to */
   abstract listTargets(): readonly EntryHostIdentity[];
 
   /**
-   * @param from - a peer that has told something new
-   * @returns peers that hear of it only through this entry host
+   * @param from - a peer that sent new crash notes
+   * @returns peers that receive these notes only through this entry host
    */
   abstract listFurther(from: EntryHostIdentity): readonly EntryHostIdentity[];
 
-  /** @param serverId - a server that has ended. @returns a name for that, used by all entry hosts */
+  /** @param serverId - server that crashed. @returns ID of the crash, used by all entry hosts */
   abstract createCrashId(serverId: string): string;
 
   /**
-   * @param serverId - a server that a peer has found to have ended
-   * @returns its address, where this entry host is to see for itself
+   * @param serverId - a server that a peer reported as crashed
+   * @returns the server's address, where this entry host must check for itself
    */
   abstract findAddress(serverId: string): string | undefined;
 
-  /** @param crashId - names a server's end. @returns the server */
+  /** @param crashId - ID of a crash. @returns ID of the server that crashed */
   abstract readServerId(crashId: string): string;
 }
--- a/src/application/crashes/crash_watch.ts
+++ b/src/application/crashes/crash_watch.ts
@@ -1,5 +1,5 @@
 /**
- * Tells whether a backend server has ended when connections to it break.
+ * Detects whether a backend server has crashed when connections to it break.
  *
  * @module
  */
@@ -7,31 +7,31 @@
 import { Reachability } from '../../ports/mod.js';
 import type { Clock, EventLog, Metrics, ServerProbe } from '../../ports/mod.js';
 
-/** Time after a crash in which further broken runs at that server are laid to it, in milliseconds. */
+/** Time after a crash in which broken runs at the server are attributed to it, in milliseconds. */
 const SAME_CRASH_MS = 1_000;
 
-/** Most servers that are asked about at once, and most runs that are kept for each. */
-const MAX_PENDING = 64;
-const MAX_RUNS = 256;
+/** Maximum number of servers probed at once, and of lost runs kept for each. */
+const MAX_PENDING_SERVERS = 64;
+const MAX_LOST_RUNS = 256;
 
-/** Most contents that a log line names. */
-const MAX_LOGGED = 16;
+/** Maximum number of contents named in a log line. */
+const MAX_LOGGED_CONTENTS = 16;
 
-/** A run whose connection its backend server has closed before the answer was whole. */
+/** A run whose backend server closed the connection before the answer was complete. */
 export interface LostRun {
-  /** Life of the backend server. */
+  /** Backend server, or its incarnation where the request path distinguishes them. */
   readonly serverId: string;
-  /** IP number and port. */
+  /** Host name or IP address, and port. */
   readonly address: string;
   readonly contentId: string;
-  /** When it was sent and when it broke, on the monotonic clock. */
+  /** When the run was sent and when it broke, in monotonic milliseconds. */
   readonly startedAtMs: number;
   readonly endedAtMs: number;
 }
 
-/** A backend server that has ended, and the runs that broke with it. */
+/** A backend server that crashed, and the runs that broke with it. */
 export interface ServerCrash {
-  /** Names this end: the same at all entry hosts. */
+  /** ID of this crash, the same at all entry hosts. */
   readonly crashId: string;
   readonly serverId: string;
   readonly runs: readonly LostRun[];
@@ -42,107 +42,108 @@
   readonly foundAtMs: number;
 }
 
-/** What the watch needs. */
-export interface CrashWatchOptions {
+/** Options of {@link CrashDetector}. */
+export interface CrashDetectorOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
   readonly probe: ServerProbe;
-  /** @param serverId - a server that has ended. @returns a name for that */
+  /** @param serverId - a server that crashed. @returns ID of the crash */
   readonly createCrashId: (serverId: string) => string;
-  /** Called when a server has ended, and again for runs that are found to have broken with it. */
+  /** Called when a server has crashed, and again for runs found later to have broken with it. */
   readonly onCrash: (crash: ServerCrash) => void;
 }
 
 /**
- * A broken connection alone says little: servers and networks close single ones, too. A server
- * that has ended refuses new ones at once, while one that lives on accepts them. So the first
- * broken run at a server has its address tried, once for all runs that break with it.
+ * Detects crashes of backend servers by probing their addresses. A broken connection alone proves
+ * little, because servers and networks also close single connections. A crashed server refuses new
+ * connections at once, while a live server accepts them. So the first broken run at a server
+ * triggers a probe of its address, one for all runs that break with it.
  */
-export class CrashWatch {
-  readonly #options: CrashWatchOptions;
+export class CrashDetector {
+  readonly #options: CrashDetectorOptions;
 
-  /** Runs that wait for the answer, by server. */
-  readonly #pending = new Map<string, LostRun[]>();
+  /** Lost runs that wait for the result of a probe, by server. */
+  readonly #pendingRuns = new Map<string, LostRun[]>();
 
-  /** Ends that were found a moment ago, by server. */
-  readonly #crashes = new Map<string, KnownCrash>();
+  /** Recent crashes, by server. */
+  readonly #recentCrashes = new Map<string, KnownCrash>();
 
-  /** @param options - what the watch needs */
-  constructor(options: CrashWatchOptions) {
+  /** @param options - dependencies and callbacks */
+  constructor(options: CrashDetectorOptions) {
     this.#options = options;
   }
 
-  /** @param run - a run whose connection its server has closed */
-  noteLost(run: LostRun): void {
+  /** Records a lost run. @param run - a run whose connection was closed by its server */
+  recordLostRun(run: LostRun): void {
     const { serverId, endedAtMs } = run;
-    this.#prune(endedAtMs);
-    const crash = this.#crashes.get(serverId);
+    this.#removeOldCrashes(endedAtMs);
+    const crash = this.#recentCrashes.get(serverId);
     if (crash) {
       this.#options.onCrash({ serverId, crashId: crash.crashId, runs: [run] });
       return;
     }
-    const runs = this.#pending.get(serverId);
+    const runs = this.#pendingRuns.get(serverId);
     if (runs) {
-      if (runs.length < MAX_RUNS) runs.push(run);
-    } else if (this.#pending.size < MAX_PENDING) {
-      this.#pending.set(serverId, [run]);
-      this.#confirm(run);
+      if (runs.length < MAX_LOST_RUNS) runs.push(run);
+    } else if (this.#pendingRuns.size < MAX_PENDING_SERVERS) {
+      this.#pendingRuns.set(serverId, [run]);
+      this.#confirmCrash(run);
     } else this.#options.metrics.count('server_probes_total', { result: 'skipped' });
   }
 
   /**
-   * Takes it from a peer that a server has ended: what broke there and still waits for an
-   * answer broke with it.
+   * Records a crash, for instance one that a peer found: runs lost at the server that still wait
+   * for a probe are attributed to it.
    *
    * @param serverId - the server
-   * @param crashId - names its end
+   * @param crashId - ID of the crash
    */
-  noteCrash(serverId: string, crashId: string): void {
-    this.#crashes.set(serverId, { crashId, foundAtMs: this.#options.clock.nowMs() });
-    const runs = this.#pending.get(serverId);
-    this.#pending.delete(serverId);
+  recordCrash(serverId: string, crashId: string): void {
+    this.#recentCrashes.set(serverId, { crashId, foundAtMs: this.#options.clock.nowMs() });
+    const runs = this.#pendingRuns.get(serverId);
+    this.#pendingRuns.delete(serverId);
     if (runs) this.#options.onCrash({ serverId, crashId, runs });
   }
 
   /**
-   * Sees for itself where a peer has found a server to have ended. What one entry host sees may
-   * be its own links.
+   * Probes a server that a peer reported as crashed, because the peer's own links may have failed
+   * instead.
    *
    * @param serverId - the server
-   * @param address - IP number and port
-   * @returns whether anybody listens there
+   * @param address - host name or IP address, and port
+   * @returns whether a process listens at the address
    */
   async isListening(serverId: string, address: string): Promise<boolean> {
-    const reachability = await this.#ask(serverId, address);
+    const reachability = await this.#probe(serverId, address);
     return reachability === Reachability.Open;
   }
 
-  async #ask(serverId: string, address: string): Promise<Reachability> {
+  async #probe(serverId: string, address: string): Promise<Reachability> {
     const reachability = await this.#options.probe.check(address);
     this.#options.metrics.count('server_probes_total', { result: reachability });
-    const lostRuns = this.#pending.get(serverId) ?? [];
+    const lostRuns = this.#pendingRuns.get(serverId) ?? [];
     const contentIds = [...new Set(lostRuns.map(({ contentId }) => contentId))];
     this.#options.log.write(LogLevel.Info, 'backend_server_probed', {
       backendServer: serverId,
       reachability,
       lostRuns: lostRuns.length,
-      contentIds: contentIds.slice(0, MAX_LOGGED).join(),
+      contentIds: contentIds.slice(0, MAX_LOGGED_CONTENTS).join(),
     });
     return reachability;
   }
 
-  async #confirm({ serverId, address }: LostRun): Promise<void> {
-    const reachability = await this.#ask(serverId, address);
-    if (reachability !== Reachability.Refused) this.#pending.delete(serverId);
-    else if (this.#pending.has(serverId)) {
-      this.noteCrash(serverId, this.#options.createCrashId(serverId));
+  async #confirmCrash({ serverId, address }: LostRun): Promise<void> {
+    const reachability = await this.#probe(serverId, address);
+    if (reachability !== Reachability.Refused) this.#pendingRuns.delete(serverId);
+    else if (this.#pendingRuns.has(serverId)) {
+      this.recordCrash(serverId, this.#options.createCrashId(serverId));
     }
   }
 
-  #prune(nowMs: number): void {
-    this.#crashes.forEach(({ foundAtMs }, serverId) => {
-      if (nowMs - foundAtMs > SAME_CRASH_MS) this.#crashes.delete(serverId);
+  #removeOldCrashes(nowMs: number): void {
+    this.#recentCrashes.forEach(({ foundAtMs }, serverId) => {
+      if (nowMs - foundAtMs > SAME_CRASH_MS) this.#recentCrashes.delete(serverId);
     });
   }
 }
--- a/src/application/crashes/crash_watch_test.ts
+++ b/src/application/crashes/crash_watch_test.ts
@@ -3,10 +3,10 @@
 import { FakeLog, FakeMetrics } from '../../../test/support/fakes.js';
 import { settle, VirtualClock } from '../../../test/support/virtual_clock.js';
 import { Reachability } from '../../ports/mod.js';
-import { CrashWatch } from './crash_watch.js';
+import { CrashDetector } from './crash_watch.js';
 import type { LostRun, ServerCrash } from './crash_watch.js';
 
-class Watched {
+class DetectorFixture {
   readonly clock = new VirtualClock();
 
   readonly probe = new FakeProbe();
@@ -15,7 +15,7 @@
 
   readonly crashes: ServerCrash[] = [];
 
-  readonly watch = new CrashWatch({
+  readonly detector = new CrashDetector({
     clock: this.clock,
     log: this.log,
     metrics: new FakeMetrics(),
@@ -24,19 +24,19 @@
     onCrash: (crash) => this.crashes.push(crash),
   });
 
-  lose(contentId: string, serverId = 's-1'): LostRun {
+  loseRun(contentId: string, serverId = 's-1'): LostRun {
     const endedAtMs = this.clock.nowMs();
     const address = `${serverId}:80`;
     const run = { serverId, address, contentId, startedAtMs: endedAtMs - 50, endedAtMs };
-    this.watch.noteLost(run);
+    this.detector.recordLostRun(run);
     return run;
   }
 }
 
-t.test('noteLost() asks once, and lays all runs to a server that refuses', async (t) => {
-  const watched = new Watched();
+t.test('a refused probe attributes all lost runs to one crash', async (t) => {
+  const watched = new DetectorFixture();
   watched.probe.ended.set('s-1:80', Reachability.Refused);
-  const runs = [watched.lose('a'), watched.lose('b')];
+  const runs = [watched.loseRun('a'), watched.loseRun('b')];
   await settle();
   t.same(watched.crashes, [{ serverId: 's-1', crashId: 'end of s-1', runs }]);
   t.same(watched.probe.asked, ['s-1:80']);
@@ -44,34 +44,33 @@
   t.match(watched.log.lines, [{ event, fields: { reachability: 'refused', contentIds: 'a,b' } }]);
 });
 
-t.test('noteLost() lays nothing to a server that accepts connections', async (t) => {
-  // Symptom: requests are held for the end of a server that never ended.
-  // Sequence: a server, or a network, closes single connections.
-  // Cause: a closed connection was taken for the end of the process.
-  const watched = new Watched();
-  watched.lose('a');
+t.test('no crash is reported for a server that accepts connections', async (t) => {
+  // Guards against quarantining contents for a server that never crashed. A server or network
+  // closes single connections, and a closed connection is taken for the crash of the process.
+  const watched = new DetectorFixture();
+  watched.loseRun('a');
   await settle();
   t.same(watched.crashes, []);
   watched.probe.ended.set('s-2:80', Reachability.Unknown);
-  watched.lose('a', 's-2');
+  watched.loseRun('a', 's-2');
   await settle();
-  t.same(watched.crashes, [], 'nor where the way there is gone');
+  t.same(watched.crashes, [], 'no crash is reported when the server is unreachable');
 });
 
-t.test('noteLost() lays runs that are noticed late to the same crash', async (t) => {
-  const watched = new Watched();
+t.test('runs that are lost later are attributed to the same crash', async (t) => {
+  const watched = new DetectorFixture();
   watched.probe.ended.set('s-1:80', Reachability.Refused);
-  watched.lose('a');
+  watched.loseRun('a');
   await settle();
-  const late = watched.lose('b');
+  const late = watched.loseRun('b');
   t.same(watched.crashes.at(-1), { serverId: 's-1', crashId: 'end of s-1', runs: [late] });
   t.equal(watched.probe.asked.length, 1);
 });
 
-t.test('noteCrash() settles what still waits for an answer', async (t) => {
-  const watched = new Watched();
-  const run = watched.lose('a');
-  watched.watch.noteCrash('s-1', 'x');
+t.test('a reported crash takes the runs that still wait for a probe', async (t) => {
+  const watched = new DetectorFixture();
+  const run = watched.loseRun('a');
+  watched.detector.recordCrash('s-1', 'x');
   t.same(watched.crashes, [{ serverId: 's-1', crashId: 'x', runs: [run] }]);
   await settle();
   t.equal(watched.crashes.length, 1);
--- a/src/application/crashes/format_address.ts
+++ b/src/application/crashes/format_address.ts
@@ -1,16 +1,16 @@
 /**
- * Where a backend server listens.
+ * Formats the address at which a backend server listens.
  *
  * @module
  */
 
-const HTTP_PORT = '80';
+const DEFAULT_HTTP_PORT = '80';
 
 /**
- * @param url - a backend server's URL
- * @returns its host name or IP number, and its port
+ * @param url - URL of a backend server
+ * @returns host name or IP address, and port
  */
 export function formatAddress(url: string): string {
   const { hostname, port } = new URL(url);
-  return `${hostname}:${port || HTTP_PORT}`;
+  return `${hostname}:${port || DEFAULT_HTTP_PORT}`;
 }
--- a/src/application/crashes/mesh_crash_paths.ts
+++ b/src/application/crashes/mesh_crash_paths.ts
@@ -1,5 +1,5 @@
 /**
- * Word of crashes between entry hosts that are all linked with each other.
+ * Routes crash notes between entry hosts that are all linked with each other.
  *
  * @module
  */
@@ -7,30 +7,30 @@
 import type { PeerNetwork, RandomSource } from '../../ports/mod.js';
 import { CrashPaths } from './crash_paths.js';
 
-const NUMBER_BYTES = 6;
+const CRASH_NUMBER_BYTES = 6;
 
-/** Parts a server's name from the number of its end. */
+/** Separates the server's ID from the random number of the crash. */
 const SEPARATOR = '#';
 
-/** What the paths need. */
+/** Options of {@link MeshCrashPaths}. */
 export interface MeshCrashPathsOptions {
   /** Links to all other entry hosts. */
   readonly peers: PeerNetwork;
   readonly random: RandomSource;
-  /** Name of this entry host. */
+  /** ID of this entry host. */
   readonly selfId: string;
-  /** @param serverId - a server. @returns its address, unless it is gone or leaves */
+  /** @param serverId - a server. @returns its address, unless it is removed or draining */
   readonly findAddress: (serverId: string) => string | undefined;
 }
 
 /**
- * Everybody tells everybody. A server keeps its name when it starts again, so each of its ends
- * gets a random number from whoever finds it first.
+ * Sends crash notes from each entry host to all others. A server keeps its ID when it restarts, so
+ * the entry host that first finds a crash adds a random number to the ID.
  */
 export class MeshCrashPaths extends CrashPaths {
   readonly #options: MeshCrashPathsOptions;
 
-  /** @param options - what the paths need */
+  /** @param options - dependencies */
   constructor(options: MeshCrashPathsOptions) {
     super();
     this.#options = options;
@@ -53,7 +53,7 @@
   }
 
   override createCrashId(serverId: string): string {
-    return `${serverId}${SEPARATOR}${this.#options.random.nextHex(NUMBER_BYTES)}`;
+    return `${serverId}${SEPARATOR}${this.#options.random.nextHex(CRASH_NUMBER_BYTES)}`;
   }
 
   override findAddress(serverId: string): string | undefined {
@@ -61,7 +61,7 @@
   }
 
   override readServerId(crashId: string): string {
-    const end = crashId.lastIndexOf(SEPARATOR);
-    return end < 0 ? crashId : crashId.slice(0, end);
+    const separatorIndex = crashId.lastIndexOf(SEPARATOR);
+    return separatorIndex < 0 ? crashId : crashId.slice(0, separatorIndex);
   }
 }
--- a/src/application/crashes/mod.ts
+++ b/src/application/crashes/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Requests under which backend servers end, found by all entry hosts together:
+ * Detects and quarantines contents that crash backend servers, together with all entry hosts:
  * `keeper.noteLost(run)`, `keeper.noteAnswered(run)`, `keeper.findRefusal(contentId)`.
  *
  * @module
