--- a/src/application/allowances/allowance_bound_test.ts
+++ b/src/application/allowances/allowance_bound_test.ts
@@ -171,7 +171,7 @@
   );
 }
 
-t.test('AllowanceKeeper keeps the burst bound while messages are lost or delayed', async (t) => {
+t.test('AllowanceManager keeps the burst bound while messages are lost or delayed', async (t) => {
   // Guards against an account that exceeds its limit for a long time. A lease arrives late or
   // never while its share is lent to another host, because lender and borrower disagree on
   // which lease is in effect and until when.
@@ -180,7 +180,7 @@
 });
 
 t.test(
-  'AllowanceKeeper keeps the burst bound through pauses, cut links and partitions',
+  'AllowanceManager keeps the burst bound through pauses, cut links and partitions',
   async (t) => {
     // Guards against each side of a partition, or a process that resumes, using the whole limit.
     // The lender lends most of the limit, the borrower freezes or is cut off, and the lender lends
@@ -192,7 +192,7 @@
   },
 );
 
-t.test('AllowanceKeeper keeps the burst bound through restarts', async (t) => {
+t.test('AllowanceManager keeps the burst bound through restarts', async (t) => {
   // Guards against an account that gets nearly twice its limit after its lender restarts. The
   // new incarnation does not know the leases granted before and lends the same share again.
   checkRuns([Fault.RestartHome, Fault.Restart, Fault.Partition], 2 * LIMITS.inFlight, (line) =>
--- a/src/application/allowances/allowance_keeper.ts
+++ b/src/application/allowances/allowance_keeper.ts
@@ -43,7 +43,7 @@
   readonly membership: MembershipView;
   readonly peers: PeerNetwork;
   /** Duration of a lease in milliseconds. Default: {@link LEASE_LIFE_MS}. */
-  readonly leaseLifeMs?: number;
+  readonly leaseDurationMs?: number;
 }
 
 /** Admits requests by local token buckets whose rates follow the leases of the allowance lender. */
@@ -66,7 +66,7 @@
   constructor(options: AllowanceKeeperOptions) {
     super();
     this.#options = options;
-    this.#leaseDurationMs = options.leaseLifeMs ?? LEASE_LIFE_MS;
+    this.#leaseDurationMs = options.leaseDurationMs ?? LEASE_LIFE_MS;
     this.#knownIds = options.membership.listListedIds();
     this.#lender = new AllowanceLender({
       ...options,
--- a/src/application/allowances/allowance_keeper_test.ts
+++ b/src/application/allowances/allowance_keeper_test.ts
@@ -36,14 +36,14 @@
   return admitted;
 }
 
-t.test('AllowanceKeeper lends nearly the whole limit to a single busy entry host', async (t) => {
+t.test('AllowanceManager lends nearly the whole limit to a single busy entry host', async (t) => {
   const hosts = startHosts({ maxDelayMs: 5 });
   const admitted = runDemand(hosts, pickBorrower(hosts), 200, 6);
   t.comment(`admitted per second of 80: ${admitted.join(' ')}`);
   t.ok(admitted.slice(1).every((count) => count >= 0.93 * LIMITS.requestsPerSecond));
 });
 
-t.test('AllowanceKeeper shifts the limit when the demand shifts', async (t) => {
+t.test('AllowanceManager shifts the limit when the demand shifts', async (t) => {
   const hosts = startHosts({ maxDelayMs: 5 });
   const [first = '', second = ''] = IDS.filter((id) => id !== hosts.home);
   runDemand(hosts, first, 200, 4);
@@ -52,14 +52,14 @@
   t.ok(admitted.slice(3).every((count) => count >= 0.93 * LIMITS.requestsPerSecond));
 });
 
-t.test('AllowanceKeeper lends the in-flight limit to a single busy entry host', async (t) => {
+t.test('AllowanceManager lends the in-flight limit to a single busy entry host', async (t) => {
   const hosts = startHosts();
   runDemand(hosts, pickBorrower(hosts), 50, 5, 30_000);
   t.comment(`in flight of 64: ${hosts.mostRunning}`);
   t.equal(hosts.mostRunning, LIMITS.inFlight - (IDS.length - 1));
 });
 
-t.test('AllowanceKeeper admits the first request of an idle account at once', async (t) => {
+t.test('AllowanceManager admits the first request of an idle account at once', async (t) => {
   const hosts = startHosts();
   runDemand(hosts, pickBorrower(hosts), 200, 5, 200);
   IDS.forEach((id) => {
@@ -67,7 +67,7 @@
   });
 });
 
-t.test('AllowanceKeeper sends nothing for idle accounts', async (t) => {
+t.test('AllowanceManager sends nothing for idle accounts', async (t) => {
   const hosts = startHosts();
   hosts.sendRequest(pickBorrower(hosts), 100, 100);
   hosts.advance(10 * LEASE_DURATION_MS);
@@ -76,7 +76,7 @@
   t.equal(hosts.messageCount, before);
 });
 
-t.test('AllowanceKeeper requests about two leases per lease duration', async (t) => {
+t.test('AllowanceManager requests about two leases per lease duration', async (t) => {
   const hosts = startHosts();
   const before = hosts.messageCount;
   runDemand(hosts, pickBorrower(hosts), 5, 20);
@@ -86,7 +86,7 @@
 });
 
 t.test(
-  'AllowanceKeeper messages for a busy account grow linearly with the entry hosts',
+  'AllowanceManager messages for a busy account grow linearly with the entry hosts',
   async (t) => {
     const SECONDS = 10;
     [2, 4, 8, 16, 32].forEach((count) => {
@@ -104,21 +104,24 @@
   },
 );
 
-t.test('AllowanceKeeper falls back to the base share when the lender is unreachable', async (t) => {
-  // Guards against an account that gets its whole limit on each side of a partition. An entry
-  // host that borrowed nearly everything loses its link to the lender, and keeps the share after
-  // its lease has ended.
-  const hosts = startHosts();
-  const other = pickBorrower(hosts);
-  runDemand(hosts, other, 200, 4);
-  IDS.forEach((id) => hosts.setCut(other, id, true));
-  const admitted = runDemand(hosts, other, 200, 8);
-  const base = LIMITS.requestsPerSecond / IDS.length;
-  t.comment(`admitted per second after the cut: ${admitted.join(' ')}`);
-  t.ok(admitted.slice(3).every((count) => count <= base + 1 && count >= base - 1));
-});
+t.test(
+  'AllowanceManager falls back to the base share when the lender is unreachable',
+  async (t) => {
+    // Guards against an account that gets its whole limit on each side of a partition. An entry
+    // host that borrowed nearly everything loses its link to the lender, and keeps the share after
+    // its lease has ended.
+    const hosts = startHosts();
+    const other = pickBorrower(hosts);
+    runDemand(hosts, other, 200, 4);
+    IDS.forEach((id) => hosts.setCut(other, id, true));
+    const admitted = runDemand(hosts, other, 200, 8);
+    const base = LIMITS.requestsPerSecond / IDS.length;
+    t.comment(`admitted per second after the cut: ${admitted.join(' ')}`);
+    t.ok(admitted.slice(3).every((count) => count <= base + 1 && count >= base - 1));
+  },
+);
 
-t.test('AllowanceKeeper admits at most the limit once for each distinct host list', async (t) => {
+t.test('AllowanceManager admits at most the limit once for each distinct host list', async (t) => {
   // Half of the entry hosts see a host list that lacks the other half. Each list has its own
   // lender and its own division of the limit, so an account exceeds its limit although every
   // lease is correct; the test guards the bound on that excess.
@@ -137,7 +140,7 @@
   t.ok(perSecond <= 2 * (LIMITS.requestsPerSecond + LIMITS.requestsPerSecond / SECONDS));
 });
 
-t.test('AllowanceKeeper keeps a limit of 2 in flight across 8 entry hosts', async (t) => {
+t.test('AllowanceManager keeps a limit of 2 in flight across 8 entry hosts', async (t) => {
   // With an in-flight limit below the number of entry hosts, most hosts have no base share:
   // they refuse their first request and admit a later one under a lease.
   const hosts = startHosts({ limits: { ...LIMITS, inFlight: 2 } });
@@ -152,24 +155,27 @@
   t.equal(hosts.mostRunning, 2);
 });
 
-t.test('AllowanceKeeper returns a retry-after time at which the request is admitted', async (t) => {
-  const cases = [
-    { kind: ErrorKind.RateLimited, tokens: 1, runMs: 1 },
-    { kind: ErrorKind.TokensLimited, tokens: 8000, runMs: 1 },
-    { kind: ErrorKind.InFlightLimited, tokens: 1, runMs: 1000 },
-  ];
-  cases.forEach(({ kind, tokens, runMs }) => {
-    const hosts = startHosts({ ids: ['eh-1'] });
-    while (hosts.refused.length === 0 && hosts.admitted.length < 200) {
-      hosts.sendRequest('eh-1', tokens, runMs);
-      hosts.advance(kind === ErrorKind.InFlightLimited ? 13 : 2);
-    }
-    const [refusal] = hosts.refused;
-    t.equal(refusal?.kind, kind);
-    hosts.advance(refusal?.retryAfterMs ?? 0);
-    t.ok(
-      hosts.sendRequest('eh-1', tokens, 1),
-      `${kind}: admitted after ${refusal?.retryAfterMs} ms`,
-    );
-  });
-});
+t.test(
+  'AllowanceManager returns a retry-after time at which the request is admitted',
+  async (t) => {
+    const cases = [
+      { kind: ErrorKind.RateLimited, tokens: 1, runMs: 1 },
+      { kind: ErrorKind.TokensLimited, tokens: 8000, runMs: 1 },
+      { kind: ErrorKind.InFlightLimited, tokens: 1, runMs: 1000 },
+    ];
+    cases.forEach(({ kind, tokens, runMs }) => {
+      const hosts = startHosts({ ids: ['eh-1'] });
+      while (hosts.refused.length === 0 && hosts.admitted.length < 200) {
+        hosts.sendRequest('eh-1', tokens, runMs);
+        hosts.advance(kind === ErrorKind.InFlightLimited ? 13 : 2);
+      }
+      const [refusal] = hosts.refused;
+      t.equal(refusal?.kind, kind);
+      hosts.advance(refusal?.retryAfterMs ?? 0);
+      t.ok(
+        hosts.sendRequest('eh-1', tokens, 1),
+        `${kind}: admitted after ${refusal?.retryAfterMs} ms`,
+      );
+    });
+  },
+);
--- a/src/application/crashes/_trial_queue.ts
+++ b/src/application/crashes/_trial_queue.ts
@@ -24,8 +24,8 @@
 const TURN_STEP_MS = 100;
 
 /**
- * Last position that delays a turn further: with hundreds of contents on probation, each must
- * still get its turn.
+ * Positions beyond this one delay a turn no further, so that hundreds of contents on probation
+ * can't keep one of them from its turn for good.
  */
 const MAX_DELAYED_POSITION = 10;
 
--- a/src/application/entry_host/_call_resolver.ts
+++ b/src/application/entry_host/_call_resolver.ts
@@ -1,5 +1,5 @@
 /**
- * Finds what an account's contract says of a call.
+ * Resolves a call against the contract of its account.
  *
  * @module
  */
@@ -8,63 +8,64 @@
 import type { OwnedCall } from '../owner/mod.js';
 import type { CallerCall, ConfigurationView } from '../views/mod.js';
 
-/** What a call asks for, before the contract was looked at. */
-export type CallQuestion = Pick<
+/** A call as received, before its service, work kind and deadline are resolved. */
+export type ReceivedCall = Pick<
   CallerCall,
   'account' | 'serviceId' | 'workKind' | 'method' | 'path' | 'headers' | 'body' | 'deadlineMs'
 > & {
   readonly traceparent: string | undefined;
+  /** Whether the caller can read the answer again under its request ID. */
   readonly canComeBack: boolean;
 };
 
 /**
- * Resolves service, work kind and deadline of a call.
+ * Resolves the service, work kind and deadline of a call.
  *
- * @param configuration - what is in force
- * @param question - the call
- * @returns the call as its owner runs it
- * @throws SchedulerError where the contract does not allow the call
+ * @param configuration - configuration in effect
+ * @param call - the call as received
+ * @returns the resolved call, as its owner runs it
+ * @throws SchedulerError when the service is unknown or the contract does not allow the call
  */
-export function resolveCall(configuration: ConfigurationView, question: CallQuestion): OwnedCall {
-  const service = configuration.findService(question.serviceId);
+export function resolveCall(configuration: ConfigurationView, call: ReceivedCall): OwnedCall {
+  const service = configuration.findService(call.serviceId);
   if (!service) {
     throw new SchedulerError(ErrorKind.NotFound, {
-      message: `Cannot find service ${question.serviceId}`,
+      message: `Cannot find service ${call.serviceId}`,
     });
   }
-  const work = findWork(question, service);
+  const work = findWorkKind(call, service);
   return {
-    account: question.account,
+    account: call.account,
     service,
     work,
-    method: question.method,
-    path: question.path,
-    headers: question.headers,
-    body: question.body,
-    deadlineMs: resolveDeadline(question.account, work, question.deadlineMs),
-    canComeBack: question.canComeBack,
-    traceparent: question.traceparent,
+    method: call.method,
+    path: call.path,
+    headers: call.headers,
+    body: call.body,
+    deadlineMs: resolveDeadline(call.account, work, call.deadlineMs),
+    canComeBack: call.canComeBack,
+    traceparent: call.traceparent,
   };
 }
 
-function findWork(question: CallQuestion, service: Service): WorkKind {
-  const work = question.account.work.find(
+function findWorkKind(call: ReceivedCall, service: Service): WorkKind {
+  const work = call.account.work.find(
     (candidate) =>
       candidate.serviceId === service.id &&
-      (question.workKind === undefined || candidate.kind === question.workKind) &&
-      covers(candidate, question),
+      (call.workKind === undefined || candidate.kind === call.workKind) &&
+      isCovered(candidate, call),
   );
   if (work) return work;
-  const kind = question.workKind === undefined ? 'this call' : `work kind ${question.workKind}`;
+  const kind = call.workKind === undefined ? 'this call' : `work kind ${call.workKind}`;
   throw new SchedulerError(ErrorKind.ServiceNotAllowed, {
-    message: `Cannot send ${kind} to ${service.id}: the contract of ${question.account.accountId} does not name it`,
+    message: `Cannot send ${kind} to ${service.id}: the contract of ${call.account.accountId} does not name it`,
   });
 }
 
-function covers(work: WorkKind, question: CallQuestion): boolean {
-  const [path = ''] = question.path.split('?');
+function isCovered(work: WorkKind, call: ReceivedCall): boolean {
+  const [path = ''] = call.path.split('?');
   return (
-    (work.methods.length === 0 || work.methods.includes(question.method)) &&
+    (work.methods.length === 0 || work.methods.includes(call.method)) &&
     (work.pathPrefixes.length === 0 || work.pathPrefixes.some((prefix) => path.startsWith(prefix)))
   );
 }
@@ -72,9 +73,9 @@
 function resolveDeadline(
   account: AccountContract,
   work: WorkKind,
-  askedMs: number | undefined,
+  requestedMs: number | undefined,
 ): number {
-  const deadlineMs = askedMs ?? work.deadlineMs;
+  const deadlineMs = requestedMs ?? work.deadlineMs;
   if (deadlineMs <= account.longestDeadlineMs) return deadlineMs;
   throw new SchedulerError(ErrorKind.DeadlineTooLong, {
     message: `Cannot take a deadline of ${deadlineMs} ms: the contract allows ${account.longestDeadlineMs} ms`,
--- a/src/application/entry_host/_json_answer.ts
+++ b/src/application/entry_host/_json_answer.ts
@@ -1,5 +1,5 @@
 /**
- * Small JSON answers over the forwarding of peers.
+ * Encodes and decodes small JSON answers that entry hosts forward to each other.
  *
  * @module
  */
@@ -8,20 +8,20 @@
 const MAX_JSON_BYTES = 65_536;
 
 /**
- * @param value - what to say
- * @returns it as an answer for a peer
+ * @param value - value to encode
+ * @returns an answer for a peer, with the value as its JSON body
  */
-export function toJsonAnswer(value: object): ForwardedAnswer {
+export function buildJsonAnswer(value: object): ForwardedAnswer {
   return {
     head: { status: 200, headers: { 'content-type': 'application/json' } },
-    body: toChunks(Buffer.from(JSON.stringify(value))),
+    body: yieldChunk(Buffer.from(JSON.stringify(value))),
   };
 }
 
 /**
- * @param body - a body that a peer sent
- * @returns its value
- * @throws Error when it is too long or no JSON
+ * @param body - body of a peer's answer
+ * @returns the decoded value
+ * @throws Error when the body is too long or not valid JSON
  */
 export async function readJsonBody<T>(body: AsyncIterable<Uint8Array>): Promise<T> {
   const chunks: Uint8Array[] = [];
@@ -34,6 +34,6 @@
   return JSON.parse(Buffer.concat(chunks).toString('utf8')) as T;
 }
 
-async function* toChunks(bytes: Uint8Array): AsyncGenerator<Uint8Array> {
+async function* yieldChunk(bytes: Uint8Array): AsyncGenerator<Uint8Array> {
   yield bytes;
 }
--- a/src/application/entry_host/_stream_rescue.ts
+++ b/src/application/entry_host/_stream_failover.ts
@@ -1,5 +1,5 @@
 /**
- * Goes on with a stream whose owner was lost, straight from the backend server.
+ * Resumes a stream directly from the backend server when the owner of its request is lost.
  *
  * @module
  */
@@ -10,38 +10,38 @@
 import type { AnswerHead } from '../owner/mod.js';
 import type { CallerAnswer, ConfigurationView, ReadOptions } from '../views/mod.js';
 
-/** What a rescue needs. */
-export interface RescueContext {
+/** Dependencies of a stream's failover. */
+export interface FailoverContext {
   readonly configuration: ConfigurationView;
   readonly backend: BackendServerClient;
 }
 
-/** An answer that came through its owner so far. */
-export interface PassedAnswer {
+/** An answer that arrives through the owner of its request. */
+export interface RelayedAnswer {
   readonly head: AnswerHead;
   readonly body: AsyncIterable<Uint8Array>;
 }
 
-const LOST_OWNER_KINDS = new Set([ErrorKind.OwnerGone, ErrorKind.OwnerUnreachable]);
+const OWNER_LOST_KINDS = new Set([ErrorKind.OwnerGone, ErrorKind.OwnerUnreachable]);
 
 /**
- * Resumes a stream for a caller that remembers where it ran. It starts nothing:
- * the engine either still has the stream or it does not.
+ * Resumes a stream for a caller that names its backend server and stream ID. This starts no
+ * work: the engine either still has the stream or it does not.
  *
- * @param context - what it needs
+ * @param context - dependencies
  * @param id - the request's ID
- * @param error - why the owner could not be asked
- * @param options - where the caller is in the answer
+ * @param error - why the owner could not be reached
+ * @param options - the caller's position in the answer, and where the stream runs
  * @returns the rest of the answer
- * @throws SchedulerError the given one, where the stream can't be resumed
+ * @throws SchedulerError the given error, when the stream can't be resumed
  */
 export async function resumeForCaller(
-  context: RescueContext,
+  context: FailoverContext,
   id: RequestId,
   error: unknown,
   options: ReadOptions,
 ): Promise<CallerAnswer> {
-  const answer = isLostOwner(error) ? await resumeStream(context, options) : undefined;
+  const answer = isOwnerLost(error) ? await resumeStream(context, options) : undefined;
   if (!answer) throw error;
   return {
     requestId: id.text,
@@ -57,32 +57,32 @@
 }
 
 /**
- * Passes an answer on and, should its owner be lost in the middle, goes on from
- * the backend server at the same byte.
+ * Relays an answer and, if its owner is lost in the middle, continues from the
+ * backend server at the same byte.
  *
- * @param context - what it needs
+ * @param context - dependencies
  * @param id - the request's ID
- * @param answer - the answer as it comes from the owner
- * @param start - the first byte's offset, and the caller's connection
+ * @param answer - the answer as it arrives from the owner
+ * @param start - offset of the first byte, and the signal that the caller has disconnected
  * @returns the answer for the caller
  */
-export function passWithRescue(
-  context: RescueContext,
+export function relayWithFailover(
+  context: FailoverContext,
   id: RequestId,
-  answer: PassedAnswer,
+  answer: RelayedAnswer,
   start: { readonly offset: number; readonly callerGone: AbortSignal },
 ): CallerAnswer {
   return {
     requestId: id.text,
     status: answer.head.status,
     headers: answer.head.headers,
-    body: readWithRescue(context, answer, start),
+    body: readWithFailover(context, answer, start),
   };
 }
 
-async function* readWithRescue(
-  context: RescueContext,
-  answer: PassedAnswer,
+async function* readWithFailover(
+  context: FailoverContext,
+  answer: RelayedAnswer,
   start: { readonly offset: number; readonly callerGone: AbortSignal },
 ): AsyncGenerator<Uint8Array> {
   let { offset } = start;
@@ -93,7 +93,7 @@
     }
   } catch (error) {
     const { headers } = answer.head;
-    const rest = isLostOwner(error)
+    const rest = isOwnerLost(error)
       ? await resumeStream(context, {
           offset,
           backendServer: headers['backend-server'],
@@ -107,7 +107,7 @@
 }
 
 async function resumeStream(
-  context: RescueContext,
+  context: FailoverContext,
   options: ReadOptions,
 ): Promise<BackendAnswer | undefined> {
   const backendServer = context.configuration.findBackendServer(options.backendServer ?? '');
@@ -137,6 +137,6 @@
   }
 }
 
-function isLostOwner(error: unknown): boolean {
-  return error instanceof SchedulerError && LOST_OWNER_KINDS.has(error.kind);
+function isOwnerLost(error: unknown): boolean {
+  return error instanceof SchedulerError && OWNER_LOST_KINDS.has(error.kind);
 }
--- a/src/application/entry_host/at_most_once_test.ts
+++ b/src/application/entry_host/at_most_once_test.ts
@@ -1,6 +1,6 @@
 /**
- * The promises about running, over several owners on one virtual clock, in
- * random orders of copies, losses, freezes, kills and cuts.
+ * Checks that no request runs twice and that refusals are truthful, with several owners on one
+ * virtual clock and random sequences of repeated calls, link losses, freezes and kills.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 
 type LinkChange = 'cut' | 'silence' | 'heal';
 
-/** One step of a random history. */
+/** One step of a random sequence of events. */
 type Action =
   | { readonly kind: 'assign'; readonly host: number; readonly work: 'notice' | 'lookup' }
   | { readonly kind: 'submit'; readonly request: number; readonly host: number }
@@ -84,27 +84,27 @@
 
 const histories = fc.array(action, { minLength: 10, maxLength: 60, size: 'max' });
 
-interface GivenRequest {
+interface AssignedRequest {
   readonly id: string;
   readonly work: string;
   readonly body: string;
 }
 
-/** What a caller saw of one call. */
-interface Sighting {
-  readonly request: GivenRequest;
+/** The result that a caller observed for one call. */
+interface CallObservation {
+  readonly request: AssignedRequest;
   readonly offset: number;
   text: string | undefined;
   error: SchedulerError | undefined;
 }
 
-/** Plays a history and keeps what callers saw. */
+/** Runs the steps of a random history and records the results that callers observe. */
 class History {
   readonly world: OwnerWorld;
 
-  readonly given: GivenRequest[] = [];
+  readonly assignedRequests: AssignedRequest[] = [];
 
-  readonly sightings: Sighting[] = [];
+  readonly observations: CallObservation[] = [];
 
   readonly #incarnations = new Map<string, number>();
 
@@ -115,13 +115,13 @@
   }
 
   async play(actions: readonly Action[]): Promise<void> {
-    for (const step of actions) await this.#act(step);
+    for (const step of actions) await this.#applyAction(step);
     this.world.hub.healAll();
     this.world.hosts.forEach((each) => each.gate.thaw());
     await this.world.clock.advance(SETTLE_MS);
   }
 
-  async #act(step: Action): Promise<void> {
+  async #applyAction(step: Action): Promise<void> {
     const { world } = this;
     if (step.kind === 'advance') await world.clock.advance(step.ms);
     else if (step.kind === 'fate') world.backend.fates.push(step.fate);
@@ -137,12 +137,12 @@
 
   async #assign(at: number, work: string): Promise<void> {
     const { id } = await this.#findHost(at).gateway.assign(ACCOUNT, undefined);
-    this.given.push({ id, work, body: `body-${this.given.length}` });
+    this.assignedRequests.push({ id, work, body: `body-${this.assignedRequests.length}` });
   }
 
   #submit(which: number, at: number): void {
-    const given = this.#findGiven(which);
-    this.#watch(given, 0, () =>
+    const given = this.#findRequest(which);
+    this.#observeCall(given, 0, () =>
       this.#findHost(at).gateway.submit({
         account: ACCOUNT,
         requestId: given.id,
@@ -160,9 +160,9 @@
   }
 
   #read(which: number, at: number, part: number): void {
-    const given = this.#findGiven(which);
+    const given = this.#findRequest(which);
     const offset = Math.floor((buildExpectedAnswer(given.body).length * part) / 100);
-    this.#watch(given, offset, () =>
+    this.#observeCall(given, offset, () =>
       this.#findHost(at).gateway.read(ACCOUNT, given.id, {
         offset,
         backendServer: 'server-1',
@@ -173,37 +173,47 @@
   }
 
   #cancel(which: number, at: number): void {
-    const given = this.#findGiven(which);
-    const sighting: Sighting = { request: given, offset: 0, text: undefined, error: undefined };
+    const given = this.#findRequest(which);
+    const observation: CallObservation = {
+      request: given,
+      offset: 0,
+      text: undefined,
+      error: undefined,
+    };
     this.#findHost(at)
       .gateway.cancel(ACCOUNT, given.id)
       .then((report) => {
         if (report.run !== RunOutcome.NotRun) return;
-        // A report that says `not_run` is a promise like a refusal's.
-        sighting.error = new SchedulerError('cancelled' as never, { run: report.run });
-        this.sightings.push(sighting);
+        // A report with `not_run` asserts the same as a refusal with it, so it is checked alike.
+        observation.error = new SchedulerError('cancelled' as never, { run: report.run });
+        this.observations.push(observation);
       })
       .catch(() => undefined);
   }
 
-  #watch(given: GivenRequest, offset: number, call: () => Promise<CallerAnswer>): void {
-    const sighting: Sighting = { request: given, offset, text: undefined, error: undefined };
-    this.sightings.push(sighting);
+  #observeCall(given: AssignedRequest, offset: number, call: () => Promise<CallerAnswer>): void {
+    const observation: CallObservation = {
+      request: given,
+      offset,
+      text: undefined,
+      error: undefined,
+    };
+    this.observations.push(observation);
     const finish = async (): Promise<void> => {
       const chunks: Uint8Array[] = [];
       const answer = await call();
       for await (const bytes of answer.body) chunks.push(bytes);
-      sighting.text = Buffer.concat(chunks).toString();
+      observation.text = Buffer.concat(chunks).toString();
     };
     finish().catch((error: unknown) => {
       if (!(error instanceof SchedulerError)) throw error;
-      sighting.error = error;
+      observation.error = error;
     });
   }
 
-  #findGiven(which: number): GivenRequest {
-    const given = this.given[which % this.given.length];
-    if (!given) throw new Error('no request was given out');
+  #findRequest(which: number): AssignedRequest {
+    const given = this.assignedRequests[which % this.assignedRequests.length];
+    if (!given) throw new Error('no request ID was assigned');
     return given;
   }
 
@@ -235,15 +245,15 @@
   }
 }
 
-/** Names each promise that a history broke. */
-function findBroken(history: History): string[] {
+/** Describes each guarantee that a history violated. */
+function findViolations(history: History): string[] {
   const { runs } = history.world.backend;
   const broken: string[] = [];
-  history.given.forEach(({ id, body }) => {
+  history.assignedRequests.forEach(({ id, body }) => {
     const count = runs.filter((run) => run.requestId === id).length;
     if (count > 1) broken.push(`${body} ran ${count} times`);
   });
-  history.sightings.forEach(({ request: given, offset, text, error }) => {
+  history.observations.forEach(({ request: given, offset, text, error }) => {
     const hasRun = runs.some((run) => run.requestId === given.id);
     if (error?.run === RunOutcome.NotRun && hasRun) {
       broken.push(`${given.body} was refused as not run (${error.kind}), and ran`);
@@ -256,7 +266,7 @@
 }
 
 t.test(
-  'no history of copies, kills, freezes and cuts runs a request twice or tells a lie',
+  'no history of repeats, kills, freezes and cuts runs a request twice or reports falsely',
   async (t) => {
     let runs = 0;
     await fc.assert(
@@ -265,7 +275,7 @@
         await history.play([{ kind: 'assign', host: 0, work: 'notice' }, ...actions]);
         history.world.hosts.forEach((each) => each.kill());
         runs += history.world.backend.runs.length;
-        const broken = findBroken(history);
+        const broken = findViolations(history);
         if (broken.length > 0) throw new Error(broken.join('; '));
       }),
       { seed: 42, numRuns: 400 },
--- a/src/application/entry_host/caller_gateway.ts
+++ b/src/application/entry_host/caller_gateway.ts
@@ -1,5 +1,5 @@
 /**
- * What callers ask, answered here or by the owner.
+ * Handles callers' requests, at this entry host or by forwarding them to the request's owner.
  *
  * @module
  */
@@ -22,11 +22,11 @@
   RequestReport,
 } from '../views/mod.js';
 import { readJsonBody } from './_json_answer.js';
-import { passWithRescue, resumeForCaller } from './_stream_rescue.js';
+import { relayWithFailover, resumeForCaller } from './_stream_failover.js';
 import type { IdentityIssuer } from './identity_issuer.js';
 import type { OwnedCalls } from './owned_calls.js';
 
-/** Options of the gateway. */
+/** Options of {@link CallerGateway}. */
 export interface CallerGatewayOptions {
   readonly configuration: ConfigurationView;
   readonly membership: MembershipView;
@@ -47,11 +47,11 @@
   idempotencyKey: undefined,
 };
 
-/** Takes callers' calls in; see {@link RequestGateway}. */
+/** Accepts calls from callers; see {@link RequestGateway}. */
 export class CallerGateway extends RequestGateway {
   readonly #options: CallerGatewayOptions;
 
-  /** @param options - what it needs */
+  /** @param options - dependencies */
   constructor(options: CallerGatewayOptions) {
     super();
     this.#options = options;
@@ -59,16 +59,16 @@
 
   override authenticate(apiKey: string | undefined): AccountContract {
     const { configuration } = this.#options;
-    if (apiKey === undefined) throw buildUnauthenticated('no key was sent');
-    // A lookup by hash needs no comparison in constant time: what an attacker
-    // could learn from its duration is about hashes, not about keys.
+    if (apiKey === undefined) throw buildUnauthenticatedError('it has no API key');
+    // A lookup by hash needs no constant-time comparison: its duration reveals
+    // something about hashes, not about keys.
     const keyHash = createHash('sha256').update(apiKey).digest('hex');
     const account = configuration.findAccountByKeyHash(keyHash);
     if (account) return account;
     if (configuration.listAccounts().length > 0)
-      throw buildUnauthenticated('no contract has the key');
+      throw buildUnauthenticatedError('no contract has its API key');
     throw new SchedulerError(ErrorKind.ConfigurationMissing, {
-      message: 'Cannot tell accounts apart: no contract is in force here yet',
+      message: 'Cannot identify the account: no contract is in effect at this entry host yet',
     });
   }
 
@@ -90,13 +90,13 @@
     if (call.requestId === undefined) {
       const owned = calls.resolve(call);
       const id = issuer.createId(accountId);
-      if (!owned.work.repeatable) throw buildIdRequired(owned, id);
+      if (!owned.work.repeatable) throw buildIdRequiredError(owned, id);
       return calls.submit(id, owned, call.callerGone);
     }
     const id = issuer.parseId(call.requestId, accountId);
     const owned = calls.resolveForId(call, id);
-    if (calls.isOwn(id)) return calls.submit(id, owned, call.callerGone);
-    return this.#submitElsewhere(id, call, owned);
+    if (calls.isOwned(id)) return calls.submit(id, owned, call.callerGone);
+    return this.#forwardSubmit(id, call, owned);
   }
 
   override async read(
@@ -107,7 +107,7 @@
     const { issuer, calls } = this.#options;
     const id = issuer.parseId(requestId, account.accountId);
     try {
-      if (calls.isOwn(id)) return await calls.read(id, options);
+      if (calls.isOwned(id)) return await calls.read(id, options);
       const { accountId } = account;
       const { offset } = options;
       const answer = await this.#forward(
@@ -115,7 +115,7 @@
         { operation: ForwardOperation.Read, accountId, offset },
         options.callerGone,
       );
-      return passWithRescue(this.#options, id, answer, options);
+      return relayWithFailover(this.#options, id, answer, options);
     } catch (error) {
       return resumeForCaller(this.#options, id, error, options);
     }
@@ -124,15 +124,15 @@
   override async readState(account: AccountContract, requestId: string): Promise<RequestReport> {
     const { issuer, calls, owner } = this.#options;
     const id = issuer.parseId(requestId, account.accountId);
-    if (calls.isOwn(id)) return owner.readState(id);
-    return this.#forwardForReport(id, ForwardOperation.ReadState, account.accountId);
+    if (calls.isOwned(id)) return owner.readState(id);
+    return this.#forwardReportRequest(id, ForwardOperation.ReadState, account.accountId);
   }
 
   override async cancel(account: AccountContract, requestId: string): Promise<RequestReport> {
     const { issuer, calls, owner } = this.#options;
     const id = issuer.parseId(requestId, account.accountId);
-    if (calls.isOwn(id)) return owner.cancel(id);
-    return this.#forwardForReport(id, ForwardOperation.Cancel, account.accountId);
+    if (calls.isOwned(id)) return owner.cancel(id);
+    return this.#forwardReportRequest(id, ForwardOperation.Cancel, account.accountId);
   }
 
   override listModels(account: AccountContract): readonly string[] {
@@ -147,7 +147,7 @@
     return this.#options.configuration.findServiceByModel(model)?.id;
   }
 
-  async #submitElsewhere(id: RequestId, call: CallerCall, owned: OwnedCall): Promise<CallerAnswer> {
+  async #forwardSubmit(id: RequestId, call: CallerCall, owned: OwnedCall): Promise<CallerAnswer> {
     const answer = await this.#forward(
       id,
       {
@@ -166,66 +166,71 @@
       },
       call.callerGone,
     );
-    return passWithRescue(this.#options, id, answer, { offset: 0, callerGone: call.callerGone });
+    return relayWithFailover(this.#options, id, answer, { offset: 0, callerGone: call.callerGone });
   }
 
   async #findIdByKey(accountId: string, key: string): Promise<RequestId> {
     const { issuer, membership, forwardClient } = this.#options;
     const responsible = membership.pickResponsible(`idempotency/${accountId}/${key}`);
     if (responsible.incarnation === membership.self.incarnation) {
-      return issuer.findOrCreateByKey(accountId, key);
+      return issuer.getOrCreateByKey(accountId, key);
     }
     const operation = ForwardOperation.Assign;
     const fields = { ...EMPTY_FIELDS, operation, accountId, idempotencyKey: key };
     try {
       const { id: ownerId, incarnation } = responsible;
-      const { body } = await forwardClient.forward(ownerId, incarnation, fields, createPatience());
+      const { body } = await forwardClient.forward(
+        ownerId,
+        incarnation,
+        fields,
+        createUnabortedSignal(),
+      );
       const { id } = await readJsonBody<{ id: string }>(body);
       return issuer.parseId(id, accountId);
     } catch {
-      // A convenience only: without it the caller gets an ID that a repeated
-      // question won't give again.
-      return issuer.findOrCreateByKey(accountId, key);
+      // The key is a convenience only: when the responsible host fails, the caller gets
+      // an ID that a repeated assignment will not return.
+      return issuer.getOrCreateByKey(accountId, key);
     }
   }
 
-  async #forwardForReport(
+  async #forwardReportRequest(
     id: RequestId,
     operation: ForwardOperation,
     accountId: string,
   ): Promise<RequestReport> {
-    const { body } = await this.#forward(id, { operation, accountId }, createPatience());
+    const { body } = await this.#forward(id, { operation, accountId }, createUnabortedSignal());
     return readJsonBody<RequestReport>(body);
   }
 
   #forward(
     id: RequestId,
     fields: Partial<ForwardFields>,
-    callerGone: AbortSignal,
+    disconnectSignal: AbortSignal,
   ): ReturnType<ForwardClient['forward']> {
     return this.#options.forwardClient.forward(
       id.ownerId,
       id.incarnation,
       { ...EMPTY_FIELDS, ...fields, requestId: id.text },
-      callerGone,
+      disconnectSignal,
     );
   }
 }
 
-/** A signal for short questions to a peer, which no caller's connection ends. */
-function createPatience(): AbortSignal {
+/** Creates a signal that never aborts, for short requests to a peer. */
+function createUnabortedSignal(): AbortSignal {
   return new AbortController().signal;
 }
 
-function buildUnauthenticated(reason: string): SchedulerError {
+function buildUnauthenticatedError(reason: string): SchedulerError {
   return new SchedulerError(ErrorKind.Unauthenticated, {
-    message: `Cannot tell whose call this is: ${reason}`,
+    message: `Cannot authenticate the call: ${reason}`,
   });
 }
 
-function buildIdRequired(call: OwnedCall, id: RequestId): SchedulerError {
+function buildIdRequiredError(call: OwnedCall, id: RequestId): SchedulerError {
   return new SchedulerError(ErrorKind.RequestIdRequired, {
-    message: `Cannot run work kind ${call.work.kind} without a request ID: it must not be repeated; send it again with this one`,
+    message: `Cannot run work kind ${call.work.kind} without a request ID: it is not repeatable; send the call again with the given ID`,
     requestId: id.text,
   });
 }
--- a/src/application/entry_host/forwarded_calls.ts
+++ b/src/application/entry_host/forwarded_calls.ts
@@ -1,5 +1,5 @@
 /**
- * Calls that peers pass on to their owner.
+ * Handles calls that peers forward to this entry host as the owner of their requests.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { ForwardedAnswer } from '../forwarding/mod.js';
 import type { OwnerService } from '../owner/mod.js';
 import type { CallerAnswer, ConfigurationView } from '../views/mod.js';
-import { toJsonAnswer } from './_json_answer.js';
+import { buildJsonAnswer } from './_json_answer.js';
 import type { IdentityIssuer } from './identity_issuer.js';
 import type { OwnedCalls } from './owned_calls.js';
 
@@ -22,58 +22,63 @@
   readonly calls: OwnedCalls;
 }
 
-/** Answers what peers pass on. */
+/** Answers calls that peers forward. */
 export class ForwardedCalls {
   readonly #options: ForwardedCallsOptions;
 
-  /** @param options - what it needs */
+  /** @param options - dependencies */
   constructor(options: ForwardedCallsOptions) {
     this.#options = options;
   }
 
   /**
-   * Answers one call.
+   * Answers one forwarded call.
    *
    * @param message - the call
-   * @param callerGone - aborted when the caller behind the peer is gone
+   * @param disconnectSignal - aborted when the caller disconnects from the peer
    * @returns the answer
-   * @throws SchedulerError when it is refused or fails
+   * @throws SchedulerError when the call is refused or fails
    */
-  async handle(message: ForwardCallMessage, callerGone: AbortSignal): Promise<ForwardedAnswer> {
+  async handle(
+    message: ForwardCallMessage,
+    disconnectSignal: AbortSignal,
+  ): Promise<ForwardedAnswer> {
     const { issuer, owner, calls } = this.#options;
     if (message.operation === ForwardOperation.Assign) {
       const key = message.idempotencyKey ?? '';
-      return toJsonAnswer({ id: issuer.findOrCreateByKey(message.accountId, key).text });
+      return buildJsonAnswer({ id: issuer.getOrCreateByKey(message.accountId, key).text });
     }
     const id = issuer.parseId(message.requestId, message.accountId);
     switch (message.operation) {
       case ForwardOperation.ReadState:
-        return toJsonAnswer(owner.readState(id));
+        return buildJsonAnswer(owner.readState(id));
       case ForwardOperation.Cancel:
-        return toJsonAnswer(owner.cancel(id));
+        return buildJsonAnswer(owner.cancel(id));
       case ForwardOperation.Read:
-        return toForwarded(await calls.read(id, { offset: message.offset, callerGone }));
+        return toForwardedAnswer(
+          await calls.read(id, { offset: message.offset, callerGone: disconnectSignal }),
+        );
       default:
-        return toForwarded(await this.#submit(id, message, callerGone));
+        return toForwardedAnswer(await this.#submit(id, message, disconnectSignal));
     }
   }
 
   async #submit(
     id: RequestId,
     message: ForwardCallMessage,
-    callerGone: AbortSignal,
+    disconnectSignal: AbortSignal,
   ): Promise<CallerAnswer> {
     const { configuration, calls } = this.#options;
     const { call, traceparent } = message;
     const account = configuration.findAccount(message.accountId);
     if (!account || !call) {
-      throw calls.correctRun(id, new SchedulerError(ErrorKind.ConfigurationMissing));
+      throw calls.correctRunOutcome(id, new SchedulerError(ErrorKind.ConfigurationMissing));
     }
     const owned = calls.resolveForId({ ...call, account, traceparent }, id);
-    return calls.submit(id, owned, callerGone);
+    return calls.submit(id, owned, disconnectSignal);
   }
 }
 
-function toForwarded(answer: CallerAnswer): ForwardedAnswer {
+function toForwardedAnswer(answer: CallerAnswer): ForwardedAnswer {
   return { head: { status: answer.status, headers: answer.headers }, body: answer.body };
 }
--- a/src/application/entry_host/identity_issuer.ts
+++ b/src/application/entry_host/identity_issuer.ts
@@ -1,5 +1,5 @@
 /**
- * Gives out request IDs and the addresses to use them at.
+ * Issues request IDs, with the addresses of the entry hosts at which callers use them.
  *
  * @module
  */
@@ -14,36 +14,36 @@
 const NONCE_BYTES = 12;
 const MAX_IDEMPOTENCY_KEYS = 20_000;
 
-/** Options of the issuer. */
+/** Options of {@link IdentityIssuer}. */
 export interface IdentityIssuerOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly membership: MembershipView;
   readonly peers: PeerNetwork;
-  /** Key that all entry hosts share. */
+  /** Secret that all entry hosts share, used to sign request IDs. */
   readonly clusterKey: Uint8Array;
-  /** Life of a request ID, in milliseconds. */
+  /** Lifetime of a request ID, in milliseconds. */
   readonly requestIdLifetimeMs: number;
-  /** How long callers may keep addresses, in milliseconds. */
+  /** How long callers may use the addresses of an assignment, in milliseconds. */
   readonly keepAddressMs: number;
 }
 
-/** Creates request IDs, checks them, and says which entry host to use. */
+/** Creates and verifies request IDs, and selects the entry hosts that callers use. */
 export class IdentityIssuer {
   readonly #options: IdentityIssuerOptions;
 
-  /** IDs by account and idempotency key, oldest first. */
-  readonly #byIdempotencyKey = new Map<string, RequestId>();
+  /** Request IDs by account and idempotency key, oldest first. */
+  readonly #idsByIdempotencyKey = new Map<string, RequestId>();
 
-  /** @param options - what it needs */
+  /** @param options - dependencies and settings */
   constructor(options: IdentityIssuerOptions) {
     this.#options = options;
   }
 
   /**
-   * @param accountId - whom the ID is for
-   * @param owner - who will own the request; itself by default
-   * @returns a fresh ID
+   * @param accountId - the account that the ID is issued to
+   * @param owner - entry host that will own the request; this entry host by default
+   * @returns a new request ID
    */
   createId(accountId: string, owner: EntryHostIdentity = this.#options.membership.self): RequestId {
     const { clock, random, clusterKey, requestIdLifetimeMs } = this.#options;
@@ -60,53 +60,53 @@
   }
 
   /**
-   * Parses an ID and checks that it was given to this account.
+   * Parses a request ID and checks that it was issued to the account.
    *
-   * @param text - the ID as it came
-   * @param accountId - whose call it came with
-   * @returns what it says
+   * @param text - the ID as received
+   * @param accountId - account of the call that carried the ID
+   * @returns the parsed ID
    * @throws SchedulerError of kind RequestIdInvalid
    */
   parseId(text: string, accountId: string): RequestId {
     const id = parseRequestId(text, this.#options.clusterKey);
     if (id.accountHash === hashAccountId(accountId)) return id;
     throw new SchedulerError(ErrorKind.RequestIdInvalid, {
-      message: 'Cannot use this request ID: it was given to another account',
+      message: 'Cannot use this request ID: it was issued to another account',
     });
   }
 
-  /** @returns an owner for a new request, evenly among the entry hosts that take new callers */
+  /** @returns an owner for a new request, chosen uniformly at random among reachable hosts */
   pickOwner(): EntryHostIdentity {
     const { membership, random } = this.#options;
-    const live = this.#listReachable().map((view) => view.identity);
-    return live[Math.floor(random.nextFraction() * live.length)] ?? membership.self;
+    const candidates = this.#listReachable().map((view) => view.identity);
+    return candidates[Math.floor(random.nextFraction() * candidates.length)] ?? membership.self;
   }
 
   /**
-   * Finds or creates the ID of an idempotency key. It is the same while this
-   * entry host lives; no promise rests on it.
+   * Finds or creates the request ID for an idempotency key. The ID is kept in memory, at most
+   * until this process ends; no guarantee depends on it.
    *
-   * @param accountId - whose key
-   * @param key - the key
-   * @returns the ID
+   * @param accountId - account that sent the key
+   * @param key - the idempotency key
+   * @returns the request ID
    */
-  findOrCreateByKey(accountId: string, key: string): RequestId {
+  getOrCreateByKey(accountId: string, key: string): RequestId {
     const mapKey = JSON.stringify([accountId, key]);
-    const known = this.#byIdempotencyKey.get(mapKey);
+    const known = this.#idsByIdempotencyKey.get(mapKey);
     if (known && known.expiresAtMs > this.#options.clock.wallMs()) return known;
     const id = this.createId(accountId, this.pickOwner());
-    this.#byIdempotencyKey.delete(mapKey);
-    this.#byIdempotencyKey.set(mapKey, id);
-    const [oldest] = this.#byIdempotencyKey.keys();
-    if (this.#byIdempotencyKey.size > MAX_IDEMPOTENCY_KEYS && oldest !== undefined) {
-      this.#byIdempotencyKey.delete(oldest);
+    this.#idsByIdempotencyKey.delete(mapKey);
+    this.#idsByIdempotencyKey.set(mapKey, id);
+    const [oldest] = this.#idsByIdempotencyKey.keys();
+    if (this.#idsByIdempotencyKey.size > MAX_IDEMPOTENCY_KEYS && oldest !== undefined) {
+      this.#idsByIdempotencyKey.delete(oldest);
     }
     return id;
   }
 
   /**
    * @param id - a request ID
-   * @returns what callers are told with it
+   * @returns the assignment for the caller: the ID, its owner and other entry hosts to use
    */
   buildAssignment(id: RequestId): Assignment {
     const { membership, random, keepAddressMs } = this.#options;
@@ -116,17 +116,17 @@
     const owner = membership.findIncarnation(id.incarnation)?.identity ?? membership.self;
     return {
       id: id.text,
-      entryHost: toAddress(owner),
-      entryHosts: sorted.filter((host) => host.id !== owner.id).map(toAddress),
+      entryHost: toCallerAddress(owner),
+      entryHosts: sorted.filter((host) => host.id !== owner.id).map(toCallerAddress),
       keepMs: keepAddressMs,
     };
   }
 
   /**
-   * Lists entry hosts that callers can be sent to. A process that was killed
-   * stays live for its peers until it is suspected, yet its links go at once:
-   * who has no link now is left out, so that callers aren't sent to a dead
-   * address for that time.
+   * Lists entry hosts that callers can be directed to. Peers regard a killed
+   * process as live until they suspect it, but its links close at once. Hosts
+   * without a link are left out, so that callers are not sent to a dead address
+   * in the meantime.
    */
   #listReachable(): readonly EntryHostView[] {
     const { membership, peers } = this.#options;
@@ -140,6 +140,6 @@
   }
 }
 
-function toAddress(identity: EntryHostIdentity): CallerAddress {
+function toCallerAddress(identity: EntryHostIdentity): CallerAddress {
   return { id: identity.id, url: identity.url };
 }
--- a/src/application/entry_host/identity_issuer_test.ts
+++ b/src/application/entry_host/identity_issuer_test.ts
@@ -27,28 +27,34 @@
   return counts;
 }
 
-t.test('IdentityIssuer spreads new requests over all entry hosts', async (t) => {
+t.test('RequestIdIssuer distributes new requests over all entry hosts', async (t) => {
   const counts = await countOwners(startHosts()[0]);
   t.same([...counts.keys()].sort(), ['entry-a', 'entry-b', 'entry-c']);
   t.ok(Math.min(...counts.values()) > ASSIGNMENTS / 6);
 });
 
-t.test('IdentityIssuer names no entry host whose links went, before it is suspected', async (t) => {
-  // Symptom: callers' connections refused for two seconds after a kill.
-  // Sequence: an entry host was killed; until it was suspected, its peers went
-  // on to give out IDs that it owned. Cause: live in the view is not reachable.
-  const [first, second] = startHosts();
-  second?.kill();
-  const counts = await countOwners(first);
-  t.same([...counts.keys()].sort(), ['entry-a', 'entry-c']);
-  const assignment = await first?.gateway.assign(ACCOUNT, undefined);
-  t.notOk(assignment?.entryHosts.some((host) => host.id === 'entry-b'));
-});
+t.test(
+  'RequestIdIssuer leaves out an entry host without links before it is suspected',
+  async (t) => {
+    // Guards against refused callers' connections for two seconds after an entry host is killed.
+    // Until its peers suspect it, they issue IDs that it owns, because a host that is live in the
+    // membership view may be unreachable.
+    const [first, second] = startHosts();
+    second?.kill();
+    const counts = await countOwners(first);
+    t.same([...counts.keys()].sort(), ['entry-a', 'entry-c']);
+    const assignment = await first?.gateway.assign(ACCOUNT, undefined);
+    t.notOk(assignment?.entryHosts.some((host) => host.id === 'entry-b'));
+  },
+);
 
-t.test('IdentityIssuer gives the same ID for an idempotency key, by account', async (t) => {
-  const [first] = startHosts();
-  const ask = async (key: string): Promise<string | undefined> =>
-    (await first?.gateway.assign(ACCOUNT, key))?.id;
-  t.equal(await ask('notice-1'), await ask('notice-1'));
-  t.not(await ask('notice-1'), await ask('notice-2'));
-});
+t.test(
+  'RequestIdIssuer returns the same ID for the same idempotency key of an account',
+  async (t) => {
+    const [first] = startHosts();
+    const ask = async (key: string): Promise<string | undefined> =>
+      (await first?.gateway.assign(ACCOUNT, key))?.id;
+    t.equal(await ask('notice-1'), await ask('notice-1'));
+    t.not(await ask('notice-1'), await ask('notice-2'));
+  },
+);
--- a/src/application/entry_host/mod.ts
+++ b/src/application/entry_host/mod.ts
@@ -1,7 +1,7 @@
 /**
- * One entry host as callers meet it: takes their calls in, runs what it owns,
- * passes the rest on to the owners.
- * `new CallerGateway(options)` is what the callers' listener talks to.
+ * The application services of one entry host: accept callers' calls, run the requests that this
+ * host owns and forward the others to their owners.
+ * The callers' listener passes its calls to `new CallerGateway(options)`.
  *
  * @module
  */
--- a/src/application/entry_host/owned_calls.ts
+++ b/src/application/entry_host/owned_calls.ts
@@ -1,5 +1,5 @@
 /**
- * Calls with request IDs that this entry host owns, whoever brought them.
+ * Resolves and answers calls whose requests this entry host owns, received from callers or peers.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { OwnedCall, OwnerService } from '../owner/mod.js';
 import type { CallerAnswer, ConfigurationView, MembershipView, ReadOptions } from '../views/mod.js';
 import { resolveCall } from './_call_resolver.js';
-import type { CallQuestion } from './_call_resolver.js';
+import type { ReceivedCall } from './_call_resolver.js';
 
 /** Options of {@link OwnedCalls}. */
 export interface OwnedCallsOptions {
@@ -17,61 +17,61 @@
   readonly owner: OwnerService;
 }
 
-/** Resolves calls and answers them from the owner's service. */
+/** Resolves calls and answers them through the {@link OwnerService}. */
 export class OwnedCalls {
   readonly #options: OwnedCallsOptions;
 
-  /** @param options - what it needs */
+  /** @param options - dependencies */
   constructor(options: OwnedCallsOptions) {
     this.#options = options;
   }
 
   /**
    * @param id - a request ID
-   * @returns whether this very process owns it
+   * @returns whether this incarnation of the entry host owns the request
    */
-  isOwn(id: RequestId): boolean {
+  isOwned(id: RequestId): boolean {
     return id.incarnation === this.#options.membership.self.incarnation;
   }
 
   /**
-   * Resolves a call that came without an ID.
+   * Resolves a call that came without a request ID.
    *
-   * @param question - the call
-   * @returns the call as its owner runs it
-   * @throws SchedulerError where the contract does not allow it
+   * @param call - the call as received
+   * @returns the resolved call, as its owner runs it
+   * @throws SchedulerError when the service is unknown or the contract does not allow the call
    */
-  resolve(question: Omit<CallQuestion, 'canComeBack'>): OwnedCall {
-    return resolveCall(this.#options.configuration, { ...question, canComeBack: false });
+  resolve(call: Omit<ReceivedCall, 'canComeBack'>): OwnedCall {
+    return resolveCall(this.#options.configuration, { ...call, canComeBack: false });
   }
 
   /**
-   * Resolves a call that came with an ID.
+   * Resolves a call that came with a request ID.
    *
-   * @param question - the call
-   * @param id - its ID
-   * @returns the call as its owner runs it
-   * @throws SchedulerError where the contract does not allow it
+   * @param call - the call as received
+   * @param id - the call's request ID
+   * @returns the resolved call, as its owner runs it
+   * @throws SchedulerError when the service is unknown or the contract does not allow the call
    */
-  resolveForId(question: Omit<CallQuestion, 'canComeBack'>, id: RequestId): OwnedCall {
+  resolveForId(call: Omit<ReceivedCall, 'canComeBack'>, id: RequestId): OwnedCall {
     try {
-      return resolveCall(this.#options.configuration, { ...question, canComeBack: true });
+      return resolveCall(this.#options.configuration, { ...call, canComeBack: true });
     } catch (error) {
-      throw error instanceof SchedulerError ? this.correctRun(id, error) : error;
+      throw error instanceof SchedulerError ? this.correctRunOutcome(id, error) : error;
     }
   }
 
   /**
-   * Corrects a refusal made before the owner looked at the ID. Another copy of
-   * the call may run meanwhile, since the contract may have changed between the
+   * Corrects the run outcome of a refusal made before the owner looked up the request ID. An
+   * earlier copy of the call may be running, since the contract may have changed between the
    * two; then the refusal must not say `not_run`.
    *
-   * @param id - the call's ID
+   * @param id - the call's request ID
    * @param error - the refusal
-   * @returns the refusal as it may be told
+   * @returns the refusal with a truthful run outcome
    */
-  correctRun(id: RequestId, error: SchedulerError): SchedulerError {
-    if (this.isOwn(id) && !this.#options.owner.find(id)) return error;
+  correctRunOutcome(id: RequestId, error: SchedulerError): SchedulerError {
+    if (this.isOwned(id) && !this.#options.owner.find(id)) return error;
     return new SchedulerError(error.kind, {
       message: error.message,
       retryAfterMs: error.retryAfterMs,
@@ -82,26 +82,30 @@
   }
 
   /**
-   * Runs a call, or gives the answer of its first copy.
+   * Runs a call, or returns the answer of an earlier copy of the same call.
    *
-   * @param id - the call's ID
-   * @param call - the call
-   * @param callerGone - aborted when the caller's connection is gone
-   * @returns the answer, head first
-   * @throws SchedulerError when it is refused or fails
+   * @param id - the call's request ID
+   * @param call - the resolved call
+   * @param disconnectSignal - aborted when the caller disconnects
+   * @returns the answer, as soon as its head is known
+   * @throws SchedulerError when the call is refused or fails
    */
-  async submit(id: RequestId, call: OwnedCall, callerGone: AbortSignal): Promise<CallerAnswer> {
-    const { head, request } = await this.#options.owner.submit(id, call, callerGone);
+  async submit(
+    id: RequestId,
+    call: OwnedCall,
+    disconnectSignal: AbortSignal,
+  ): Promise<CallerAnswer> {
+    const { head, request } = await this.#options.owner.submit(id, call, disconnectSignal);
     return { ...head, requestId: id.text, body: request.answer.read(0) };
   }
 
   /**
-   * Gives the rest of an answer.
+   * Reads an answer from an offset on.
    *
    * @param id - the request's ID
-   * @param options - where to go on
-   * @returns the rest, head first
-   * @throws SchedulerError when there is no such answer
+   * @param options - the offset, and the signal that the caller has disconnected
+   * @returns the rest of the answer, as soon as its head is known
+   * @throws SchedulerError when no call with this ID was received
    */
   async read(
     id: RequestId,
@@ -110,7 +114,7 @@
     const request = this.#options.owner.find(id);
     if (!request) {
       throw new SchedulerError(ErrorKind.NotFound, {
-        message: 'Cannot read an answer: no call came with this request ID so far',
+        message: 'Cannot read an answer: no call with this request ID was received',
         run: RunOutcome.MayHaveRun,
         requestId: id.text,
       });
--- a/src/application/entry_host/planned_stop.ts
+++ b/src/application/entry_host/planned_stop.ts
@@ -1,5 +1,5 @@
 /**
- * The planned stop of an entry host.
+ * Runs the planned stop of an entry host, which drains its requests.
  *
  * @module
  */
@@ -8,45 +8,45 @@
 import type { OwnerService } from '../owner/mod.js';
 
 /**
- * Time that peers need to hear of the stop, and callers to connect: until then
- * an address may still be given out or be on its way to be used.
+ * Time that peers need to learn of the stop, and callers to connect: until then
+ * a peer may still issue this host's address, or a caller may be about to use it.
  */
-const NOTICE_MS = 1000;
+const STOP_NOTICE_MS = 1000;
 
-/** Options of a planned stop. */
+/** Options of {@link runPlannedStop}. */
 export interface PlannedStopOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly owner: OwnerService;
-  /** Tells peers, who then name other entry hosts to callers. */
+  /** Announces the stop to peers, which then direct callers to other entry hosts. */
   readonly announce: () => void;
-  /** How long callers may still use addresses they were given, in milliseconds. */
+  /** How long callers may use the addresses of an assignment, in milliseconds. */
   readonly keepAddressMs: number;
-  /** Longest stop, in milliseconds. */
+  /** Longest duration of the stop, in milliseconds. */
   readonly limitMs: number;
-  /** Ends the wait early, as a second signal does. */
+  /** Resolves to end the wait early, for instance at a second stop signal. */
   readonly hurry: Promise<void>;
 }
 
 /**
- * Stops without cutting a request: says so, serves until the last address that
- * was given out has run out, and waits for what runs. At the limit, or when
- * hurried, what still runs is ended with honest answers.
+ * Stops without interrupting requests: announces the stop, serves until the last issued
+ * address has expired, and waits for running requests. At the time limit, or when the wait is
+ * ended early, it fails the remaining requests with an error that tells why.
  *
- * @param options - what it needs
- * @returns whether everything ended by itself
+ * @param options - dependencies and time limits
+ * @returns whether all requests ended without being failed
  */
 export async function runPlannedStop(options: PlannedStopOptions): Promise<boolean> {
   const { clock, log, owner } = options;
   log.write(LogLevel.Info, 'stop_started', { running: owner.runningCount });
   options.announce();
-  const isCut = { value: false };
-  const cut = Promise.race([waitFor(clock, options.limitMs), options.hurry]).then(() => {
-    isCut.value = true;
+  const isForced = { value: false };
+  const forced = Promise.race([waitFor(clock, options.limitMs), options.hurry]).then(() => {
+    isForced.value = true;
   });
-  await Promise.race([waitFor(clock, options.keepAddressMs + NOTICE_MS), cut]);
-  await Promise.race([owner.waitUntilIdle(), cut]);
-  const isClean = !isCut.value || owner.runningCount === 0;
+  await Promise.race([waitFor(clock, options.keepAddressMs + STOP_NOTICE_MS), forced]);
+  await Promise.race([owner.waitUntilIdle(), forced]);
+  const isClean = !isForced.value || owner.runningCount === 0;
   if (!isClean) owner.refuseAll(new SchedulerError(ErrorKind.EntryHostStopping));
   log.write(isClean ? LogLevel.Info : LogLevel.Warn, 'stop_ended', { clean: isClean });
   return isClean;
--- a/src/application/forwarding/forward_client.ts
+++ b/src/application/forwarding/forward_client.ts
@@ -1,5 +1,5 @@
 /**
- * The side of forwarding that passes calls on to their owners.
+ * Forwards calls to the owners of their requests.
  *
  * @module
  */
@@ -19,108 +19,109 @@
 import type { MembershipView } from '../views/mod.js';
 import { CREDIT_STEP_BYTES } from './_forward_limits.js';
 
-/** Options of the client. */
+/** Options of {@link ForwardClient}. */
 export interface ForwardClientOptions {
   readonly peers: PeerNetwork;
   readonly membership: MembershipView;
 }
 
-/** What a forwarded call carries besides its name. */
+/** Fields of a forwarded call, without its message type and call ID. */
 export type ForwardFields = Omit<ForwardCallMessage, 'type' | 'callId'>;
 
-/** What comes back. */
+/** A message that the owner sends back. */
 type Reply = ForwardHeadMessage | ForwardChunkMessage | ForwardEndMessage | ForwardErrorMessage;
 
-interface Pending {
+interface PendingCall {
   readonly incarnation: string;
   readonly ownerId: string;
-  /** Replies not yet taken; the credit bounds them. */
+  /** Replies not yet consumed; flow-control credit bounds their size. */
   readonly replies: Reply[];
-  readonly arrival: Signal;
-  isLost: boolean;
+  readonly replySignal: Signal;
+  isClosed: boolean;
 }
 
-/** Passes calls on and gives their answers. */
+/** Forwards calls to their owners and returns the owners' answers. */
 export class ForwardClient {
   readonly #options: ForwardClientOptions;
 
-  readonly #pending = new Map<number, Pending>();
+  readonly #pending = new Map<number, PendingCall>();
 
   #lastCallId = 0;
 
-  /** @param options - the links and who is there */
+  /** @param options - peer links and membership */
   constructor(options: ForwardClientOptions) {
     this.#options = options;
     const { peers, membership } = options;
-    const take = (from: { readonly incarnation: string }, reply: Reply): void => {
+    const handleReply = (from: { readonly incarnation: string }, reply: Reply): void => {
       this.#handleReply(from.incarnation, reply);
     };
-    peers.handle(PeerMessageType.ForwardHead, take);
-    peers.handle(PeerMessageType.ForwardChunk, take);
-    peers.handle(PeerMessageType.ForwardEnd, take);
-    peers.handle(PeerMessageType.ForwardError, take);
+    peers.handle(PeerMessageType.ForwardHead, handleReply);
+    peers.handle(PeerMessageType.ForwardChunk, handleReply);
+    peers.handle(PeerMessageType.ForwardEnd, handleReply);
+    peers.handle(PeerMessageType.ForwardError, handleReply);
     peers.onLink((event) => {
       if (!event.up) this.#failCalls((pending) => pending.incarnation === event.peer.incarnation);
     });
-    membership.onChange(() => this.#failUnreachable());
+    membership.onChange(() => this.#failUnreachableCalls());
   }
 
   /**
-   * Passes a call on.
+   * Forwards a call to its owner.
    *
-   * @param ownerId - the owner's name, for messages
+   * @param ownerId - the owner's ID, for error messages
    * @param incarnation - the owner's incarnation
    * @param fields - the call
-   * @param callerGone - aborted when the caller's connection is gone
-   * @returns the owner's answer, head first
-   * @throws SchedulerError as the owner refused it, or of kind OwnerGone or OwnerUnreachable
+   * @param disconnectSignal - aborted when the caller disconnects
+   * @returns the owner's answer, as soon as its head has arrived
+   * @throws SchedulerError the owner's error, or one of kind OwnerGone or OwnerUnreachable
    */
   async forward(
     ownerId: string,
     incarnation: string,
     fields: ForwardFields,
-    callerGone: AbortSignal,
+    disconnectSignal: AbortSignal,
   ): Promise<{ readonly head: AnswerHead; readonly body: AsyncGenerator<Uint8Array> }> {
-    const callId = this.#open(ownerId, incarnation, fields);
+    const callId = this.#sendCall(ownerId, incarnation, fields);
     const cancel = (): void => this.#cancel(callId);
-    if (callerGone.aborted) cancel();
-    else callerGone.addEventListener('abort', cancel, { once: true });
-    const forget = (): void => {
-      callerGone.removeEventListener('abort', cancel);
+    if (disconnectSignal.aborted) cancel();
+    else disconnectSignal.addEventListener('abort', cancel, { once: true });
+    const cleanUp = (): void => {
+      disconnectSignal.removeEventListener('abort', cancel);
       this.#pending.delete(callId);
     };
     try {
-      const first = await this.#take(callId);
-      if (first.type !== PeerMessageType.ForwardHead) throw toError(first, ownerId);
+      const first = await this.#takeReply(callId);
+      if (first.type !== PeerMessageType.ForwardHead) throw toSchedulerError(first, ownerId);
       return {
         head: { status: first.status, headers: first.headers },
-        body: this.#readBody(callId, fields.offset, forget),
+        body: this.#readBody(callId, fields.offset, cleanUp),
       };
     } catch (error) {
-      forget();
+      cleanUp();
       throw error;
     }
   }
 
-  #open(ownerId: string, incarnation: string, fields: ForwardFields): number {
+  #sendCall(ownerId: string, incarnation: string, fields: ForwardFields): number {
     const { membership, peers } = this.#options;
     const owner = membership.findIncarnation(incarnation);
-    if (!owner) throw buildGone(ownerId, ErrorKind.OwnerGone);
-    if (owner.state === PeerState.Suspected) throw buildGone(ownerId, ErrorKind.OwnerUnreachable);
+    if (!owner) throw buildOwnerLostError(ownerId, ErrorKind.OwnerGone);
+    if (owner.state === PeerState.Suspected)
+      throw buildOwnerLostError(ownerId, ErrorKind.OwnerUnreachable);
     this.#lastCallId += 1;
     const callId = this.#lastCallId;
     this.#pending.set(callId, {
       ownerId,
       incarnation,
       replies: [],
-      arrival: new Signal(),
-      isLost: false,
+      replySignal: new Signal(),
+      isClosed: false,
     });
     if (peers.send(incarnation, { ...fields, type: PeerMessageType.ForwardCall, callId })) {
       return callId;
     }
     this.#pending.delete(callId);
-    throw buildGone(ownerId, ErrorKind.OwnerUnreachable);
+    throw buildOwnerLostError(ownerId, ErrorKind.OwnerUnreachable);
   }
 
   async *#readBody(
@@ -129,50 +130,51 @@
     onEnd: () => void,
   ): AsyncGenerator<Uint8Array> {
     let offset = firstOffset;
-    let uncredited = 0;
-    let isOver = false;
+    let uncreditedBytes = 0;
+    let hasEnded = false;
     const ownerId = this.#pending.get(callId)?.ownerId ?? '';
     try {
       for (;;) {
-        const reply = await this.#take(callId);
+        const reply = await this.#takeReply(callId);
         if (reply.type === PeerMessageType.ForwardChunk) {
-          // A part that was lost on the link would give the caller a whole-looking
-          // answer with a hole; the offsets show it.
-          if (reply.offset !== offset) throw buildGap(offset, reply.offset);
+          // The offsets reveal a chunk lost on the link, which would leave a gap in an
+          // answer that looks complete to the caller.
+          if (reply.offset !== offset) throw buildOffsetError(offset, reply.offset);
           offset += reply.bytes.length;
-          uncredited += reply.bytes.length;
+          uncreditedBytes += reply.bytes.length;
           yield reply.bytes;
-          if (uncredited >= CREDIT_STEP_BYTES) {
-            this.#sendCredit(callId, uncredited);
-            uncredited = 0;
+          if (uncreditedBytes >= CREDIT_STEP_BYTES) {
+            this.#sendCredit(callId, uncreditedBytes);
+            uncreditedBytes = 0;
           }
         } else {
-          isOver = true;
-          if (reply.type !== PeerMessageType.ForwardEnd) throw toError(reply, ownerId);
-          if (reply.length !== offset) throw buildGap(offset, reply.length);
+          hasEnded = true;
+          if (reply.type !== PeerMessageType.ForwardEnd) throw toSchedulerError(reply, ownerId);
+          if (reply.length !== offset) throw buildOffsetError(offset, reply.length);
           return;
         }
       }
     } finally {
-      if (!isOver) this.#cancel(callId);
+      if (!hasEnded) this.#cancel(callId);
       onEnd();
     }
   }
 
-  async #take(callId: number): Promise<Reply> {
+  async #takeReply(callId: number): Promise<Reply> {
     const pending = this.#pending.get(callId);
-    while (pending && !pending.isLost && pending.replies.length === 0) await pending.arrival.wait();
+    while (pending && !pending.isClosed && pending.replies.length === 0)
+      await pending.replySignal.wait();
     const reply = pending?.replies.shift();
     if (reply) return reply;
-    throw buildGone(pending?.ownerId ?? 'unknown', ErrorKind.OwnerUnreachable);
+    throw buildOwnerLostError(pending?.ownerId ?? 'unknown', ErrorKind.OwnerUnreachable);
   }
 
   #handleReply(incarnation: string, reply: Reply): void {
     const pending = this.#pending.get(reply.callId);
-    // Call IDs are this process's own, yet a peer could name another's call.
+    // This process assigns call IDs, but a peer could send a reply to another peer's call.
     if (pending?.incarnation !== incarnation) return;
     pending.replies.push(reply);
-    pending.arrival.notify();
+    pending.replySignal.notify();
   }
 
   #sendCredit(callId: number, bytes: number): void {
@@ -189,44 +191,45 @@
     const pending = this.#pending.get(callId);
     if (!pending) return;
     this.#options.peers.send(pending.incarnation, { type: PeerMessageType.ForwardCancel, callId });
-    noteLost(pending);
+    closeCall(pending);
   }
 
-  #failUnreachable(): void {
+  #failUnreachableCalls(): void {
     this.#failCalls((pending) => {
       const owner = this.#options.membership.findIncarnation(pending.incarnation);
       return !owner || owner.state === PeerState.Suspected;
     });
   }
 
-  /** Ends calls whose owner went out of reach: their callers are told at once. */
-  #failCalls(isLost: (pending: Pending) => boolean): void {
+  /** Fails calls whose owner has become unreachable, so that their callers learn it at once. */
+  #failCalls(mustFail: (pending: PendingCall) => boolean): void {
     this.#pending.forEach((pending) => {
-      if (isLost(pending)) noteLost(pending);
+      if (mustFail(pending)) closeCall(pending);
     });
   }
 }
 
-function noteLost(pending: Pending): void {
-  Object.assign(pending, { isLost: true });
-  pending.arrival.close();
+function closeCall(pending: PendingCall): void {
+  Object.assign(pending, { isClosed: true });
+  pending.replySignal.close();
 }
 
-function buildGone(ownerId: string, kind: ErrorKind): SchedulerError {
+function buildOwnerLostError(ownerId: string, kind: ErrorKind): SchedulerError {
   return new SchedulerError(kind, {
-    message: `Cannot tell what became of the request: its owner ${ownerId} is out of reach`,
+    message: `Cannot determine the state of the request: its owner ${ownerId} is unreachable`,
     run: RunOutcome.MayHaveRun,
   });
 }
 
-function buildGap(expected: number, got: number): SchedulerError {
+function buildOffsetError(expected: number, actual: number): SchedulerError {
   return new SchedulerError(ErrorKind.AnswerCut, {
-    message: `Cannot pass the answer on: expected offset ${expected}, got ${got}`,
+    message: `Cannot forward the answer: expected offset ${expected}, got ${actual}`,
   });
 }
 
-function toError(reply: Reply, ownerId: string): SchedulerError {
-  if (reply.type !== PeerMessageType.ForwardError) return buildGone(ownerId, ErrorKind.Internal);
+function toSchedulerError(reply: Reply, ownerId: string): SchedulerError {
+  if (reply.type !== PeerMessageType.ForwardError)
+    return buildOwnerLostError(ownerId, ErrorKind.Internal);
   return new SchedulerError(reply.kind, {
     message: reply.message,
     run: reply.run,
--- a/src/application/forwarding/forward_server.ts
+++ b/src/application/forwarding/forward_server.ts
@@ -1,5 +1,5 @@
 /**
- * The owner's side of forwarding.
+ * Serves calls that peers forward to this entry host as the owner.
  *
  * @module
  */
@@ -11,137 +11,138 @@
 import type { AnswerHead } from '../owner/mod.js';
 import { INITIAL_CREDIT_BYTES, MAX_CHUNK_BYTES } from './_forward_limits.js';
 
-/** An answer for a peer. */
+/** An answer to a forwarded call. */
 export interface ForwardedAnswer {
   readonly head: AnswerHead;
-  /** Body from the call's offset on. */
+  /** Body, from the offset of the call on. */
   readonly body: AsyncIterable<Uint8Array>;
 }
 
-/** Answers one forwarded call; may throw SchedulerError. */
+/** Answers one forwarded call; throws SchedulerError when the call is refused or fails. */
 export type ForwardHandler = (
   call: ForwardCallMessage,
-  callerGone: AbortSignal,
+  disconnectSignal: AbortSignal,
 ) => Promise<ForwardedAnswer>;
 
-/** Options of the server. */
+/** Options of {@link ForwardServer}. */
 export interface ForwardServerOptions {
   readonly peers: PeerNetwork;
   readonly handler: ForwardHandler;
 }
 
-/** One call that is being answered. */
-interface Serving {
+/** State of a call that is being answered. */
+interface ServedCall {
   readonly peer: EntryHostIdentity;
-  readonly callerGone: AbortController;
-  readonly room: Signal;
-  credit: number;
+  readonly disconnectController: AbortController;
+  readonly creditSignal: Signal;
+  creditBytes: number;
 }
 
-/** Serves calls that peers pass on. */
+/** Serves calls that peers forward, within the credit that they grant. */
 export class ForwardServer {
   readonly #options: ForwardServerOptions;
 
-  readonly #serving = new Map<string, Serving>();
+  readonly #servedCalls = new Map<string, ServedCall>();
 
-  /** @param options - the links and who answers */
+  /** @param options - peer links and the handler of calls */
   constructor(options: ForwardServerOptions) {
     this.#options = options;
   }
 
-  /** Begins to take calls from peers. */
+  /** Starts accepting calls from peers. */
   start(): void {
     const { peers } = this.#options;
     peers.handle(PeerMessageType.ForwardCall, (from, call) => {
       this.#serve(from, call).catch(() => undefined);
     });
     peers.handle(PeerMessageType.ForwardCredit, (from, message) => {
-      const serving = this.#serving.get(formatKey(from, message.callId));
+      const serving = this.#servedCalls.get(formatCallKey(from, message.callId));
       if (!serving) return;
-      serving.credit += message.bytes;
-      serving.room.notify();
+      serving.creditBytes += message.bytes;
+      serving.creditSignal.notify();
     });
     peers.handle(PeerMessageType.ForwardCancel, (from, message) => {
-      this.#end(formatKey(from, message.callId));
+      this.#cancelCall(formatCallKey(from, message.callId));
     });
     peers.onLink((event) => {
       if (event.up) return;
-      this.#serving.forEach((serving, key) => {
-        if (serving.peer.incarnation === event.peer.incarnation) this.#end(key);
+      this.#servedCalls.forEach((serving, key) => {
+        if (serving.peer.incarnation === event.peer.incarnation) this.#cancelCall(key);
       });
     });
   }
 
   async #serve(from: EntryHostIdentity, call: ForwardCallMessage): Promise<void> {
-    const key = formatKey(from, call.callId);
-    const serving: Serving = {
+    const key = formatCallKey(from, call.callId);
+    const serving: ServedCall = {
       peer: from,
-      callerGone: new AbortController(),
-      room: new Signal(),
-      credit: INITIAL_CREDIT_BYTES,
+      disconnectController: new AbortController(),
+      creditSignal: new Signal(),
+      creditBytes: INITIAL_CREDIT_BYTES,
     };
-    this.#serving.set(key, serving);
+    this.#servedCalls.set(key, serving);
     try {
       await this.#answer(serving, call);
     } catch (error) {
-      this.#refuse(from, call.callId, error);
+      this.#sendError(from, call.callId, error);
     } finally {
-      this.#serving.delete(key);
+      this.#servedCalls.delete(key);
     }
   }
 
-  async #answer(serving: Serving, call: ForwardCallMessage): Promise<void> {
+  async #answer(serving: ServedCall, call: ForwardCallMessage): Promise<void> {
     const { peers, handler } = this.#options;
     const { callId } = call;
     const { incarnation } = serving.peer;
-    const answer = await handler(call, serving.callerGone.signal);
+    const answer = await handler(call, serving.disconnectController.signal);
     peers.send(incarnation, { type: PeerMessageType.ForwardHead, callId, ...answer.head });
     let { offset } = call;
     for await (const bytes of answer.body) {
       for (let at = 0; at < bytes.length; at += MAX_CHUNK_BYTES) {
-        const part = bytes.subarray(at, at + MAX_CHUNK_BYTES);
-        await waitForCredit(serving, part.length);
+        const chunk = bytes.subarray(at, at + MAX_CHUNK_BYTES);
+        await consumeCredit(serving, chunk.length);
         const isSent = peers.send(incarnation, {
           type: PeerMessageType.ForwardChunk,
           callId,
           offset,
-          bytes: part,
+          bytes: chunk,
         });
-        if (!isSent || serving.callerGone.signal.aborted) return;
-        offset += part.length;
+        if (!isSent || serving.disconnectController.signal.aborted) return;
+        offset += chunk.length;
       }
     }
     peers.send(incarnation, { type: PeerMessageType.ForwardEnd, callId, length: offset });
   }
 
-  #refuse(peer: EntryHostIdentity, callId: number, error: unknown): void {
-    const told =
+  #sendError(peer: EntryHostIdentity, callId: number, error: unknown): void {
+    const schedulerError =
       error instanceof SchedulerError
         ? error
         : new SchedulerError(ErrorKind.Internal, { cause: error });
     this.#options.peers.send(peer.incarnation, {
       type: PeerMessageType.ForwardError,
       callId,
-      kind: told.kind,
-      run: told.run,
-      message: told.message,
-      retryAfterMs: told.retryAfterMs,
+      kind: schedulerError.kind,
+      run: schedulerError.run,
+      message: schedulerError.message,
+      retryAfterMs: schedulerError.retryAfterMs,
     });
   }
 
-  #end(key: string): void {
-    const serving = this.#serving.get(key);
+  #cancelCall(key: string): void {
+    const serving = this.#servedCalls.get(key);
     if (!serving) return;
-    serving.callerGone.abort();
-    serving.room.close();
+    serving.disconnectController.abort();
+    serving.creditSignal.close();
   }
 }
 
-async function waitForCredit(serving: Serving, bytes: number): Promise<void> {
-  while (serving.credit < bytes && !serving.callerGone.signal.aborted) await serving.room.wait();
-  Object.assign(serving, { credit: serving.credit - bytes });
+async function consumeCredit(serving: ServedCall, bytes: number): Promise<void> {
+  while (serving.creditBytes < bytes && !serving.disconnectController.signal.aborted)
+    await serving.creditSignal.wait();
+  Object.assign(serving, { creditBytes: serving.creditBytes - bytes });
 }
 
-function formatKey(peer: EntryHostIdentity, callId: number): string {
+function formatCallKey(peer: EntryHostIdentity, callId: number): string {
   return `${peer.incarnation}/${callId}`;
 }
--- a/src/application/forwarding/mod.ts
+++ b/src/application/forwarding/mod.ts
@@ -1,7 +1,7 @@
 /**
- * Passes callers' calls on to the owners of their request IDs over the peer
- * links, and serves those that peers pass on:
- * `forwardClient.forward(ownerId, incarnation, fields, callerGone)` gives the owner's answer.
+ * Forwards callers' calls to the owners of their requests over the peer links, and serves calls
+ * that peers forward:
+ * `forwardClient.forward(ownerId, incarnation, fields, disconnectSignal)` returns its answer.
  *
  * @module
  */
