--- a/src/adapters/clock/mod.ts
+++ b/src/adapters/clock/mod.ts
@@ -1,5 +1,6 @@
 /**
- * The machine's clock and timers: `new SystemClock().setTimer(500, tick)`.
+ * Provides the clock and timers of the operating system:
+ * `new SystemClock().setTimer(500, tick)`.
  *
  * @module
  */
--- a/src/adapters/clock/system_clock.ts
+++ b/src/adapters/clock/system_clock.ts
@@ -1,5 +1,5 @@
 /**
- * The machine's clock.
+ * Implements the `Clock` port with the clock and timers of the operating system.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 
 const MAX_DELAY_MS = 2 ** 31 - 1;
 
-/** Real time and real timers; a pending timer keeps the process alive. */
+/** Real time and Node.js timers. A pending timer keeps the process alive. */
 export class SystemClock extends Clock {
   override nowMs(): number {
     return performance.now();
@@ -20,7 +20,8 @@
   }
 
   override setTimer(delayMs: number, callback: () => void): Timer {
-    // Node fires a timer of more than 2^31 - 1 ms at once; a cut delay fires late enough instead.
+    // Node.js fires a timer with a delay above 2^31 - 1 ms immediately, so the delay is clamped
+    // to that maximum (about 25 days).
     const timeout = setTimeout(callback, Math.min(Math.max(0, delayMs), MAX_DELAY_MS));
     return { cancel: () => clearTimeout(timeout) };
   }
--- a/src/adapters/logging/bounded_output.ts
+++ b/src/adapters/logging/bounded_output.ts
@@ -1,5 +1,5 @@
 /**
- * Writes log lines to a stream whose reader may be slow or gone.
+ * Writes log lines to a stream whose reader may be slow or may have disconnected.
  *
  * @module
  */
@@ -9,17 +9,17 @@
 
 const DEFAULT_MAX_BUFFERED_BYTES = 4_194_304;
 
-/** Takes whole lines. */
+/** Receives formatted log lines, such as a file or standard output. */
 export interface LogDestination {
-  /** @param line - one line with its line break */
+  /** @param line - one complete line, including its line break */
   write(line: string): void;
 }
 
 /**
- * Drops lines while the reader doesn't keep up. Waiting for it would block the
- * process: heartbeats would cease and peers would suspect a healthy entry host.
- * Buffering without a bound would use up its memory. When there is room again,
- * one line tells how many are missing.
+ * Buffers log lines up to a limit and drops further lines while the reader is too slow.
+ * Waiting for the reader would block the process: heartbeats would stop and peers would
+ * suspect a healthy entry host. Buffering without a limit would exhaust the memory. Once the
+ * buffer has space again, one line reports how many lines were dropped.
  */
 export class BoundedOutput implements LogDestination {
   readonly #stream: Writable;
@@ -29,13 +29,14 @@
   #droppedCount = 0;
 
   /**
-   * @param stream - where lines go; it must not block
-   * @param maxBufferedBytes - most bytes that wait for the reader; 4 MiB by default
+   * @param stream - the stream that lines are written to; its writes must not block
+   * @param maxBufferedBytes - maximum number of bytes buffered for the reader; 4 MiB by default
    */
   constructor(stream: Writable, maxBufferedBytes = DEFAULT_MAX_BUFFERED_BYTES) {
     this.#stream = stream;
     this.#maxBufferedBytes = maxBufferedBytes;
-    // A reader that has gone (EPIPE) must cost the log and not the process.
+    // When the reader has disconnected (EPIPE), only log lines are lost. Without a handler the
+    // error event would end the process.
     stream.on('error', () => undefined);
   }
 
@@ -47,11 +48,11 @@
       this.#droppedCount += 1;
       return;
     }
-    if (this.#droppedCount > 0) this.#writeDropped();
+    if (this.#droppedCount > 0) this.#writeDroppedCount();
     this.#stream.write(line);
   }
 
-  #writeDropped(): void {
+  #writeDroppedCount(): void {
     const line = formatLogLine({
       time: new Date().toISOString(),
       level: LogLevel.Warn,
--- a/src/adapters/logging/bounded_output_test.ts
+++ b/src/adapters/logging/bounded_output_test.ts
@@ -2,49 +2,48 @@
 import t from 'tap';
 import { BoundedOutput } from './bounded_output.js';
 
-/** A reader that takes nothing until it is told to. */
+/** A stream that accepts its first chunk and then stalls until `drain` is called. */
 class StalledStream extends Writable {
-  readonly taken: string[] = [];
+  readonly received: string[] = [];
 
-  #resume: (() => void) | undefined;
+  #completeWrite: (() => void) | undefined;
 
   override _write(chunk: Buffer, encoding: BufferEncoding, done: () => void): void {
-    this.taken.push(chunk.toString());
-    this.#resume = done;
+    this.received.push(chunk.toString());
+    this.#completeWrite = done;
   }
 
-  /** Takes everything that waits. */
-  async takeAll(): Promise<void> {
+  /** Accepts all buffered chunks. */
+  async drain(): Promise<void> {
     while (this.writableLength > 0) {
-      this.#resume?.();
+      this.#completeWrite?.();
       await new Promise(setImmediate);
     }
   }
 }
 
-t.test('BoundedOutput drops lines while nobody reads, and tells how many', async (t) => {
-  // Symptom: an entry host that peers suspect while nothing is wrong with it,
-  // or one that is killed for its memory. The collector of its log has stopped
-  // reading; a log that waits for it holds up heartbeats, one that doesn't
-  // grows without end.
+t.test('BoundedOutput drops lines while the reader is stalled and reports how many', async (t) => {
+  // Guards against a log collector that stops reading. A log that waits for the collector
+  // delays heartbeats, so that peers suspect a healthy entry host; a log that buffers without
+  // a limit grows until the process is killed for its memory use.
   const stream = new StalledStream();
   const output = new BoundedOutput(stream, 100);
   for (let index = 0; index < 50; index += 1) output.write(`line ${index}\n`);
   t.ok(stream.writableLength <= 100);
-  await stream.takeAll();
-  const kept = stream.taken.length;
+  await stream.drain();
+  const kept = stream.received.length;
   output.write('after\n');
-  await stream.takeAll();
-  t.equal(stream.taken[kept - 1], `line ${kept - 1}\n`);
-  t.match(stream.taken[kept], new RegExp(`event=log_lines_dropped count=${50 - kept}\n$`));
-  t.equal(stream.taken[kept + 1], 'after\n');
+  await stream.drain();
+  t.equal(stream.received[kept - 1], `line ${kept - 1}\n`);
+  t.match(stream.received[kept], new RegExp(`event=log_lines_dropped count=${50 - kept}\n$`));
+  t.equal(stream.received[kept + 1], 'after\n');
 });
 
-t.test('BoundedOutput goes on when the reader has gone', async (t) => {
+t.test('BoundedOutput discards lines after the reader has disconnected', async (t) => {
   const stream = new StalledStream();
   const output = new BoundedOutput(stream);
   stream.destroy(new Error('EPIPE'));
   await new Promise(setImmediate);
   output.write('unread\n');
-  t.strictSame(stream.taken, []);
+  t.strictSame(stream.received, []);
 });
--- a/src/adapters/logging/log_line.ts
+++ b/src/adapters/logging/log_line.ts
@@ -1,5 +1,5 @@
 /**
- * The form of a log line.
+ * Formats log records as lines of `key=value` pairs.
  *
  * @module
  */
@@ -7,17 +7,17 @@
 
 const MAX_VALUE_LENGTH = 2048;
 
-/** Values made of these characters stand as they are; all others are quoted. */
-const PLAIN_VALUE = /^[A-Za-z0-9_.:/@+%,-]+$/;
+/** Matches values that are written without quotes; all others are quoted. */
+const UNQUOTED_VALUE = /^[A-Za-z0-9_.:/@+%,-]+$/;
 
-/** Characters that JSON leaves as they are, though they break a line or turn its direction. */
+/** Control, invisible and bidirectional characters that JSON does not escape. */
 const UNSAFE_CHARACTERS =
   /[\u007f-\u009f\u00ad\u061c\u200b-\u200f\u2028-\u202e\u2060-\u2069\ufeff]/g;
 
-const RESERVED_NAMES = new Set(['time', 'level', 'event']);
+const RESERVED_FIELD_NAMES = new Set(['time', 'level', 'event']);
 
-/** Names without their separators, in lower case, of what must never stand in a log. */
-const FORBIDDEN_NAMES = new Set([
+/** Names of fields that are never logged, in lower case and without separators. */
+const SECRET_FIELD_NAMES = new Set([
   'key',
   'apikey',
   'adminkey',
@@ -36,9 +36,9 @@
   'answer',
 ]);
 
-/** One event, before it is formatted. */
-export interface LogLine {
-  /** ISO 8601, UTC. */
+/** One event before it is formatted. */
+export interface LogRecord {
+  /** Time of the event in ISO 8601, UTC. */
   readonly time: string;
   readonly level: string;
   readonly event: string;
@@ -46,44 +46,45 @@
 }
 
 /**
- * Formats one value. A caller's text may hold line breaks that would pass for
- * another line of the log; quoted and escaped, it stays one value of one line.
+ * Formats one value. Text from a client may contain line breaks that would forge further log
+ * lines; quoting and escaping keep it a single value on one line.
  *
- * @param value - the value; text longer than 2048 characters is cut
- * @returns the value as it stands, or quoted as JSON
+ * @param value - the value; text longer than 2048 characters is truncated
+ * @returns the plain value, or the value quoted as JSON
  */
 export function formatLogValue(value: string | number | boolean): string {
   const text = String(value);
-  if (text.length <= MAX_VALUE_LENGTH && PLAIN_VALUE.test(text)) return text;
-  const cut = text.length > MAX_VALUE_LENGTH ? `${text.slice(0, MAX_VALUE_LENGTH)}…` : text;
-  return JSON.stringify(cut).replace(
+  if (text.length <= MAX_VALUE_LENGTH && UNQUOTED_VALUE.test(text)) return text;
+  const truncatedText =
+    text.length > MAX_VALUE_LENGTH ? `${text.slice(0, MAX_VALUE_LENGTH)}…` : text;
+  return JSON.stringify(truncatedText).replace(
     UNSAFE_CHARACTERS,
     (character) => `\\u${character.charCodeAt(0).toString(16).padStart(4, '0')}`,
   );
 }
 
-function formatName(name: string): string {
-  const plain = name.replace(/[^A-Za-z0-9_]/g, '_');
-  return RESERVED_NAMES.has(plain) ? `${plain}_` : plain;
+function formatFieldName(name: string): string {
+  const sanitizedName = name.replace(/[^A-Za-z0-9_]/g, '_');
+  return RESERVED_FIELD_NAMES.has(sanitizedName) ? `${sanitizedName}_` : sanitizedName;
 }
 
-function mayWrite(name: string): boolean {
-  return name !== '' && !FORBIDDEN_NAMES.has(name.replace(/[^A-Za-z0-9]/g, '').toLowerCase());
+function mayLogField(name: string): boolean {
+  return name !== '' && !SECRET_FIELD_NAMES.has(name.replace(/[^A-Za-z0-9]/g, '').toLowerCase());
 }
 
 /**
- * Formats one event. Fields that are undefined are left out, and so are fields
- * whose name says that they hold a key or a prompt.
+ * Formats one record. Omits fields whose value is undefined and fields whose name indicates
+ * a secret or the content of a request or response.
  *
- * @param line - the event
- * @returns one line without the line break at its end
+ * @param record - the event with its time, level and fields
+ * @returns one line without a trailing line break
  */
-export function formatLogLine(line: LogLine): string {
-  const { time, level, event, fields } = line;
+export function formatLogLine(record: LogRecord): string {
+  const { time, level, event, fields } = record;
   const pairs = [`time=${time}`, `level=${level}`, `event=${formatLogValue(event)}`];
   Object.entries(fields).forEach(([name, value]) => {
-    if (value === undefined || !mayWrite(name)) return;
-    pairs.push(`${formatName(name)}=${formatLogValue(value)}`);
+    if (value === undefined || !mayLogField(name)) return;
+    pairs.push(`${formatFieldName(name)}=${formatLogValue(value)}`);
   });
   return pairs.join(' ');
 }
--- a/src/adapters/logging/log_line_test.ts
+++ b/src/adapters/logging/log_line_test.ts
@@ -6,10 +6,11 @@
 
 const PAIR = /([A-Za-z0-9_]+)=("(?:[^"\\]|\\.)*"|[^\s"]+)(?: |$)/gy;
 
-/** Reads a line back; fails when anything stands outside a pair. */
+/** Parses a line into its pairs; throws when text remains outside a pair. */
 function parseLine(line: string): Record<string, string> {
   const matches = [...line.matchAll(PAIR)];
-  if (matches.map(([text]) => text).join('') !== line) throw new Error(`no pairs: ${line}`);
+  if (matches.map(([text]) => text).join('') !== line)
+    throw new Error(`Cannot parse log line: ${line}`);
   return Object.fromEntries(
     matches.map(([, name = '', value = '']) => [
       name,
@@ -23,10 +24,9 @@
   return { lines, log: new PinoEventLog({ level, destination: { write: (s) => lines.push(s) } }) };
 }
 
-t.test('formatLogLine() is one line that parses back', async (t) => {
-  // Symptom: a line in the log that no part of the system wrote. A caller puts
-  // a line break and a forged event into its model's name, which a refusal
-  // repeats; written as it came, it stands in the log as an event of its own.
+t.test('formatLogLine() returns one line that can be parsed back', async (t) => {
+  // Guards against log injection: a client puts a line break and a forged event into the name
+  // of its model, and the refusal that repeats the name writes the forged event to the log.
   const text = fc.string({ unit: 'binary', maxLength: 60 });
   const name = fc.stringMatching(/^[a-z][A-Za-z0-9_]{0,8}$/);
   const value = fc.oneof(text, fc.integer(), fc.boolean());
@@ -44,27 +44,27 @@
   );
 });
 
-t.test('formatLogLine() never writes keys and prompts', async (t) => {
+t.test('formatLogLine() never writes keys or prompts', async (t) => {
   const names = ['key', 'apiKey', 'api_key', 'admin-key', 'Authorization', 'prompt', 'body'];
   const fields = Object.fromEntries(names.map((name) => [name, 'hidden']));
   const line = formatLogLine({ time: 'T', level: 'info', event: 'e', fields });
   t.equal(line, 'time=T level=info event=e');
 });
 
-t.test('formatLogLine() keeps its own names apart from fields', async (t) => {
+t.test('formatLogLine() renames fields that collide with reserved names', async (t) => {
   const fields = { time: 'x', level: 'y', event: 'z', 'a b': 1, gone: undefined };
   const line = formatLogLine({ time: 'T', level: 'info', event: 'e', fields });
   t.equal(line, 'time=T level=info event=e time_=x level_=y event_=z a_b=1');
 });
 
-t.test('formatLogValue() cuts a long value and quotes it', async (t) => {
+t.test('formatLogValue() truncates and quotes a long value', async (t) => {
   t.equal(formatLogValue('a/b:c'), 'a/b:c');
   t.equal(formatLogValue(''), '""');
   t.equal(formatLogValue('a b'), '"a b"');
   t.equal(formatLogValue('x'.repeat(5000)), `"${'x'.repeat(2048)}…"`);
 });
 
-t.test('PinoEventLog writes one line an event, from its level on', async (t) => {
+t.test('PinoEventLog writes one line per event at or above its level', async (t) => {
   const { lines, log } = createLog(LogLevel.Info);
   log.write(LogLevel.Debug, 'unseen');
   log.write(LogLevel.Warn, 'peer_suspected', { peer: 'entry-2', silentMs: 2100 });
--- a/src/adapters/logging/mod.ts
+++ b/src/adapters/logging/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The log: one line of key=value pairs an event, by pino.
+ * Provides the event log, which writes one line of `key=value` pairs per event through pino.
  *
  * ```ts
  * const log = new PinoEventLog({ level: LogLevel.Info });
@@ -14,6 +14,6 @@
 export { BoundedOutput } from './bounded_output.js';
 export type { LogDestination } from './bounded_output.js';
 export { formatLogLine, formatLogValue } from './log_line.js';
-export type { LogLine } from './log_line.js';
-export { LimitedEventLog } from './limited_event_log.js';
-export type { LimitedEventLogOptions } from './limited_event_log.js';
+export type { LogRecord } from './log_line.js';
+export { LimitedEventLog } from './rate_limited_event_log.js';
+export type { LimitedEventLogOptions } from './rate_limited_event_log.js';
--- a/src/adapters/logging/pino_event_log.ts
+++ b/src/adapters/logging/pino_event_log.ts
@@ -1,5 +1,5 @@
 /**
- * The log on pino.
+ * Implements the `EventLog` port with pino.
  *
  * @module
  */
@@ -14,20 +14,20 @@
 
 /** Options of {@link PinoEventLog}. */
 export interface PinoEventLogOptions {
-  /** Lowest level that is written. Default: info. */
+  /** Minimum level that is written. Default: info. */
   readonly level?: LogLevel;
-  /** Where lines go. Default: standard output, through a {@link BoundedOutput}. */
+  /** Destination of the lines. Default: standard output, through a {@link BoundedOutput}. */
   readonly destination?: LogDestination;
 }
 
-/** What pino notes on a destination that asks for it, before each write. */
+/** Properties that pino sets before each write on a destination that requests metadata. */
 interface PinoMetadata {
   lastObj: { readonly fields: LogFields };
   lastMsg: string;
   lastLevel: number;
 }
 
-/** Formats what pino hands over and passes the line on. */
+/** Formats each event from the metadata that pino sets and writes the line to the destination. */
 class KeyValueStream implements DestinationStream {
   readonly [symbols.needsMetadataGsym] = true;
 
@@ -49,11 +49,11 @@
   }
 }
 
-/** Writes one line of key=value pairs an event. */
+/** Writes one line of `key=value` pairs per event. */
 export class PinoEventLog extends EventLog {
   readonly #logger: Logger;
 
-  /** @param options - level and destination */
+  /** @param options - minimum level and destination */
   constructor(options: PinoEventLogOptions = {}) {
     super();
     const stream = new KeyValueStream(options.destination ?? new BoundedOutput(process.stdout));
--- a/src/adapters/logging/limited_event_log.ts
+++ b/src/adapters/logging/rate_limited_event_log.ts
@@ -1,5 +1,5 @@
 /**
- * A log that stays within a number of lines a second.
+ * Limits the number of log lines per second.
  *
  * @module
  */
@@ -8,9 +8,9 @@
 import type { Clock, LogFields } from '../../ports/mod.js';
 
 /**
- * Most lines a second at the level of single requests. An entry host of today's size
- * serves some 20 requests a second, with two lines each: ten times that is left for
- * bursts and retries.
+ * Maximum number of lines per second at the info and debug levels. An entry host serves about
+ * 20 requests per second and writes two lines for each; the limit leaves more than ten times
+ * that rate for bursts and retries.
  */
 const DEFAULT_MAX_LINES_PER_SECOND = 500;
 
@@ -18,27 +18,29 @@
 
 /** Options of {@link LimitedEventLog}. */
 export interface LimitedEventLogOptions {
+  /** Log that receives the lines within the limit. */
   readonly log: EventLog;
   readonly clock: Clock;
-  /** Default: 500. */
+  /** Maximum number of info and debug lines per second. Default: 500. */
   readonly maxLinesPerSecond?: number;
 }
 
 /**
- * Leaves out lines of single requests beyond the bound and tells how many, once a
- * second. Under a flood of calls the log would otherwise take the processor that the
- * calls need. Warnings and errors are few by their nature and always written.
+ * Drops info and debug lines, which are written for single requests, above a rate limit, and
+ * reports the number of dropped lines at most once per second. Under overload, formatting log
+ * lines would otherwise use the CPU time that requests need. Warnings and errors are rare and
+ * always written.
  */
 export class LimitedEventLog extends EventLog {
   readonly #options: Required<LimitedEventLogOptions>;
 
   #windowEndsAtMs = Number.NEGATIVE_INFINITY;
 
-  #lines = 0;
+  #writtenCount = 0;
 
   #droppedCount = 0;
 
-  /** @param options - the log behind it, and the bound */
+  /** @param options - the underlying log, the clock and the rate limit */
   constructor(options: LimitedEventLogOptions) {
     super();
     this.#options = { maxLinesPerSecond: DEFAULT_MAX_LINES_PER_SECOND, ...options };
@@ -46,21 +48,21 @@
 
   override write(level: LogLevel, event: string, fields: LogFields = {}): void {
     const { log, maxLinesPerSecond } = this.#options;
-    this.#openWindow();
-    const isBounded = level === LogLevel.Info || level === LogLevel.Debug;
-    if (isBounded && this.#lines >= maxLinesPerSecond) {
+    this.#updateWindow();
+    const isRateLimited = level === LogLevel.Info || level === LogLevel.Debug;
+    if (isRateLimited && this.#writtenCount >= maxLinesPerSecond) {
       this.#droppedCount += 1;
       return;
     }
-    this.#lines += 1;
+    this.#writtenCount += 1;
     log.write(level, event, fields);
   }
 
-  #openWindow(): void {
+  #updateWindow(): void {
     const nowMs = this.#options.clock.nowMs();
     if (nowMs < this.#windowEndsAtMs) return;
     this.#windowEndsAtMs = nowMs + WINDOW_MS;
-    this.#lines = 0;
+    this.#writtenCount = 0;
     if (this.#droppedCount === 0) return;
     this.#options.log.write(LogLevel.Warn, 'log_lines_left_out', { count: this.#droppedCount });
     this.#droppedCount = 0;
--- a/src/adapters/logging/limited_event_log_test.ts
+++ b/src/adapters/logging/rate_limited_event_log_test.ts
@@ -4,10 +4,9 @@
 import { LogLevel } from '../../domain/errors/mod.js';
 import { LimitedEventLog } from './mod.js';
 
-t.test('LimitedEventLog leaves out lines beyond its bound and tells how many', async (t) => {
-  // Symptom: under a flood of refused calls an entry host answers late.
-  // Sequence: each call writes lines; formatting them takes the processor.
-  // Cause: the volume of the log followed the load.
+t.test('LimitedEventLog drops lines above its rate limit and reports how many', async (t) => {
+  // Guards against an entry host that answers late under a flood of refused requests because
+  // each request writes log lines and formatting them uses up the CPU.
   const clock = new VirtualClock();
   const log = new FakeLog();
   const limited = new LimitedEventLog({ log, clock, maxLinesPerSecond: 2 });
--- a/src/adapters/metrics/_process_metrics.ts
+++ b/src/adapters/metrics/_process_metrics.ts
@@ -1,16 +1,16 @@
 /**
- * What the process itself takes.
+ * Reports the resource usage of this process.
  *
  * @module
  */
 import { performance } from 'node:perf_hooks';
-import { formatSample, formatType, MetricType } from './_prometheus_text.js';
+import { formatSample, formatTypeLine, MetricType } from './_prometheus_text.js';
 
 const MICROSECONDS_PER_SECOND = 1_000_000;
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** @returns processor time, memory and start of this process, as lines of Prometheus text */
-export function listProcessMetrics(): readonly string[] {
+/** @returns CPU time, resident memory and start time of this process as Prometheus text lines */
+export function formatProcessMetrics(): readonly string[] {
   const { user, system } = process.cpuUsage();
   const samples: [string, MetricType, number][] = [
     ['process_cpu_seconds_total', MetricType.Counter, (user + system) / MICROSECONDS_PER_SECOND],
@@ -22,7 +22,7 @@
     ],
   ];
   return samples.flatMap(([name, type, value]) => [
-    formatType(name, type),
+    formatTypeLine(name, type),
     formatSample(name, {}, value),
   ]);
 }
--- a/src/adapters/metrics/_prometheus_text.ts
+++ b/src/adapters/metrics/_prometheus_text.ts
@@ -1,11 +1,11 @@
 /**
- * The Prometheus text format.
+ * Formats metrics in the Prometheus text format.
  *
  * @module
  */
 import type { MetricLabels } from '../../ports/mod.js';
 
-/** Types of metrics as the format names them. */
+/** Metric types, with the names that the text format uses. */
 export enum MetricType {
   Counter = 'counter',
   Gauge = 'gauge',
@@ -16,33 +16,33 @@
   return value.replaceAll('\\', '\\\\').replaceAll('\n', '\\n').replaceAll('"', '\\"');
 }
 
-function formatName(name: string): string {
+function sanitizeName(name: string): string {
   return name.replace(/[^A-Za-z0-9_]/g, '_');
 }
 
 /**
- * Formats one sample.
+ * Formats one sample. Replaces characters that metric and label names must not contain by `_`.
  *
- * @param name - the metric's name
- * @param labels - its labels
- * @param value - its value
+ * @param name - name of the metric
+ * @param labels - labels of the sample
+ * @param value - value of the sample
  * @returns one line
  */
 export function formatSample(name: string, labels: MetricLabels, value: number): string {
   const pairs = Object.entries(labels).map(
-    ([label, text]) => `${formatName(label)}="${formatLabelValue(text)}"`,
+    ([label, text]) => `${sanitizeName(label)}="${formatLabelValue(text)}"`,
   );
   const braces = pairs.length > 0 ? `{${pairs.join(',')}}` : '';
-  return `${formatName(name)}${braces} ${value}`;
+  return `${sanitizeName(name)}${braces} ${value}`;
 }
 
 /**
- * Formats the line that tells a metric's type.
+ * Formats the `# TYPE` line, which declares the type of a metric.
  *
- * @param name - the metric's name
- * @param type - its type
+ * @param name - name of the metric
+ * @param type - type of the metric
  * @returns one line
  */
-export function formatType(name: string, type: MetricType): string {
-  return `# TYPE ${formatName(name)} ${type}`;
+export function formatTypeLine(name: string, type: MetricType): string {
+  return `# TYPE ${sanitizeName(name)} ${type}`;
 }
--- a/src/adapters/metrics/_rolling_histogram.ts
+++ b/src/adapters/metrics/_rolling_histogram.ts
@@ -1,5 +1,5 @@
 /**
- * An HDR histogram over the recent past.
+ * Provides an HDR histogram over a rolling time window.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { Histogram } from 'hdr-histogram-js';
 import type { Clock } from '../../ports/mod.js';
 
-/** Values are kept in thousandths of their unit, so that 0.2 ms isn't rounded to 0. */
+/** Values are stored in thousandths of their unit, so that 0.2 ms isn't rounded to 0. */
 const SCALE = 1000;
 const MAX_SCALED_VALUE = 86_400_000 * SCALE;
 const SIGNIFICANT_DIGITS = 2;
@@ -23,8 +23,8 @@
 }
 
 /**
- * Quantiles of the last one to two windows; sum and count since the start.
- * Quantiles since the start would still show a slow hour of last week.
+ * Computes quantiles over the last one to two windows, and the count and sum of all values since
+ * the start. Quantiles since the start would still include a slow hour of the previous week.
  */
 export class RollingHistogram {
   #count = 0;
@@ -38,8 +38,8 @@
   #windowStartMs: number;
 
   /**
-   * @param clock - tells when a window ends
-   * @param windowMs - length of a window in milliseconds
+   * @param clock - clock that determines when a window ends
+   * @param windowMs - duration of a window in milliseconds
    */
   constructor(
     private readonly clock: Clock,
@@ -48,7 +48,7 @@
     this.#windowStartMs = clock.nowMs();
   }
 
-  /** How many values were recorded since the start. */
+  /** Number of values recorded since the start. */
   get count(): number {
     return this.#count;
   }
@@ -58,10 +58,10 @@
     return this.#sum;
   }
 
-  /** @param value - the value; it is cut to a range from 0 to 86,400,000 */
+  /** @param value - the value, clamped to 0 to 86,400,000; ignored when it is not finite */
   record(value: number): void {
     if (!Number.isFinite(value)) return;
-    this.#startWindow();
+    this.#rotateWindows();
     const scaled = Math.min(Math.max(0, Math.round(value * SCALE)), MAX_SCALED_VALUE);
     this.#current.recordValue(scaled);
     this.#count += 1;
@@ -69,11 +69,11 @@
   }
 
   /**
-   * @param quantiles - such as 0.99
-   * @returns their values, in the order asked for; undefined when no value is recent
+   * @param quantiles - quantiles between 0 and 1, such as 0.99
+   * @returns the values in the order of `quantiles`; undefined when the windows hold no value
    */
-  listQuantiles(quantiles: readonly number[]): readonly number[] | undefined {
-    this.#startWindow();
+  computeQuantiles(quantiles: readonly number[]): readonly number[] | undefined {
+    this.#rotateWindows();
     const recent = createHistogram();
     recent.add(this.#previous);
     recent.add(this.#current);
@@ -81,7 +81,7 @@
     return quantiles.map((quantile) => recent.getValueAtPercentile(quantile * PERCENT) / SCALE);
   }
 
-  #startWindow(): void {
+  #rotateWindows(): void {
     const elapsedMs = this.clock.nowMs() - this.#windowStartMs;
     if (elapsedMs < this.windowMs) return;
     const spare = this.#previous;
--- a/src/adapters/metrics/_series_table.ts
+++ b/src/adapters/metrics/_series_table.ts
@@ -1,5 +1,5 @@
 /**
- * The series of one metric, bounded in number.
+ * Stores the series of one metric and limits their number.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 
 const OVERFLOW_LABELS: MetricLabels = { overflow: 'true' };
 
-/** One series. */
+/** One combination of labels and its value. */
 export interface Series<T> {
   readonly labels: MetricLabels;
   value: T;
@@ -18,41 +18,40 @@
 }
 
 /**
- * Series by their labels. Labels can grow with what callers and contracts
- * name; without a bound the process would grow until it is killed, and the
- * scrape with it. Beyond the bound everything goes into one series labelled
- * `overflow="true"`.
+ * Maps labels to series. Label values can come from clients and contracts; without a limit, the
+ * memory of the process and the size of each scrape would grow until the process is killed. Above
+ * the limit all values go into one series labelled `overflow="true"`.
  */
 export class SeriesTable<T> {
   readonly #series = new Map<string, Series<T>>();
 
   readonly #maxSeries: number;
 
-  readonly #create: () => T;
+  readonly #createValue: () => T;
 
   /**
-   * @param maxSeries - most series besides the overflow
-   * @param create - makes a new series' value
+   * @param maxSeries - maximum number of series, not counting the overflow series
+   * @param create - creates the initial value of a new series
    */
   constructor(maxSeries: number, create: () => T) {
     this.#maxSeries = maxSeries;
-    this.#create = create;
+    this.#createValue = create;
   }
 
-  /** @param labels - which series. @returns it, or the overflow's */
-  take(labels: MetricLabels): Series<T> {
+  /** @param labels - labels of the series. @returns that series, or the overflow series */
+  getOrCreate(labels: MetricLabels): Series<T> {
     const key = deriveSeriesKey(labels);
     const found = this.#series.get(key);
     if (found) return found;
     if (this.#series.size >= this.#maxSeries && labels !== OVERFLOW_LABELS)
-      return this.take(OVERFLOW_LABELS);
-    const series = { labels, value: this.#create() };
+      return this.getOrCreate(OVERFLOW_LABELS);
+    const series = { labels, value: this.#createValue() };
     this.#series.set(key, series);
     return series;
   }
 
-  /** @returns every series, in the order in which they came */
-  list(): readonly Series<T>[] {
+  /** @returns all series in the order of their creation */
+  listSeries(): readonly Series<T>[] {
     return [...this.#series.values()];
   }
 }
--- a/src/adapters/metrics/hdr_metrics.ts
+++ b/src/adapters/metrics/hdr_metrics.ts
@@ -1,12 +1,12 @@
 /**
- * Metrics kept in this process.
+ * Implements the `Metrics` port in memory.
  *
  * @module
  */
 import { Metrics } from '../../ports/mod.js';
 import type { Clock, MetricLabels } from '../../ports/mod.js';
-import { listProcessMetrics } from './_process_metrics.js';
-import { formatSample, formatType, MetricType } from './_prometheus_text.js';
+import { formatProcessMetrics } from './_process_metrics.js';
+import { formatSample, formatTypeLine, MetricType } from './_prometheus_text.js';
 import { RollingHistogram } from './_rolling_histogram.js';
 import { SeriesTable } from './_series_table.js';
 
@@ -14,22 +14,22 @@
 const QUANTILES = [0.5, 0.95, 0.99, 0.999];
 const DEFAULT_WINDOW_MS = 60_000;
 const DEFAULT_MAX_SERIES = 4096;
-/** A histogram takes about thirty kilobytes, a counter a few hundred bytes. */
+/** Lower than for counters: a histogram uses about 30 kB, a counter a few hundred bytes. */
 const DEFAULT_MAX_HISTOGRAM_SERIES = 64;
 
 /** Options of {@link HdrMetrics}. */
 export interface HdrMetricsOptions {
-  /** Tells when a histogram's window ends. */
+  /** Clock that determines when a histogram window ends. */
   readonly clock: Clock;
-  /** Quantiles cover the last one to two windows of this length, in milliseconds. Default: 60,000. */
+  /** Duration of a window in ms; quantiles cover the last one to two windows. Default: 60,000. */
   readonly windowMs?: number;
-  /** Most series of one counter or gauge. Default: 4096. */
+  /** Maximum number of series of one counter or gauge. Default: 4096. */
   readonly maxSeries?: number;
-  /** Most series of one histogram. Default: 64. */
+  /** Maximum number of series of one histogram. Default: 64. */
   readonly maxHistogramSeries?: number;
 }
 
-function takeTable<T>(
+function getOrCreateTable<T>(
   tables: Map<string, SeriesTable<T>>,
   name: string,
   create: () => SeriesTable<T>,
@@ -41,7 +41,7 @@
   return table;
 }
 
-/** Keeps counters, gauges and HDR histograms, and exports them as Prometheus text. */
+/** Stores counters, gauges and HDR histograms, and exports them as Prometheus text. */
 export class HdrMetrics extends Metrics {
   readonly #options: Required<HdrMetricsOptions>;
 
@@ -51,7 +51,7 @@
 
   readonly #histograms = new Map<string, SeriesTable<RollingHistogram>>();
 
-  /** @param options - clock, window and bounds */
+  /** @param options - clock, window duration and series limits */
   constructor(options: HdrMetricsOptions) {
     super();
     this.#options = {
@@ -62,34 +62,35 @@
     };
   }
 
-  override count(name: string, labels: MetricLabels = {}, by = 1): void {
-    this.#takeNumbers(this.#counters, name).take(labels).value += by;
+  override count(name: string, labels: MetricLabels = {}, increment = 1): void {
+    this.#getNumberTable(this.#counters, name).getOrCreate(labels).value += increment;
   }
 
   override record(name: string, value: number, labels: MetricLabels = {}): void {
     const { clock, windowMs, maxHistogramSeries } = this.#options;
     const create = (): RollingHistogram => new RollingHistogram(clock, windowMs);
-    takeTable(this.#histograms, name, () => new SeriesTable(maxHistogramSeries, create))
-      .take(labels)
+    getOrCreateTable(this.#histograms, name, () => new SeriesTable(maxHistogramSeries, create))
+      .getOrCreate(labels)
       .value.record(value);
   }
 
   override set(name: string, value: number, labels: MetricLabels = {}): void {
-    this.#takeNumbers(this.#gauges, name).take(labels).value = value;
+    this.#getNumberTable(this.#gauges, name).getOrCreate(labels).value = value;
   }
 
   /**
-   * Adds a counter up by one of its labels.
+   * Sums the series of a counter, grouped by the values of one label. Series without that label
+   * count towards the group `other`.
    *
-   * @param name - the counter's name
-   * @param label - the label to group by
-   * @returns the sums by the label's values
+   * @param name - name of the counter
+   * @param label - label to group by
+   * @returns the sum for each value of the label
    */
   computeSums(name: string, label: string): Readonly<Record<string, number>> {
     const sums: Record<string, number> = {};
     this.#counters
       .get(name)
-      ?.list()
+      ?.listSeries()
       .forEach(({ labels, value }) => {
         const group = labels[label] ?? 'other';
         sums[group] = (sums[group] ?? 0) + value;
@@ -97,32 +98,32 @@
     return sums;
   }
 
-  /** @returns every series as Prometheus text, names with the prefix `monsoonhall_` */
+  /** @returns all series as Prometheus text; metric names have the prefix `monsoonhall_` */
   exportPrometheus(): string {
     const lines = [
-      ...this.#listNumbers(this.#counters, MetricType.Counter),
-      ...this.#listNumbers(this.#gauges, MetricType.Gauge),
-      ...[...this.#histograms].flatMap(([name, table]) => this.#listSummary(name, table)),
-      ...listProcessMetrics(),
+      ...this.#formatNumberTables(this.#counters, MetricType.Counter),
+      ...this.#formatNumberTables(this.#gauges, MetricType.Gauge),
+      ...[...this.#histograms].flatMap(([name, table]) => this.#formatSummary(name, table)),
+      ...formatProcessMetrics(),
     ];
     return `${lines.join('\n')}\n`;
   }
 
-  #takeNumbers(tables: Map<string, SeriesTable<number>>, name: string): SeriesTable<number> {
-    return takeTable(tables, name, () => new SeriesTable(this.#options.maxSeries, () => 0));
+  #getNumberTable(tables: Map<string, SeriesTable<number>>, name: string): SeriesTable<number> {
+    return getOrCreateTable(tables, name, () => new SeriesTable(this.#options.maxSeries, () => 0));
   }
 
-  #listNumbers(tables: Map<string, SeriesTable<number>>, type: MetricType): string[] {
+  #formatNumberTables(tables: Map<string, SeriesTable<number>>, type: MetricType): string[] {
     return [...tables].flatMap(([name, table]) => [
-      formatType(PREFIX + name, type),
-      ...table.list().map(({ labels, value }) => formatSample(PREFIX + name, labels, value)),
+      formatTypeLine(PREFIX + name, type),
+      ...table.listSeries().map(({ labels, value }) => formatSample(PREFIX + name, labels, value)),
     ]);
   }
 
-  #listSummary(name: string, table: SeriesTable<RollingHistogram>): string[] {
+  #formatSummary(name: string, table: SeriesTable<RollingHistogram>): string[] {
     const fullName = PREFIX + name;
-    const samples = table.list().flatMap(({ labels, value }) => {
-      const quantiles = value.listQuantiles(QUANTILES) ?? QUANTILES.map(() => Number.NaN);
+    const samples = table.listSeries().flatMap(({ labels, value }) => {
+      const quantiles = value.computeQuantiles(QUANTILES) ?? QUANTILES.map(() => Number.NaN);
       return [
         ...quantiles.map((quantile, index) =>
           formatSample(fullName, { ...labels, quantile: String(QUANTILES[index]) }, quantile),
@@ -131,6 +132,6 @@
         formatSample(`${fullName}_count`, labels, value.count),
       ];
     });
-    return [formatType(fullName, MetricType.Summary), ...samples];
+    return [formatTypeLine(fullName, MetricType.Summary), ...samples];
   }
 }
--- a/src/adapters/metrics/hdr_metrics_test.ts
+++ b/src/adapters/metrics/hdr_metrics_test.ts
@@ -34,7 +34,7 @@
   });
 });
 
-t.test('HdrMetrics writes whatever labels hold in the Prometheus form', async (t) => {
+t.test('HdrMetrics exports unusual labels and values as valid Prometheus text', async (t) => {
   const metrics = new HdrMetrics({ clock: new VirtualClock() });
   metrics.count('odd_total', { 'a-b': 'x"y\\z\nw' });
   metrics.record('odd_ms', Number.NaN);
@@ -45,9 +45,9 @@
   t.ok(samples.includes('monsoonhall_odd_total{a_b="x\\"y\\\\z\\nw"} 1'));
 });
 
-t.test('HdrMetrics bounds the number of series', async (t) => {
-  // Symptom: the process grows with every name that callers invent, until it
-  // is killed. Cause: a label with an unbounded set of values.
+t.test('HdrMetrics limits the number of series', async (t) => {
+  // Guards against a label with an unbounded set of values: the process grows with each name
+  // that clients invent until it is killed.
   const metrics = new HdrMetrics({
     clock: new VirtualClock(),
     maxSeries: 3,
@@ -63,10 +63,10 @@
   t.ok(lines.includes('monsoonhall_wait_ms_count{overflow="true"} 8'));
 });
 
-t.test('HdrMetrics forgets old values in quantiles and keeps them in sums', async (t) => {
+t.test('HdrMetrics drops old values from quantiles and keeps them in sums', async (t) => {
   const clock = new VirtualClock();
   const metrics = new HdrMetrics({ clock, windowMs: 1000 });
-  // Rounded to whole milliseconds: the histogram keeps two digits.
+  // Rounds to whole milliseconds, since the histogram keeps two significant digits.
   const getMedian = (): number =>
     Math.round(
       Number(/^monsoonhall_wait_ms\{quantile="0.5"\} (.*)$/m.exec(metrics.exportPrometheus())?.[1]),
@@ -82,7 +82,7 @@
   t.match(metrics.exportPrometheus(), /^monsoonhall_wait_ms_sum 110$/m);
 });
 
-t.test('HdrMetrics.computeSums() adds a counter up by one label', async (t) => {
+t.test('HdrMetrics.computeSums() sums a counter by one label', async (t) => {
   const metrics = new HdrMetrics({ clock: new VirtualClock() });
   metrics.count('refusals_total', { kind: 'queue_full', route: 'a' }, 2);
   metrics.count('refusals_total', { kind: 'queue_full', route: 'b' });
--- a/src/adapters/metrics/mod.ts
+++ b/src/adapters/metrics/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics: counters, gauges and HDR histograms, exported as Prometheus text.
+ * Provides counters, gauges and HDR histograms, exported as Prometheus text.
  *
  * ```ts
  * const metrics = new HdrMetrics({ clock });
--- a/src/adapters/peers_ws/_dialer.ts
+++ b/src/adapters/peers_ws/_dialer.ts
@@ -13,12 +13,12 @@
   readonly minRedialMs: number;
   readonly maxRedialMs: number;
   /** Whether a link, dialled or accepted, leads to the address or is being made. */
-  readonly isCovered: (url: string) => boolean;
+  readonly hasLink: (url: string) => boolean;
   /** Begins to make a link. */
   readonly open: (url: string) => void;
 }
 
-interface Address {
+interface AddressState {
   failures: number;
   timer: Timer | undefined;
 }
@@ -27,7 +27,7 @@
 export class Dialer {
   readonly #options: DialerOptions;
 
-  readonly #addresses = new Map<string, Address>();
+  readonly #addresses = new Map<string, AddressState>();
 
   readonly #ownUrls = new Set<string>();
 
@@ -47,7 +47,7 @@
     wanted.forEach((url) => {
       if (this.#addresses.has(url)) return;
       this.#addresses.set(url, { failures: 0, timer: undefined });
-      this.openNow(url);
+      this.dialNow(url);
     });
   }
 
@@ -61,29 +61,29 @@
    *
    * @param url - the address; one that is not wanted is left alone
    */
-  openNow(url: string): void {
-    const address = this.#addresses.get(url);
-    if (!address || this.#ownUrls.has(url)) return;
-    address.timer?.cancel();
-    address.timer = undefined;
-    if (!this.#options.isCovered(url)) this.#options.open(url);
+  dialNow(url: string): void {
+    const state = this.#addresses.get(url);
+    if (!state || this.#ownUrls.has(url)) return;
+    state.timer?.cancel();
+    state.timer = undefined;
+    if (!this.#options.hasLink(url)) this.#options.open(url);
   }
 
   /**
    * Has an address dialled again after its backoff.
    *
    * @param url - the address whose link has gone
-   * @param livedMs - how long the link had lived; a short life counts as a
+   * @param lifetimeMs - how long the link had lived; a short life counts as a
    *   failure, since an end that breaks off after each handshake would else be
    *   dialled without a pause
    */
-  scheduleRedial(url: string, livedMs: number): void {
-    const address = this.#addresses.get(url);
-    if (!address || address.timer || this.#options.isCovered(url)) return;
-    address.failures = livedMs >= this.#options.maxRedialMs ? 0 : address.failures + 1;
-    address.timer = this.#options.clock.setTimer(this.#computeDelay(address), () => {
-      address.timer = undefined;
-      this.openNow(url);
+  scheduleRedial(url: string, lifetimeMs: number): void {
+    const state = this.#addresses.get(url);
+    if (!state || state.timer || this.#options.hasLink(url)) return;
+    state.failures = lifetimeMs >= this.#options.maxRedialMs ? 0 : state.failures + 1;
+    state.timer = this.#options.clock.setTimer(this.#computeDelayMs(state), () => {
+      state.timer = undefined;
+      this.dialNow(url);
     });
   }
 
@@ -92,9 +92,9 @@
     this.setAddresses([]);
   }
 
-  #computeDelay({ failures }: Address): number {
+  #computeDelayMs({ failures }: AddressState): number {
     const { random, minRedialMs, maxRedialMs } = this.#options;
-    const longestMs = Math.min(maxRedialMs, minRedialMs * 2 ** Math.min(failures, 30));
-    return longestMs * (0.5 + random.nextFraction() / 2);
+    const maxDelayMs = Math.min(maxRedialMs, minRedialMs * 2 ** Math.min(failures, 30));
+    return maxDelayMs * (0.5 + random.nextFraction() / 2);
   }
 }
--- a/src/adapters/peers_ws/_link_sweep.ts
+++ b/src/adapters/peers_ws/_link_monitor.ts
@@ -4,11 +4,11 @@
  * @module
  */
 import type { Clock, Timer } from '../../ports/mod.js';
-import { LinkEnd } from './_peer_link.js';
+import { LinkEndCause } from './_peer_link.js';
 import type { PeerLink } from './_peer_link.js';
 
 /** What the sweep needs. */
-export interface LinkSweepOptions {
+export interface LinkMonitorOptions {
   readonly clock: Clock;
   readonly pingAfterMs: number;
   readonly silentAfterMs: number;
@@ -17,22 +17,22 @@
 }
 
 /** Ends silent links and handshakes that hang, and pings those that are quiet. */
-export class LinkSweep {
-  readonly #options: LinkSweepOptions;
+export class LinkMonitor {
+  readonly #options: LinkMonitorOptions;
 
   #timer: Timer | undefined;
 
-  #sweptAtMs = 0;
+  #lastCheckAtMs = 0;
 
   /** @param options - what the sweep needs */
-  constructor(options: LinkSweepOptions) {
+  constructor(options: LinkMonitorOptions) {
     this.#options = options;
   }
 
   /** Begins to look after the links. */
   start(): void {
-    this.#sweptAtMs = this.#options.clock.nowMs();
-    this.#schedule();
+    this.#lastCheckAtMs = this.#options.clock.nowMs();
+    this.#scheduleCheck();
   }
 
   /** Looks after them no more. */
@@ -40,9 +40,9 @@
     this.#timer?.cancel();
   }
 
-  #schedule(): void {
+  #scheduleCheck(): void {
     this.#timer = this.#options.clock.setTimer(this.#options.pingAfterMs, () => {
-      this.#schedule();
+      this.#scheduleCheck();
       this.#checkLinks();
     });
   }
@@ -50,18 +50,18 @@
   #checkLinks(): void {
     const { clock, silentAfterMs, listLinks } = this.#options;
     const nowMs = clock.nowMs();
-    const wasPaused = nowMs - this.#sweptAtMs >= silentAfterMs;
-    this.#sweptAtMs = nowMs;
+    const wasPaused = nowMs - this.#lastCheckAtMs >= silentAfterMs;
+    this.#lastCheckAtMs = nowMs;
     listLinks().forEach((link) => {
       // After a pause of this process its links only look silent: what came is not read yet.
-      if (wasPaused) link.noteReceived();
+      if (wasPaused) link.recordReceived();
       this.#checkLink(link, nowMs - link.receivedAtMs);
     });
   }
 
   #checkLink(link: PeerLink, silentMs: number): void {
     const { pingAfterMs, silentAfterMs } = this.#options;
-    if (silentMs >= silentAfterMs) link.end(LinkEnd.Silent, `nothing came for ${silentMs} ms`);
+    if (silentMs >= silentAfterMs) link.end(LinkEndCause.Silent, `nothing came for ${silentMs} ms`);
     else if (silentMs >= pingAfterMs) link.sendPing();
   }
 }
--- a/src/adapters/peers_ws/_link_table.ts
+++ b/src/adapters/peers_ws/_link_table.ts
@@ -11,7 +11,7 @@
   /** Oldest first; messages go on the oldest. */
   readonly links: PeerLink[];
   /** Number of the newest message that was taken from it. */
-  takenSequence: number;
+  lastSequence: number;
 }
 
 /** Keeps authenticated links by incarnation. */
@@ -23,7 +23,7 @@
     const peer = this.#peers.get(identity.incarnation);
     peer?.links.push(link);
     if (peer) return false;
-    this.#peers.set(identity.incarnation, { identity, links: [link], takenSequence: 0 });
+    this.#peers.set(identity.incarnation, { identity, links: [link], lastSequence: 0 });
     return true;
   }
 
@@ -72,8 +72,8 @@
    */
   acceptSequence(incarnation: string, sequence: number): boolean {
     const peer = this.#peers.get(incarnation);
-    if (!peer || sequence <= peer.takenSequence) return false;
-    peer.takenSequence = sequence;
+    if (!peer || sequence <= peer.lastSequence) return false;
+    peer.lastSequence = sequence;
     return true;
   }
 }
--- a/src/adapters/peers_ws/_message_schema.ts
+++ b/src/adapters/peers_ws/_message_schema.ts
@@ -279,7 +279,7 @@
   }),
 };
 
-const TYPES: ReadonlySet<unknown> = new Set(Object.values(PeerMessageType));
+const KNOWN_TYPES: ReadonlySet<unknown> = new Set(Object.values(PeerMessageType));
 
 /**
  * Parses what was decoded.
@@ -290,7 +290,7 @@
  */
 export function parseMessage(decoded: unknown): PeerMessage {
   const type = (decoded as { type?: unknown } | null | undefined)?.type;
-  if (!TYPES.has(type)) throw new Error('Cannot parse peer message: its type is unknown');
+  if (!KNOWN_TYPES.has(type)) throw new Error('Cannot parse peer message: its type is unknown');
   const result = SCHEMAS[type as PeerMessageType].safeParse(decoded);
   if (result.success) return result.data;
   const [issue] = result.error.issues;
--- a/src/adapters/peers_ws/_peer_link.ts
+++ b/src/adapters/peers_ws/_peer_link.ts
@@ -17,10 +17,10 @@
 const MAX_HANDSHAKE_BYTES = 16_384;
 
 /** Start of the error codes with which the library names faults of the other end. */
-const LIBRARY_FAULT_PREFIX = 'WS_ERR_';
+const WS_ERROR_CODE_PREFIX = 'WS_ERR_';
 
 /** Why a link ended. */
-export enum LinkEnd {
+export enum LinkEndCause {
   /** The other end, or the network, closed it. */
   Closed = 'closed',
   /** The other end broke the protocol or has another key. */
@@ -43,7 +43,7 @@
   readonly onAuthenticated: (link: PeerLink) => void;
   readonly onMessage: (link: PeerLink, frame: MessageFrame) => void;
   /** Called once; `reason` says what was wrong where something was. */
-  readonly onEnd: (link: PeerLink, end: LinkEnd, reason: string) => void;
+  readonly onEnd: (link: PeerLink, end: LinkEndCause, reason: string) => void;
 }
 
 /** What a link needs. */
@@ -61,7 +61,7 @@
   readonly dialledUrl: string | undefined;
 
   /** When it was begun, in milliseconds. */
-  readonly begunAtMs: number;
+  readonly createdAtMs: number;
 
   readonly #options: PeerLinkOptions;
 
@@ -81,9 +81,9 @@
     this.#webSocket = options.webSocket;
     this.#handshake = new Handshake(options.handshake);
     this.dialledUrl = options.dialledUrl;
-    this.begunAtMs = options.nowMs();
-    this.#receivedAtMs = this.begunAtMs;
-    this.#watchSocket();
+    this.createdAtMs = options.nowMs();
+    this.#receivedAtMs = this.createdAtMs;
+    this.#registerSocketHandlers();
   }
 
   /** Who is at the other end; undefined until it has proved it. */
@@ -102,7 +102,7 @@
   }
 
   /** Takes it that something came now. */
-  noteReceived(): void {
+  recordReceived(): void {
     this.#receivedAtMs = this.#options.nowMs();
   }
 
@@ -112,7 +112,7 @@
    * @param socket - the TCP connection under it
    */
   start(socket: Socket): void {
-    this.#watchHandshakeBytes(socket);
+    this.#limitHandshakeBytes(socket);
     this.#sendFrame(this.#handshake.buildChallenge());
   }
 
@@ -127,8 +127,8 @@
   }
 
   /** Ends it at once, without waiting for the other end. */
-  end(end: LinkEnd, reason = ''): void {
-    this.#settleEnd(end, reason);
+  end(cause: LinkEndCause, reason = ''): void {
+    this.#reportEnd(cause, reason);
     this.#webSocket.terminate();
   }
 
@@ -137,7 +137,7 @@
     if (this.#webSocket.readyState === this.#webSocket.CLOSED) return Promise.resolve();
     return new Promise((resolve) => {
       this.#webSocket.once('close', () => resolve());
-      this.#settleEnd(LinkEnd.Stopped, '');
+      this.#reportEnd(LinkEndCause.Stopped, '');
       this.#webSocket.close();
     });
   }
@@ -151,39 +151,42 @@
    * Bounds what an end may send before it has the right to. The library's own
    * limit is that of the largest message, so strangers could fill the memory.
    */
-  #watchHandshakeBytes(socket: Socket): void {
-    const check = (): void => {
-      if (this.#peer || this.#hasEnded) socket.off('data', check);
+  #limitHandshakeBytes(socket: Socket): void {
+    const checkByteCount = (): void => {
+      if (this.#peer || this.#hasEnded) socket.off('data', checkByteCount);
       else if (socket.bytesRead > MAX_HANDSHAKE_BYTES) {
-        this.end(LinkEnd.Refused, `more than ${MAX_HANDSHAKE_BYTES} bytes before the handshake`);
+        this.end(
+          LinkEndCause.Refused,
+          `more than ${MAX_HANDSHAKE_BYTES} bytes before the handshake`,
+        );
       }
     };
-    socket.on('data', check);
+    socket.on('data', checkByteCount);
   }
 
-  #watchSocket(): void {
+  #registerSocketHandlers(): void {
     const webSocket = this.#webSocket;
     webSocket.on('message', (data, isBinary) => this.#handleData(data, isBinary));
-    webSocket.on('ping', () => this.noteReceived());
-    webSocket.on('pong', () => this.noteReceived());
+    webSocket.on('ping', () => this.recordReceived());
+    webSocket.on('pong', () => this.recordReceived());
     webSocket.on('error', (error) => this.#handleError(error));
-    webSocket.on('close', () => this.#settleEnd(LinkEnd.Closed, 'closed by the other end'));
+    webSocket.on('close', () => this.#reportEnd(LinkEndCause.Closed, 'closed by the other end'));
   }
 
   /** The library reports an oversized or malformed frame like a reset connection. */
   #handleError(error: Error & { code?: string }): void {
-    const isFault = error.code?.startsWith(LIBRARY_FAULT_PREFIX) === true;
-    this.end(isFault ? LinkEnd.Refused : LinkEnd.Closed, error.message);
+    const isProtocolFault = error.code?.startsWith(WS_ERROR_CODE_PREFIX) === true;
+    this.end(isProtocolFault ? LinkEndCause.Refused : LinkEndCause.Closed, error.message);
   }
 
   #handleData(data: RawData, isBinary: boolean): void {
     if (this.#hasEnded) return;
-    this.noteReceived();
+    this.recordReceived();
     try {
       if (!isBinary || !Buffer.isBuffer(data)) throw new Error('Cannot decode frame: not binary');
       this.#handleFrame(decodeFrame(data));
     } catch (error) {
-      this.end(LinkEnd.Refused, formatReason(error));
+      this.end(LinkEndCause.Refused, formatReason(error));
     }
   }
 
@@ -194,25 +197,25 @@
     } else if (frame.kind === FrameKind.Challenge) {
       this.#sendFrame(this.#handshake.acceptChallenge(frame));
     } else if (frame.kind === FrameKind.Hello) {
-      this.#handlePeer(this.#handshake.acceptHello(frame));
+      this.#handleAuthenticated(this.#handshake.acceptHello(frame));
     } else {
       throw new Error('Cannot accept a message before the handshake');
     }
   }
 
-  #handlePeer(peer: EntryHostIdentity): void {
+  #handleAuthenticated(peer: EntryHostIdentity): void {
     if (peer.incarnation === this.#options.handshake.self.incarnation) {
-      this.end(LinkEnd.OwnIncarnation, 'the link leads to this process');
+      this.end(LinkEndCause.OwnIncarnation, 'the link leads to this process');
       return;
     }
     this.#peer = peer;
     this.#options.onAuthenticated(this);
   }
 
-  #settleEnd(end: LinkEnd, reason: string): void {
+  #reportEnd(cause: LinkEndCause, reason: string): void {
     if (this.#hasEnded) return;
     this.#hasEnded = true;
-    this.#options.onEnd(this, end, reason);
+    this.#options.onEnd(this, cause, reason);
   }
 
   #sendFrame(frame: Frame): void {
--- a/src/adapters/peers_ws/_test_peers.ts
+++ b/src/adapters/peers_ws/_test_peers.ts
@@ -34,8 +34,8 @@
 }
 
 /** Waits until something holds; the test's own time limit bounds it. */
-export async function waitUntil(holds: () => boolean): Promise<void> {
-  while (!holds()) {
+export async function waitUntil(isMet: () => boolean): Promise<void> {
+  while (!isMet()) {
     await new Promise((resolve) => {
       setImmediate(resolve);
     });
@@ -43,7 +43,7 @@
 }
 
 /** Builds a message that just carries a number. */
-export function buildNumbered(sequence: number): HeartbeatReplyMessage {
+export function buildNumberedMessage(sequence: number): HeartbeatReplyMessage {
   return { type: PeerMessageType.HeartbeatReply, sequence };
 }
 
@@ -81,15 +81,15 @@
 
 /** Whether two peers are linked, as both ends see it. */
 export function areLinked(one: TestPeer, other: TestPeer): boolean {
-  const sees = (from: TestPeer, to: TestPeer): boolean =>
+  const hasLinkTo = (from: TestPeer, to: TestPeer): boolean =>
     from.network
       .listLinked()
       .some(({ incarnation }) => incarnation === to.network.identity.incarnation);
-  return sees(one, other) && sees(other, one);
+  return hasLinkTo(one, other) && hasLinkTo(other, one);
 }
 
 /** Why links were refused, in order. */
-export function listRefusals(peer: TestPeer): readonly string[] {
+export function listRefusalReasons(peer: TestPeer): readonly string[] {
   return peer.log.lines
     .filter(({ fields }) => fields.end === 'refused')
     .map(({ fields }) => String(fields.reason));
@@ -133,15 +133,15 @@
 }
 
 /** A TCP relay that can lose track of the connections it has. */
-export class TestRelay {
+export class TestProxy {
   /** Chunks that came from the dialling side. */
-  readonly fromDialer: Buffer[] = [];
+  readonly chunksFromDialer: Buffer[] = [];
 
   readonly #sockets = new Set<Socket>();
 
   readonly #server = createServer((socket) => this.#handleSocket(socket));
 
-  #silenced = new WeakSet<Socket>();
+  #silencedSockets = new WeakSet<Socket>();
 
   constructor(readonly targetPort: number) {}
 
@@ -156,7 +156,7 @@
 
   /** From now on the present connections carry nothing; new ones work. */
   silence(): void {
-    this.#sockets.forEach((socket) => this.#silenced.add(socket));
+    this.#sockets.forEach((socket) => this.#silencedSockets.add(socket));
   }
 
   close(): Promise<void> {
@@ -166,21 +166,21 @@
     });
   }
 
-  #handleSocket(near: Socket): void {
-    const far = connect(this.targetPort, '127.0.0.1');
-    near.on('data', (data) => this.fromDialer.push(data));
-    this.#relay(near, far);
-    this.#relay(far, near);
+  #handleSocket(dialerSocket: Socket): void {
+    const targetSocket = connect(this.targetPort, '127.0.0.1');
+    dialerSocket.on('data', (data) => this.chunksFromDialer.push(data));
+    this.#forward(dialerSocket, targetSocket);
+    this.#forward(targetSocket, dialerSocket);
   }
 
-  #relay(from: Socket, to: Socket): void {
+  #forward(from: Socket, to: Socket): void {
     this.#sockets.add(from);
     from.on('data', (data) => {
-      if (!this.#silenced.has(from)) to.write(data);
+      if (!this.#silencedSockets.has(from)) to.write(data);
     });
     from.on('error', () => undefined);
     from.on('close', () => {
-      if (!this.#silenced.has(from)) to.destroy();
+      if (!this.#silencedSockets.has(from)) to.destroy();
       this.#sockets.delete(from);
     });
   }
--- a/src/adapters/peers_ws/peer_network_contract_test.ts
+++ b/src/adapters/peers_ws/peer_network_contract_test.ts
@@ -9,61 +9,68 @@
 } from '../../../test/support/fake_peer_network.js';
 import { buildPeerIdentity, startPeer, waitUntil } from './_test_peers.js';
 
-const MESSAGES = 300;
+const MESSAGE_COUNT = 300;
 
 /** Makes networks that are linked to each other, one an ID. */
-type Setting = (t: Test, ids: readonly string[]) => Promise<readonly PeerNetwork[]>;
+type StartNetworks = (t: Test, ids: readonly string[]) => Promise<readonly PeerNetwork[]>;
 
-async function startSockets(t: Test, ids: readonly string[]): Promise<readonly PeerNetwork[]> {
+async function startWsNetworks(t: Test, ids: readonly string[]): Promise<readonly PeerNetwork[]> {
   const peers = await Promise.all(ids.map((id) => startPeer(buildPeerIdentity(id))));
   t.teardown(() => Promise.all(peers.map(({ network }) => network.close())));
   peers.forEach(({ network }) => network.setAddresses(peers.map(({ url }) => url)));
   return peers.map(({ network }) => network);
 }
 
-async function startFakes(_t: Test, ids: readonly string[]): Promise<readonly PeerNetwork[]> {
+async function startFakeNetworks(
+  _t: Test,
+  ids: readonly string[],
+): Promise<readonly PeerNetwork[]> {
   const hub = new FakePeerHub();
   return ids.map((id) => new FakePeerNetwork(hub, buildIdentity(id)));
 }
 
-const SETTINGS: Readonly<Record<string, Setting>> = {
-  WsPeerNetwork: startSockets,
-  FakePeerNetwork: startFakes,
+const IMPLEMENTATIONS: Readonly<Record<string, StartNetworks>> = {
+  WsPeerNetwork: startWsNetworks,
+  FakePeerNetwork: startFakeNetworks,
 };
 
-async function startAll(t: Test, setting: Setting, ids: readonly string[]): Promise<PeerNetwork[]> {
-  const networks = await setting(t, ids);
+async function startLinked(
+  t: Test,
+  startNetworks: StartNetworks,
+  ids: readonly string[],
+): Promise<PeerNetwork[]> {
+  const networks = await startNetworks(t, ids);
   await waitUntil(() => networks.every((one) => one.listLinked().length === ids.length - 1));
   return [...networks];
 }
 
-function buildNumbered(ticket: number): PeerMessage {
+function buildNumberedMessage(ticket: number): PeerMessage {
   return { type: PeerMessageType.SlotCancel, ticket };
 }
 
 /** Collects the types of messages that arrive, each with its sender. */
-function collect(network: PeerNetwork): { from: string; message: PeerMessage }[] {
-  const arrived: { from: string; message: PeerMessage }[] = [];
+function collectMessages(network: PeerNetwork): { from: string; message: PeerMessage }[] {
+  const received: { from: string; message: PeerMessage }[] = [];
   [PeerMessageType.SlotCancel, PeerMessageType.ForwardChunk].forEach((type) => {
-    network.handle(type, (from, message) => arrived.push({ from: from.id, message }));
+    network.handle(type, (from, message) => received.push({ from: from.id, message }));
   });
-  return arrived;
+  return received;
 }
 
-Object.entries(SETTINGS).forEach(([name, setting]) => {
+Object.entries(IMPLEMENTATIONS).forEach(([name, setting]) => {
   t.test(`${name} keeps each sender's order and names the sender`, async (t) => {
-    const [a, b, c] = (await startAll(t, setting, ['a', 'b', 'c'])) as [
+    const [a, b, c] = (await startLinked(t, setting, ['a', 'b', 'c'])) as [
       PeerNetwork,
       PeerNetwork,
       PeerNetwork,
     ];
-    const arrived = collect(a);
-    const expected = Array.from({ length: MESSAGES }, (_item, index) => index + 1);
+    const arrived = collectMessages(a);
+    const expected = Array.from({ length: MESSAGE_COUNT }, (_item, index) => index + 1);
     const sent = expected.map((number) =>
-      [b, c].every((sender) => sender.send('a-1', buildNumbered(number))),
+      [b, c].every((sender) => sender.send('a-1', buildNumberedMessage(number))),
     );
     t.ok(sent.every(Boolean));
-    await waitUntil(() => arrived.length === 2 * MESSAGES);
+    await waitUntil(() => arrived.length === 2 * MESSAGE_COUNT);
     ['b', 'c'].forEach((id) => {
       const own = arrived.filter(({ from }) => from === id);
       t.same(
@@ -74,8 +81,8 @@
   });
 
   t.test(`${name} carries bytes as they are`, async (t) => {
-    const [a, b] = (await startAll(t, setting, ['a', 'b'])) as [PeerNetwork, PeerNetwork];
-    const arrived = collect(b);
+    const [a, b] = (await startLinked(t, setting, ['a', 'b'])) as [PeerNetwork, PeerNetwork];
+    const arrived = collectMessages(b);
     const bytes = Uint8Array.from({ length: 70_000 }, (_item, index) => index % 256);
     a.send('b-1', { type: PeerMessageType.ForwardChunk, callId: 1, offset: 7, bytes });
     await waitUntil(() => arrived.length === 1);
@@ -85,19 +92,19 @@
   });
 
   t.test(`${name} refuses to send where no link leads, and to itself`, async (t) => {
-    const [a] = (await startAll(t, setting, ['a', 'b'])) as [PeerNetwork];
-    t.equal(a.send('b-2', buildNumbered(1)), false);
-    t.equal(a.send('a-1', buildNumbered(1)), false);
+    const [a] = (await startLinked(t, setting, ['a', 'b'])) as [PeerNetwork];
+    t.equal(a.send('b-2', buildNumberedMessage(1)), false);
+    t.equal(a.send('a-1', buildNumberedMessage(1)), false);
   });
 
   t.test(`${name} takes one handler a type`, async (t) => {
-    const [a] = (await startAll(t, setting, ['a', 'b'])) as [PeerNetwork];
+    const [a] = (await startLinked(t, setting, ['a', 'b'])) as [PeerNetwork];
     a.handle(PeerMessageType.SlotCancel, () => undefined);
     t.throws(() => a.handle(PeerMessageType.SlotCancel, () => undefined));
   });
 
   t.test(`${name} tells once that the last link to a peer went`, async (t) => {
-    const [a, b] = (await startAll(t, setting, ['a', 'b'])) as [PeerNetwork, PeerNetwork];
+    const [a, b] = (await startLinked(t, setting, ['a', 'b'])) as [PeerNetwork, PeerNetwork];
     const events: string[] = [];
     a.onLink(({ peer, up }) => events.push(`${peer.incarnation} ${up ? 'up' : 'down'}`));
     await b.close();
@@ -106,7 +113,7 @@
       events.filter((event) => event.endsWith('down')),
       ['b-1 down'],
     );
-    t.equal(a.send('b-1', buildNumbered(1)), false);
+    t.equal(a.send('b-1', buildNumberedMessage(1)), false);
     t.same(a.listLinked(), []);
   });
 });
--- a/src/adapters/peers_ws/ws_peer_network.ts
+++ b/src/adapters/peers_ws/ws_peer_network.ts
@@ -18,10 +18,10 @@
 import { NONCE_BYTES } from './_frames.js';
 import type { MessageFrame } from './_frames.js';
 import { LinkRole } from './_handshake.js';
-import { LinkSweep } from './_link_sweep.js';
+import { LinkMonitor } from './_link_monitor.js';
 import { LinkTable } from './_link_table.js';
 import { parseMessage } from './_message_schema.js';
-import { LinkEnd, PeerLink } from './_peer_link.js';
+import { LinkEndCause, PeerLink } from './_peer_link.js';
 import { PeerListener } from './_peer_listener.js';
 import { resolveOptions } from './ws_peer_network_options.js';
 import type { WsPeerNetworkOptions } from './ws_peer_network_options.js';
@@ -43,9 +43,9 @@
 
   readonly #dialer: Dialer;
 
-  readonly #sweep: LinkSweep;
+  readonly #linkMonitor: LinkMonitor;
 
-  readonly #table = new LinkTable();
+  readonly #linkTable = new LinkTable();
 
   /** All links, those in their handshake too. */
   readonly #links = new Set<PeerLink>();
@@ -56,9 +56,9 @@
 
   #identity: EntryHostIdentity;
 
-  #sequence = 0;
+  #lastSequence = 0;
 
-  #lastChecked: PeerMessage | undefined;
+  #lastValidMessage: PeerMessage | undefined;
 
   #isClosed = false;
 
@@ -74,15 +74,15 @@
       host: options.listenHost,
       port: options.listenPort,
       maxMessageBytes: this.#options.maxMessageBytes,
-      onSocket: (webSocket, socket) => this.#handleSocket(webSocket, socket),
+      onSocket: (webSocket, socket) => this.#acceptSocket(webSocket, socket),
       onError: (error) => this.#log(LogLevel.Error, 'peer_listener_failed', error.message),
     });
     this.#dialer = new Dialer({
       ...this.#options,
-      isCovered: (url) => this.#isCovered(url),
+      hasLink: (url) => this.#hasLink(url),
       open: (url) => this.#openLink(url),
     });
-    this.#sweep = new LinkSweep({ ...this.#options, listLinks: () => [...this.#links] });
+    this.#linkMonitor = new LinkMonitor({ ...this.#options, listLinks: () => [...this.#links] });
   }
 
   /** This entry host as peers see it; its `peerUrl` has the true port after the start. */
@@ -100,7 +100,7 @@
     const port = await this.#listener.start();
     const { peerUrl } = this.#identity;
     this.#identity = { ...this.#identity, peerUrl: peerUrl.replace(/:0(?=\/|$)/, `:${port}`) };
-    this.#sweep.start();
+    this.#linkMonitor.start();
     return { port };
   }
 
@@ -110,10 +110,10 @@
   }
 
   override send(incarnation: string, message: PeerMessage): boolean {
-    const link = this.#table.findLink(incarnation);
+    const link = this.#linkTable.findLink(incarnation);
     if (!link || !this.#maySend(link, message)) return false;
-    this.#sequence += 1;
-    link.send(this.#sequence, message);
+    this.#lastSequence += 1;
+    link.send(this.#lastSequence, message);
     this.#options.metrics.count('peer_messages_sent_total', { type: message.type });
     return true;
   }
@@ -128,31 +128,33 @@
   }
 
   override listLinked(): readonly EntryHostIdentity[] {
-    return this.#table.listIdentities();
+    return this.#linkTable.listIdentities();
   }
 
   override replaceLink(incarnation: string): void {
-    const links = this.#table.listLinks(incarnation);
+    const links = this.#linkTable.listLinks(incarnation);
     const urls = links.flatMap(({ dialledUrl, peer }) => [dialledUrl, peer?.peerUrl]);
-    links.forEach((link) => link.end(LinkEnd.Replaced));
+    links.forEach((link) => link.end(LinkEndCause.Replaced));
     new Set(urls).forEach((url) => {
-      if (url !== undefined) this.#dialer.openNow(url);
+      if (url !== undefined) this.#dialer.dialNow(url);
     });
   }
 
   override dropLink(incarnation: string): void {
-    this.#table.listLinks(incarnation).forEach((link) => link.end(LinkEnd.Unused));
+    this.#linkTable.listLinks(incarnation).forEach((link) => link.end(LinkEndCause.Unused));
   }
 
   override async close(): Promise<void> {
     this.#isClosed = true;
-    this.#sweep.stop();
+    this.#linkMonitor.stop();
     this.#dialer.stop();
     const links = [...this.#links];
-    const timer = this.#options.clock.setTimer(this.#options.closeLimitMs, () => {
+    const timer = this.#options.clock.setTimer(this.#options.closeTimeoutMs, () => {
       links.forEach((link) => link.terminate());
     });
-    await Promise.all(links.map((link) => (link.peer ? link.close() : link.end(LinkEnd.Stopped))));
+    await Promise.all(
+      links.map((link) => (link.peer ? link.close() : link.end(LinkEndCause.Stopped))),
+    );
     timer.cancel();
     await this.#listener.close();
   }
@@ -167,10 +169,10 @@
       this.#options.metrics.count('peer_sends_refused_total', { reason: 'buffer_full' });
       return false;
     }
-    if (message === this.#lastChecked) return true;
+    if (message === this.#lastValidMessage) return true;
     try {
       parseMessage(message);
-      this.#lastChecked = message;
+      this.#lastValidMessage = message;
       return true;
     } catch (error) {
       this.#options.metrics.count('peer_sends_refused_total', { reason: 'malformed' });
@@ -179,13 +181,13 @@
     }
   }
 
-  #isCovered(url: string): boolean {
-    return this.#table.hasUrl(url) || [...this.#links].some((link) => link.dialledUrl === url);
+  #hasLink(url: string): boolean {
+    return this.#linkTable.hasUrl(url) || [...this.#links].some((link) => link.dialledUrl === url);
   }
 
-  #handleSocket(webSocket: WebSocket, socket: Socket): void {
-    const unauthenticated = [...this.#links].filter((link) => !link.peer).length;
-    if (this.#isClosed || unauthenticated >= this.#options.maxUnauthenticated) {
+  #acceptSocket(webSocket: WebSocket, socket: Socket): void {
+    const unauthenticatedCount = [...this.#links].filter((link) => !link.peer).length;
+    if (this.#isClosed || unauthenticatedCount >= this.#options.maxUnauthenticatedLinks) {
       this.#options.metrics.count('peer_links_refused_total', { reason: 'too_many' });
       webSocket.on('error', () => undefined);
       webSocket.terminate();
@@ -233,7 +235,7 @@
 
   #handleAuthenticated(link: PeerLink): void {
     const { peer } = link;
-    if (!peer || !this.#table.add(peer, link)) return;
+    if (!peer || !this.#linkTable.add(peer, link)) return;
     this.#log(LogLevel.Info, 'peer_link_up', undefined, {
       entryHost: peer.id,
       incarnation: peer.incarnation,
@@ -242,7 +244,7 @@
   }
 
   #handleMessage({ peer }: PeerLink, { sequence, message }: MessageFrame): void {
-    if (!peer || !this.#table.acceptSequence(peer.incarnation, sequence)) {
+    if (!peer || !this.#linkTable.acceptSequence(peer.incarnation, sequence)) {
       this.#options.metrics.count('peer_messages_overtaken_total');
       return;
     }
@@ -257,28 +259,28 @@
     }
   }
 
-  #handleEnd(link: PeerLink, end: LinkEnd, reason: string): void {
+  #handleEnd(link: PeerLink, cause: LinkEndCause, reason: string): void {
     this.#links.delete(link);
     const { peer, dialledUrl } = link;
-    this.#logEnd(link, end, reason);
-    if (end === LinkEnd.OwnIncarnation && dialledUrl !== undefined) {
+    this.#logEnd(link, cause, reason);
+    if (cause === LinkEndCause.OwnIncarnation && dialledUrl !== undefined) {
       this.#dialer.addOwnUrl(dialledUrl);
     }
-    const wasLast = peer !== undefined && this.#table.remove(peer.incarnation, link);
-    const livedMs = this.#options.clock.nowMs() - link.begunAtMs;
+    const wasLastLink = peer !== undefined && this.#linkTable.remove(peer.incarnation, link);
+    const lifetimeMs = this.#options.clock.nowMs() - link.createdAtMs;
     new Set([dialledUrl, peer?.peerUrl]).forEach((url) => {
-      if (url !== undefined) this.#dialer.scheduleRedial(url, livedMs);
+      if (url !== undefined) this.#dialer.scheduleRedial(url, lifetimeMs);
     });
-    if (peer && wasLast) this.#notifyLink({ peer, up: false });
+    if (peer && wasLastLink) this.#notifyLink({ peer, up: false });
   }
 
-  #logEnd({ peer, dialledUrl }: PeerLink, end: LinkEnd, reason: string): void {
-    const isFault = end === LinkEnd.Refused || end === LinkEnd.OwnIncarnation;
-    if (isFault) this.#options.metrics.count('peer_links_refused_total', { reason: end });
+  #logEnd({ peer, dialledUrl }: PeerLink, cause: LinkEndCause, reason: string): void {
+    const isFault = cause === LinkEndCause.Refused || cause === LinkEndCause.OwnIncarnation;
+    if (isFault) this.#options.metrics.count('peer_links_refused_total', { reason: cause });
     // An address that nobody listens at is dialled again and again.
     const level = peer ? LogLevel.Info : LogLevel.Debug;
     this.#log(isFault ? LogLevel.Warn : level, 'peer_link_down', reason, {
-      end,
+      end: cause,
       entryHost: peer?.id,
       incarnation: peer?.incarnation,
       peerUrl: dialledUrl,
--- a/src/adapters/peers_ws/ws_peer_network_faults_test.ts
+++ b/src/adapters/peers_ws/ws_peer_network_faults_test.ts
@@ -4,18 +4,18 @@
 import { decodeFrame, encodeFrame, FrameKind } from './_frames.js';
 import {
   areLinked,
-  buildNumbered,
+  buildNumberedMessage,
   buildPeerIdentity,
   CLUSTER_KEY,
-  listRefusals,
+  listRefusalReasons,
   RawPeer,
   startPeer,
-  TestRelay,
+  TestProxy,
   waitUntil,
 } from './_test_peers.js';
 import type { TestPeer } from './_test_peers.js';
 
-const STRANGER = buildPeerIdentity('stranger');
+const UNKNOWN_PEER = buildPeerIdentity('stranger');
 const PROPERTY_OPTIONS = { seed: 42, numRuns: 500 };
 
 /** Two linked peers, the first of which will be attacked. */
@@ -29,28 +29,28 @@
 }
 
 /** The stranger is out, and the well-behaved peer's messages still arrive. */
-async function checkRefused(
+async function assertRefused(
   t: Test,
   [a, b]: readonly [TestPeer, TestPeer],
   raw: RawPeer,
   reason: RegExp,
 ): Promise<void> {
-  await waitUntil(() => raw.isClosed && listRefusals(a).length > 0);
-  t.match(listRefusals(a), [reason]);
+  await waitUntil(() => raw.isClosed && listRefusalReasons(a).length > 0);
+  t.match(listRefusalReasons(a), [reason]);
   t.same(
     a.network.listLinked().map(({ id }) => id),
     ['b'],
   );
-  b.network.send('a-1', buildNumbered(1));
+  b.network.send('a-1', buildNumberedMessage(1));
   await waitUntil(() => a.received.length === 1);
   t.same(a.received, [{ from: 'b-1', sequence: 1 }]);
 }
 
 /** What an end may do wrong before it has proved that it has the key. */
-const STRANGERS: Readonly<Record<string, [(raw: RawPeer) => void, RegExp]>> = {
+const FAULTS_BEFORE_HANDSHAKE: Readonly<Record<string, [(raw: RawPeer) => void, RegExp]>> = {
   garbage: [(raw) => raw.webSocket.send(Buffer.alloc(100, 0xc1)), /./],
   text: [(raw) => raw.webSocket.send('hello'), /not binary/],
-  'a message': [(raw) => raw.sendMessage(1, buildNumbered(1)), /before the handshake/],
+  'a message': [(raw) => raw.sendMessage(1, buildNumberedMessage(1)), /before the handshake/],
   'a nonce that is too short': [
     (raw) => raw.send({ kind: FrameKind.Challenge, version: 1, nonce: new Uint8Array(4) }),
     /wrong length/,
@@ -60,7 +60,7 @@
     /version is 2/,
   ],
   'a hello without a challenge': [
-    (raw) => raw.send({ kind: FrameKind.Hello, identity: STRANGER, mac: new Uint8Array(32) }),
+    (raw) => raw.send({ kind: FrameKind.Hello, identity: UNKNOWN_PEER, mac: new Uint8Array(32) }),
     /no challenge/,
   ],
   'many bytes': [
@@ -69,18 +69,18 @@
   ],
 };
 
-Object.entries(STRANGERS).forEach(([name, [act, reason]]) => {
+Object.entries(FAULTS_BEFORE_HANDSHAKE).forEach(([name, [act, reason]]) => {
   t.test(`WsPeerNetwork refuses a stranger that sends ${name}`, async (t) => {
     const peers = await startLinked(t);
     const raw = new RawPeer(peers[0].url);
     await waitUntil(() => raw.frames.length > 0);
     act(raw);
-    await checkRefused(t, peers, raw, reason);
+    await assertRefused(t, peers, raw, reason);
   });
 });
 
 /** What an authenticated end may do wrong. */
-const PEERS: Readonly<Record<string, [(raw: RawPeer) => void, RegExp]>> = {
+const FAULTS_AFTER_HANDSHAKE: Readonly<Record<string, [(raw: RawPeer) => void, RegExp]>> = {
   garbage: [(raw) => raw.webSocket.send(Buffer.alloc(100, 0xc1)), /./],
   'an unknown type': [(raw) => raw.sendMessage(1, { type: 'unheard_of' }), /type is unknown/],
   'a missing field': [(raw) => raw.sendMessage(1, { type: 'slot_grant', ticket: 1 }), /slot_grant/],
@@ -90,20 +90,20 @@
   ],
   'no message': [(raw) => raw.sendMessage(1, undefined), /type is unknown/],
   'a second handshake': [
-    (raw) => raw.send({ kind: FrameKind.Hello, identity: STRANGER, mac: new Uint8Array(32) }),
+    (raw) => raw.send({ kind: FrameKind.Hello, identity: UNKNOWN_PEER, mac: new Uint8Array(32) }),
     /second handshake/,
   ],
   'too much': [(raw) => raw.webSocket.send(Buffer.alloc(65_537)), /Max payload size exceeded/],
 };
 
-Object.entries(PEERS).forEach(([name, [act, reason]]) => {
+Object.entries(FAULTS_AFTER_HANDSHAKE).forEach(([name, [act, reason]]) => {
   t.test(`WsPeerNetwork closes the link of a peer that sends ${name}`, async (t) => {
     const peers = await startLinked(t);
     const raw = new RawPeer(peers[0].url);
-    await raw.authenticate(STRANGER);
+    await raw.authenticate(UNKNOWN_PEER);
     await waitUntil(() => peers[0].network.listLinked().length === 2);
     act(raw);
-    await checkRefused(t, peers, raw, reason);
+    await assertRefused(t, peers, raw, reason);
   });
 });
 
@@ -112,10 +112,10 @@
   const other = await startPeer(buildPeerIdentity('c'), { clusterKey: Buffer.alloc(32, 8) });
   t.teardown(() => other.network.close());
   other.network.setAddresses([a.url]);
-  await waitUntil(() => listRefusals(other).length > 0);
+  await waitUntil(() => listRefusalReasons(other).length > 0);
   b.network.setAddresses([other.url]);
-  await waitUntil(() => listRefusals(b).length > 0);
-  t.match([...listRefusals(other), ...listRefusals(b)].join(), /MAC does not match/);
+  await waitUntil(() => listRefusalReasons(b).length > 0);
+  t.match([...listRefusalReasons(other), ...listRefusalReasons(b)].join(), /MAC does not match/);
   t.same(other.network.listLinked(), []);
   t.ok(areLinked(a, b));
 });
@@ -131,7 +131,7 @@
   // Cause: the proof covers nothing that is new at each link.
   const [a, b] = await startLinked(t);
   const dialer = await startPeer(buildPeerIdentity('c'));
-  const relay = new TestRelay(a.port);
+  const relay = new TestProxy(a.port);
   dialer.network.setAddresses([await relay.start()]);
   await waitUntil(() => areLinked(a, dialer));
   await dialer.network.close();
@@ -139,10 +139,10 @@
   const raw = new RawPeer(a.url);
   await waitUntil(() => raw.frames.length > 0 && a.network.listLinked().length === 1);
   // The recorded bytes begin with the upgrade request; what follows are whole frames.
-  const recorded = Buffer.concat(relay.fromDialer);
+  const recorded = Buffer.concat(relay.chunksFromDialer);
   const socket = (raw.webSocket as unknown as { _socket: { write(bytes: Buffer): void } })._socket;
   socket.write(recorded.subarray(recorded.indexOf('\r\n\r\n') + 4));
-  await checkRefused(t, [a, b], raw, /MAC does not match/);
+  await assertRefused(t, [a, b], raw, /MAC does not match/);
 });
 
 t.test('WsPeerNetwork refuses its own proof sent back', async (t) => {
@@ -152,11 +152,11 @@
   const peers = await startLinked(t);
   const raw = new RawPeer(peers[0].url);
   raw.webSocket.on('message', (data) => raw.webSocket.send(data as Buffer));
-  await checkRefused(t, peers, raw, /MAC does not match/);
+  await assertRefused(t, peers, raw, /MAC does not match/);
 });
 
 t.test('WsPeerNetwork ends a handshake that hangs', async (t) => {
-  const a = await startPeer(buildPeerIdentity('a'), { maxUnauthenticated: 1 });
+  const a = await startPeer(buildPeerIdentity('a'), { maxUnauthenticatedLinks: 1 });
   t.teardown(() => a.network.close());
   const silent = new RawPeer(a.url);
   await waitUntil(() => silent.frames.length > 0);
@@ -167,7 +167,7 @@
   silent.webSocket.resume();
   await waitUntil(() => silent.isClosed);
   const third = new RawPeer(a.url);
-  await third.authenticate(STRANGER, CLUSTER_KEY);
+  await third.authenticate(UNKNOWN_PEER, CLUSTER_KEY);
   await waitUntil(() => a.network.listLinked().length === 1);
   third.webSocket.terminate();
   t.pass('there is room again');
@@ -180,7 +180,7 @@
       const bytes = encodeFrame({
         kind: FrameKind.Message,
         sequence,
-        message: buildNumbered(sequence),
+        message: buildNumberedMessage(sequence),
       });
       bytes[position % bytes.length] = value;
       return bytes;
--- a/src/adapters/peers_ws/ws_peer_network_options.ts
+++ b/src/adapters/peers_ws/ws_peer_network_options.ts
@@ -25,7 +25,7 @@
   /** Most bytes that may wait to be sent on a link. Default: 16 MiB. */
   readonly maxBufferedBytes?: number;
   /** Most connections that have not proved their key yet. Default: 256. */
-  readonly maxUnauthenticated?: number;
+  readonly maxUnauthenticatedLinks?: number;
   /** Silence on a link after which it is pinged, in milliseconds. Default: 1000. */
   readonly pingAfterMs?: number;
   /** Silence on a link after which it is replaced, in milliseconds. Default: 3000. */
@@ -35,7 +35,7 @@
   /** Longest time between two attempts to dial an address, in milliseconds. Default: 5000. */
   readonly maxRedialMs?: number;
   /** How long the closing of a link may take, in milliseconds. Default: 1000. */
-  readonly closeLimitMs?: number;
+  readonly closeTimeoutMs?: number;
 }
 
 const MEBIBYTE = 1_048_576;
@@ -60,11 +60,11 @@
     ...options,
     maxMessageBytes: options.maxMessageBytes ?? 8 * MEBIBYTE,
     maxBufferedBytes: options.maxBufferedBytes ?? 16 * MEBIBYTE,
-    maxUnauthenticated: options.maxUnauthenticated ?? 256,
+    maxUnauthenticatedLinks: options.maxUnauthenticatedLinks ?? 256,
     pingAfterMs: options.pingAfterMs ?? 1_000,
     silentAfterMs: options.silentAfterMs ?? 3_000,
     minRedialMs: options.minRedialMs ?? 100,
     maxRedialMs: options.maxRedialMs ?? 5_000,
-    closeLimitMs: options.closeLimitMs ?? 1_000,
+    closeTimeoutMs: options.closeTimeoutMs ?? 1_000,
   };
 }
--- a/src/adapters/peers_ws/ws_peer_network_test.ts
+++ b/src/adapters/peers_ws/ws_peer_network_test.ts
@@ -7,18 +7,18 @@
 import type { WsPeerNetworkOptions } from './mod.js';
 import {
   areLinked,
-  buildNumbered,
+  buildNumberedMessage,
   buildPeerIdentity,
   RawPeer,
   startPeer,
-  TestRelay,
+  TestProxy,
   waitUntil,
 } from './_test_peers.js';
 import type { TestPeer } from './_test_peers.js';
 
-const MESSAGES = 2_000;
-const REDIAL_MS = 5_000;
-const SILENT_MS = 3_000;
+const MESSAGE_COUNT = 2_000;
+const MAX_REDIAL_MS = 5_000;
+const LINK_TIMEOUT_MS = 3_000;
 
 async function startLinked(
   t: Test,
@@ -32,7 +32,7 @@
   return [a, b];
 }
 
-function watchLinks(peer: TestPeer): string[] {
+function recordLinkEvents(peer: TestPeer): string[] {
   const events: string[] = [];
   peer.network.onLink(({ peer: { incarnation }, up }: LinkEvent) => {
     events.push(`${incarnation} ${up ? 'up' : 'down'}`);
@@ -46,15 +46,16 @@
 
 t.test('send() delivers in order, both ways, over the one link that one end made', async (t) => {
   const [a, b] = await startLinked(t);
-  const events = watchLinks(b);
+  const events = recordLinkEvents(b);
   b.network.setAddresses([a.url]);
-  const expected = Array.from({ length: MESSAGES }, (_item, index) => index + 1);
+  const expected = Array.from({ length: MESSAGE_COUNT }, (_item, index) => index + 1);
   const sent = expected.map(
     (number) =>
-      a.network.send('b-1', buildNumbered(number)) && b.network.send('a-1', buildNumbered(number)),
+      a.network.send('b-1', buildNumberedMessage(number)) &&
+      b.network.send('a-1', buildNumberedMessage(number)),
   );
   t.ok(sent.every(Boolean));
-  await waitUntil(() => a.received.length === MESSAGES && b.received.length === MESSAGES);
+  await waitUntil(() => a.received.length === MESSAGE_COUNT && b.received.length === MESSAGE_COUNT);
   t.same(listSequences(a), expected);
   t.same(listSequences(b), expected);
   t.same(events, []);
@@ -62,8 +63,8 @@
 
 t.test('send() tells that there is no link', async (t) => {
   const [a] = await startLinked(t);
-  t.equal(a.network.send('c-1', buildNumbered(1)), false);
-  t.equal(a.network.send('a-1', buildNumbered(1)), false);
+  t.equal(a.network.send('c-1', buildNumberedMessage(1)), false);
+  t.equal(a.network.send('a-1', buildNumberedMessage(1)), false);
 });
 
 t.test('send() refuses beyond its buffer, and other peers go on', async (t) => {
@@ -88,7 +89,7 @@
   let sent = 0;
   while (sent < 500 && a.network.send('c-1', chunk)) sent += 1;
   t.ok(sent > 0 && sent < 500, 'the send was refused at some time');
-  t.ok(a.network.send('b-1', buildNumbered(1)));
+  t.ok(a.network.send('b-1', buildNumberedMessage(1)));
   await waitUntil(() => b.received.length === 1);
   stuck.webSocket.terminate();
 });
@@ -98,9 +99,9 @@
   // Sequence: a fault puts NaN into a message; the receiver closes the link; it is made anew.
   // Cause: the sender does not check what the receiver will refuse.
   const [a, b] = await startLinked(t);
-  t.equal(a.network.send('b-1', buildNumbered(Number.NaN)), false);
+  t.equal(a.network.send('b-1', buildNumberedMessage(Number.NaN)), false);
   t.ok(a.log.lines.some(({ event }) => event === 'peer_message_malformed'));
-  t.ok(a.network.send('b-1', buildNumbered(1)));
+  t.ok(a.network.send('b-1', buildNumberedMessage(1)));
   await waitUntil(() => b.received.length === 1);
 });
 
@@ -110,7 +111,7 @@
     throw new Error('Cannot cancel');
   });
   a.network.send('b-1', { type: PeerMessageType.SlotCancel, ticket: 1 });
-  a.network.send('b-1', buildNumbered(1));
+  a.network.send('b-1', buildNumberedMessage(1));
   await waitUntil(() => b.received.length === 1);
   t.ok(b.log.lines.some(({ event }) => event === 'peer_message_handler_failed'));
   t.throws(() => b.network.handle(PeerMessageType.SlotCancel, () => undefined));
@@ -121,16 +122,16 @@
   // Sequence: it is down, dialled in vain, and comes back at its address as a new incarnation.
   // Cause: dialling is given up, or the old incarnation's link stands for the address.
   const [a, b] = await startLinked(t);
-  const events = watchLinks(a);
+  const events = recordLinkEvents(a);
   await b.network.close();
   await waitUntil(() => events.length === 1);
-  t.equal(a.network.send('b-1', buildNumbered(1)), false);
-  await a.clock.advance(REDIAL_MS);
+  t.equal(a.network.send('b-1', buildNumberedMessage(1)), false);
+  await a.clock.advance(MAX_REDIAL_MS);
   const again = await startPeer(buildPeerIdentity('b', 'b-2'), { listenPort: b.port });
   t.teardown(() => again.network.close());
-  while (events.length === 1) await a.clock.advance(REDIAL_MS);
+  while (events.length === 1) await a.clock.advance(MAX_REDIAL_MS);
   t.same(events, ['b-1 down', 'b-2 up']);
-  t.ok(a.network.send('b-2', buildNumbered(2)));
+  t.ok(a.network.send('b-2', buildNumberedMessage(2)));
   await waitUntil(() => again.received.length === 1);
 });
 
@@ -140,38 +141,38 @@
   // Cause: only a closed socket counts as a lost link.
   const a = await startPeer(buildPeerIdentity('a'));
   const b = await startPeer(buildPeerIdentity('b'));
-  const relay = new TestRelay(b.port);
+  const relay = new TestProxy(b.port);
   t.teardown(async () => {
     await relay.close();
     await Promise.all([a.network.close(), b.network.close()]);
   });
   a.network.setAddresses([await relay.start()]);
   await waitUntil(() => areLinked(a, b));
-  const events = watchLinks(a);
+  const events = recordLinkEvents(a);
   relay.silence();
-  t.ok(a.network.send('b-1', buildNumbered(1)), 'nobody has noticed yet');
-  await a.clock.advance(SILENT_MS + 1_000);
+  t.ok(a.network.send('b-1', buildNumberedMessage(1)), 'nobody has noticed yet');
+  await a.clock.advance(LINK_TIMEOUT_MS + 1_000);
   t.equal(events[0], 'b-1 down');
   await a.clock.advance(1_000);
   await waitUntil(() => events.length === 2);
-  t.ok(a.network.send('b-1', buildNumbered(2)));
+  t.ok(a.network.send('b-1', buildNumberedMessage(2)));
   await waitUntil(() => b.received.length === 1);
   t.same(listSequences(b), [2]);
 });
 
 t.test('replaceLink() makes a new link without waiting', async (t) => {
   const [a, b] = await startLinked(t);
-  const events = watchLinks(a);
+  const events = recordLinkEvents(a);
   a.network.replaceLink('b-1');
   await waitUntil(() => events.length === 2);
   t.same(events, ['b-1 down', 'b-1 up']);
-  t.ok(a.network.send('b-1', buildNumbered(1)));
+  t.ok(a.network.send('b-1', buildNumberedMessage(1)));
   await waitUntil(() => b.received.length === 1);
 });
 
 t.test('WsPeerNetwork keeps its quiet links by pings', async (t) => {
   const [a, b] = await startLinked(t);
-  const events = watchLinks(a);
+  const events = recordLinkEvents(a);
   for (let second = 0; second < 10; second += 1) {
     await a.clock.advance(1_000);
     await b.clock.advance(1_000);
@@ -186,7 +187,7 @@
   const base = new VirtualClock();
   const gate = new ProcessGate();
   const [a] = await startLinked(t, { clock: new GatedClock(base, gate) });
-  const events = watchLinks(a);
+  const events = recordLinkEvents(a);
   gate.freeze();
   await base.advance(60_000);
   gate.thaw();
@@ -201,13 +202,13 @@
   const a = await startPeer(buildPeerIdentity('a'));
   t.teardown(() => a.network.close());
   const [first, second] = [new RawPeer(a.url), new RawPeer(a.url)];
-  const events = watchLinks(a);
+  const events = recordLinkEvents(a);
   await first.authenticate(buildPeerIdentity('c'));
   await second.authenticate(buildPeerIdentity('c'));
-  second.sendMessage(2, buildNumbered(2));
+  second.sendMessage(2, buildNumberedMessage(2));
   await waitUntil(() => a.received.length === 1);
-  first.sendMessage(1, buildNumbered(1));
-  first.sendMessage(3, buildNumbered(3));
+  first.sendMessage(1, buildNumberedMessage(1));
+  first.sendMessage(3, buildNumberedMessage(3));
   await waitUntil(() => a.received.length === 2);
   t.same(listSequences(a), [2, 3]);
   first.webSocket.terminate();
@@ -232,10 +233,10 @@
 
 t.test('close() delivers what was sent before', async (t) => {
   const [a, b] = await startLinked(t);
-  for (let number = 1; number <= MESSAGES; number += 1) {
-    a.network.send('b-1', buildNumbered(number) satisfies PeerMessage);
+  for (let number = 1; number <= MESSAGE_COUNT; number += 1) {
+    a.network.send('b-1', buildNumberedMessage(number) satisfies PeerMessage);
   }
   await a.network.close();
   await waitUntil(() => b.network.listLinked().length === 0);
-  t.equal(b.received.length, MESSAGES);
+  t.equal(b.received.length, MESSAGE_COUNT);
 });
--- a/src/adapters/platform_http/_snapshot.ts
+++ b/src/adapters/platform_http/_snapshot.ts
@@ -1,5 +1,5 @@
 /**
- * Decodes one answer of a platform service.
+ * Decodes the response of a platform service to a read of a key prefix.
  *
  * @module
  */
@@ -11,34 +11,34 @@
   .regex(/^\d{1,15}$/)
   .transform(Number);
 
-const answerSchema = z.array(
+const responseSchema = z.array(
   z.looseObject({
     Key: z.string(),
-    // An empty value is published as null.
+    // The service encodes an empty value as null.
     Value: z.base64().nullable(),
     ModifyIndex: z.number().int().min(1),
   }),
 );
 
 /**
- * Decodes an answer. Nothing of a malformed one is used: half a snapshot would
- * look as if the other half had been deleted.
+ * Decodes a response. Rejects a malformed response as a whole, since the entries missing from a
+ * partial snapshot would be taken for deleted ones.
  *
- * @param indexHeader - the header that carries the service's index
- * @param body - the answer's JSON text
+ * @param indexHeader - value of the header that carries the index of the service
+ * @param body - JSON text of the response
  * @returns the snapshot
- * @throws Error when the answer isn't one of the published protocol
+ * @throws Error when the index or the body is malformed
  */
 export function decodeSnapshot(indexHeader: string, body: string): PlatformSnapshot {
   const index = indexSchema.safeParse(indexHeader);
   if (!index.success) {
     throw new Error(`Cannot read the platform service: "${indexHeader}" is no index`);
   }
-  const entries = answerSchema.safeParse(parseJson(body));
+  const entries = responseSchema.safeParse(parseJson(body));
   if (!entries.success) {
     const issue = entries.error.issues[0];
     throw new Error(
-      `Cannot read the platform service: its answer is malformed at ${issue?.path.join('.')}`,
+      `Cannot read the platform service: the response is malformed at ${issue?.path.join('.')}`,
     );
   }
   return {
--- a/src/adapters/platform_http/http_platform_reader.ts
+++ b/src/adapters/platform_http/http_platform_reader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a platform service by its published protocol: blocking queries over
- * HTTP on a tree of keys.
+ * Implements the `PlatformReader` port with blocking queries over HTTP, the protocol that a
+ * platform service publishes for its key-value store.
  *
  * @module
  */
@@ -11,17 +11,17 @@
 import { readAnswer } from '../http_common/mod.js';
 import { decodeSnapshot } from './_snapshot.js';
 
-/** Default time for a connection to come up, in milliseconds. */
+/** Default connect timeout in milliseconds. */
 export const CONNECT_TIMEOUT_MS = 1000;
 
-/** Default time beyond the wait within which the whole answer has to be there, in milliseconds. */
+/** Default time, beyond the wait of a watch, to receive the whole response, in milliseconds. */
 export const ANSWER_MARGIN_MS = 2000;
 
-/** Default for the longest whole answer, in bytes. */
+/** Default maximum size of a response, in bytes. */
 export const MAX_ANSWER_BYTES = 67_108_864;
 
-/** The service spreads its answers: it may wait longer by up to this part of the wait. */
-const WAIT_SPREAD = 1 / 16;
+/** Maximum jitter that the service adds to the wait of a watch, as a fraction of that wait. */
+const MAX_WAIT_JITTER_FRACTION = 1 / 16;
 
 const STATUS_OK = 200;
 
@@ -31,22 +31,23 @@
 export interface HttpPlatformReaderOptions {
   /** Base URL of the service, such as `http://10.0.0.5:8500`. */
   readonly baseUrl: string;
+  /** Clock for the timeouts. */
   readonly clock: Clock;
-  /** Default: {@link CONNECT_TIMEOUT_MS}. */
+  /** Connect timeout. Default: {@link CONNECT_TIMEOUT_MS}. */
   readonly connectTimeoutMs?: number;
-  /** Default: {@link ANSWER_MARGIN_MS}. */
+  /** Time beyond the wait to receive the whole response. Default: {@link ANSWER_MARGIN_MS}. */
   readonly answerMarginMs?: number;
-  /** Default: {@link MAX_ANSWER_BYTES}. */
+  /** Maximum size of a response. Default: {@link MAX_ANSWER_BYTES}. */
   readonly maxAnswerBytes?: number;
 }
 
-/** Reads and watches the keys of one platform service. */
+/** Reads and watches the key-value pairs of one platform service. */
 export class HttpPlatformReader extends PlatformReader {
   readonly #options: Required<HttpPlatformReaderOptions>;
 
   readonly #agent = new Agent({ keepAlive: true });
 
-  /** @param options - where the service is, and the limits of each read */
+  /** @param options - base URL of the service and the limits of each read */
   constructor(options: HttpPlatformReaderOptions) {
     super();
     this.#options = {
@@ -58,29 +59,28 @@
   }
 
   /**
-   * Reads a prefix once, or waits for its next change.
+   * Reads a prefix immediately, or waits for its next change.
    *
-   * A connection can go silent for good without being closed. One would see a
-   * watch that never answers, and a configuration that stays as it is on this
-   * entry host alone. The service answers every watch after its wait at the
-   * latest; so an answer that isn't whole a margin later is given up, and its
-   * connection destroyed with it: the next read opens a new one.
+   * A connection can stop carrying packets without being closed. A watch on it would never
+   * return, and this entry host alone would keep an outdated configuration. The service answers
+   * each watch at the latest when its wait ends, so a response that is incomplete a margin later
+   * is aborted and its connection destroyed; the next read opens a new connection.
    *
-   * @param prefix - the keys' common start
-   * @param options - from which index on, and for how long
-   * @returns the whole prefix
-   * @throws Error when the service can't be read, in time and within the limits
+   * @param prefix - common prefix of the keys
+   * @param options - the index to wait for a change beyond, the longest wait and the abort signal
+   * @returns all entries below the prefix
+   * @throws Error when the service can't be read within the time and size limits
    */
   override async read(prefix: string, options: PlatformReadOptions): Promise<PlatformSnapshot> {
     const { clock, connectTimeoutMs, answerMarginMs, maxAnswerBytes } = this.#options;
     const { afterIndex, waitMs, signal } = options;
-    const longestWaitMs = afterIndex > 0 ? waitMs * (1 + WAIT_SPREAD) : 0;
+    const maxWaitMs = afterIndex > 0 ? waitMs * (1 + MAX_WAIT_JITTER_FRACTION) : 0;
     const answer = readAnswer({
       url: this.#buildUrl(prefix, options),
       agent: this.#agent,
       clock,
       connectTimeoutMs,
-      answerTimeoutMs: longestWaitMs + answerMarginMs,
+      answerTimeoutMs: maxWaitMs + answerMarginMs,
       maxBytes: maxAnswerBytes,
       signal,
     });
@@ -88,7 +88,7 @@
       throw new Error(`Cannot read the platform service: ${formatReason(error)}`, { cause: error });
     });
     if (status !== STATUS_OK && status !== STATUS_NOT_FOUND) {
-      throw new Error(`Cannot read the platform service: it answered with status ${status}`);
+      throw new Error(`Cannot read the platform service: it responded with status ${status}`);
     }
     return decodeSnapshot(
       String(headers['x-consul-index'] ?? ''),
@@ -96,7 +96,7 @@
     );
   }
 
-  /** Closes the connections that wait for their next use. */
+  /** Closes the idle keep-alive connections and those in use. */
   close(): void {
     this.#agent.destroy();
   }
--- a/src/adapters/platform_http/mod.ts
+++ b/src/adapters/platform_http/mod.ts
@@ -1,6 +1,10 @@
 /**
- * The platform's services over HTTP:
- * `await new HttpPlatformReader({ baseUrl, clock }).read('monsoonhall/', { afterIndex: 0, waitMs: 0, signal })`.
+ * Reads and watches the platform's services over HTTP.
+ *
+ * ```ts
+ * const reader = new HttpPlatformReader({ baseUrl, clock });
+ * await reader.read('monsoonhall/', { afterIndex: 0, waitMs: 0, signal });
+ * ```
  *
  * @module
  */
--- a/src/adapters/random/mod.ts
+++ b/src/adapters/random/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Random numbers of the operating system: `new SystemRandom().nextBytes(16)`.
+ * Provides random numbers and bytes: `new SystemRandom().nextBytes(16)`.
  *
  * @module
  */
--- a/src/adapters/random/system_random.ts
+++ b/src/adapters/random/system_random.ts
@@ -1,12 +1,15 @@
 /**
- * Random numbers of the operating system.
+ * Implements the `RandomSource` port with the random generators of Node.js.
  *
  * @module
  */
 import { randomBytes } from 'node:crypto';
 import { RandomSource } from '../../ports/mod.js';
 
-/** Unpredictable bytes for incarnations and IDs, and plain fractions for choices and jitter. */
+/**
+ * Generates cryptographically random bytes for incarnations and IDs, and ordinary pseudo-random
+ * fractions for random choices and jitter.
+ */
 export class SystemRandom extends RandomSource {
   override nextFraction(): number {
     return Math.random();
--- a/src/adapters/server_probe/mod.ts
+++ b/src/adapters/server_probe/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Tells by a plain connection whether anybody listens at an address:
- * `await new TcpServerProbe().probe('10.0.0.1:80')`.
+ * Checks with a TCP connection whether a process listens at an address:
+ * `await new TcpServerProbe().check('10.0.0.1:80')`.
  *
  * @module
  */
--- a/src/adapters/server_probe/tcp_server_probe_test.ts
+++ b/src/adapters/server_probe/tcp_server_probe_test.ts
@@ -4,7 +4,7 @@
 import { Reachability } from '../../ports/mod.js';
 import { TcpServerProbe } from './tcp_server_probe.js';
 
-t.test('check() tells a listener from an address where nobody listens', async (t) => {
+t.test('check() distinguishes an open port from a closed one', async (t) => {
   const server = createServer();
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
--- a/src/adapters/tracing/json_lines_exporter.ts
+++ b/src/adapters/tracing/json_lines_exporter.ts
@@ -1,5 +1,5 @@
 /**
- * Exports spans to a file.
+ * Exports spans to a file of JSON lines.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { ExportResult } from '@opentelemetry/core';
 import type { ReadableSpan, SpanExporter } from '@opentelemetry/sdk-trace-base';
 
-function toRecord(span: ReadableSpan) {
+function buildRecord(span: ReadableSpan) {
   const { traceId, spanId } = span.spanContext();
   return {
     traceId,
@@ -25,27 +25,28 @@
   };
 }
 
-/** Appends each span to a file, as one line of JSON. */
+/** Appends each span to a file as one line of JSON. */
 export class JsonLinesExporter implements SpanExporter {
   readonly #stream: WriteStream;
 
-  #broken: Error | undefined;
+  #writeError: Error | undefined;
 
-  /** @param file - path of the file; it is created or appended to */
+  /** @param file - path of the file; created when missing, else appended to */
   constructor(file: string) {
     this.#stream = createWriteStream(file, { flags: 'a' });
-    // A full disk must cost the spans and not the process.
+    // When the file can't be written, such as on a full disk, only spans are lost. Without a
+    // handler the error event would end the process.
     this.#stream.on('error', (error) => {
-      this.#broken = error;
+      this.#writeError = error;
     });
   }
 
   export(spans: ReadableSpan[], onResult: (result: ExportResult) => void): void {
-    if (this.#broken || this.#stream.writableEnded) {
-      onResult({ code: ExportResultCode.FAILED, error: this.#broken });
+    if (this.#writeError || this.#stream.writableEnded) {
+      onResult({ code: ExportResultCode.FAILED, error: this.#writeError });
       return;
     }
-    const text = spans.map((span) => `${JSON.stringify(toRecord(span))}\n`).join('');
+    const text = spans.map((span) => `${JSON.stringify(buildRecord(span))}\n`).join('');
     this.#stream.write(text, (error) => {
       if (error) onResult({ code: ExportResultCode.FAILED, error });
       else onResult({ code: ExportResultCode.SUCCESS });
@@ -53,7 +54,7 @@
   }
 
   shutdown(): Promise<void> {
-    if (this.#broken) return Promise.resolve();
+    if (this.#writeError) return Promise.resolve();
     return new Promise((resolve) => {
       this.#stream.once('close', resolve);
       this.#stream.end();
--- a/src/adapters/tracing/mod.ts
+++ b/src/adapters/tracing/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Traces by OpenTelemetry: a span a hop, W3C trace context taken in and passed
- * on, exported to a file of JSON lines, by OTLP over HTTP, or nowhere.
+ * Provides tracing with OpenTelemetry: one span per hop, with W3C trace context propagation.
+ * Spans are exported to a file of JSON lines, by OTLP over HTTP, or not at all.
  *
  * ```ts
  * const tracer = new OtelTracer({ entryHostId: 'entry-1', traceFile: '/tmp/spans.jsonl' });
--- a/src/adapters/tracing/otel_tracer.ts
+++ b/src/adapters/tracing/otel_tracer.ts
@@ -1,5 +1,5 @@
 /**
- * Traces on the OpenTelemetry SDK.
+ * Implements the `Tracer` port with the OpenTelemetry SDK.
  *
  * @module
  */
@@ -32,7 +32,7 @@
 const TRACE_ID_BYTES = 16;
 const SPAN_ID_BYTES = 8;
 
-const KINDS: Readonly<Record<Hop, SpanKind>> = {
+const SPAN_KINDS: Readonly<Record<Hop, SpanKind>> = {
   [Hop.Caller]: SpanKind.CLIENT,
   [Hop.EntryHost]: SpanKind.SERVER,
   [Hop.Owner]: SpanKind.INTERNAL,
@@ -40,18 +40,22 @@
   [Hop.BackendServer]: SpanKind.CLIENT,
 };
 
-/** Options of {@link OtelTracer}. With no exporter, trace context is passed on and nothing is recorded. */
+/**
+ * Options of {@link OtelTracer}. Without a trace file, an OTLP URL or another exporter, the tracer
+ * propagates the trace context and records no spans.
+ */
 export interface OtelTracerOptions {
-  /** Name of this entry host, or of whatever program starts the spans. */
+  /** ID of this entry host, or of the other program that starts the spans. */
   readonly entryHostId: string;
-  /** Default: monsoonhall. */
+  /** Resource attribute `service.name` of the spans. Default: monsoonhall. */
   readonly serviceName?: string;
+  /** Resource attribute `cloud.availability_zone` of the spans. */
   readonly availabilityZone?: string;
-  /** File that spans are appended to, one JSON line each. */
+  /** File that spans are appended to as JSON lines. */
   readonly traceFile?: string;
-  /** Where spans are sent to by OTLP over HTTP, such as `http://10.0.0.9:4318/v1/traces`. */
+  /** URL that spans are sent to by OTLP over HTTP, such as `http://10.0.0.9:4318/v1/traces`. */
   readonly otlpUrl?: string;
-  /** Further exporters. */
+  /** Additional exporters. */
   readonly exporters?: readonly SpanExporter[];
 }
 
@@ -73,7 +77,7 @@
   };
   return new BasicTracerProvider({
     resource: resourceFromAttributes(attributes),
-    // Given outright, since the SDK would otherwise take it from OTEL_* variables.
+    // Set explicitly, since the SDK would otherwise configure the sampler from OTEL_* variables.
     sampler: new ParentBasedSampler({ root: new AlwaysOnSampler() }),
     spanProcessors: exporters.map(
       (exporter) =>
@@ -100,25 +104,28 @@
   };
 }
 
-/** A malformed parent counts as none: a caller's bad header must not cost its trace or its request. */
+/**
+ * Parses a `traceparent` header. Treats a malformed header as missing, so that a request with one
+ * still succeeds and starts a new trace.
+ */
 function parseParent(parent: string | undefined): SpanContext | undefined {
   if (parent === undefined) return undefined;
   const context = parseTraceParent(parent.trim());
   return context && trace.isSpanContextValid(context) ? { ...context, isRemote: true } : undefined;
 }
 
-/** The lowest bit of the flags says that the caller records this trace. */
+/** Whether the sampled flag, the lowest bit of the trace flags, is set. */
 function isSampled(context: SpanContext): boolean {
   return context.traceFlags % 2 === 1;
 }
 
-/** A span that records. */
+/** A span that is recorded and exported once it ends. */
 class RecordingSpan implements Span {
   readonly traceparent: string;
 
   readonly #span: OtelSpan;
 
-  #ended = false;
+  #hasEnded = false;
 
   constructor(span: OtelSpan) {
     this.#span = span;
@@ -126,12 +133,12 @@
   }
 
   setAttributes(fields: Readonly<Record<string, string | number | boolean>>): void {
-    if (!this.#ended) this.#span.setAttributes(fields);
+    if (!this.#hasEnded) this.#span.setAttributes(fields);
   }
 
   end(error?: string): void {
-    if (this.#ended) return;
-    this.#ended = true;
+    if (this.#hasEnded) return;
+    this.#hasEnded = true;
     if (error !== undefined) {
       this.#span.setStatus({ code: SpanStatusCode.ERROR, message: error });
       this.#span.setAttribute('error.type', error);
@@ -140,13 +147,13 @@
   }
 }
 
-/** Starts spans and exports those that have ended. */
+/** Starts spans and exports them in batches after they end. */
 export class OtelTracer extends Tracer {
   readonly #provider: BasicTracerProvider | undefined;
 
   readonly #tracer: SdkTracer | undefined;
 
-  /** @param options - who starts the spans, and where they go */
+  /** @param options - the resource that starts the spans, and their exporters */
   constructor(options: OtelTracerOptions) {
     super();
     const exporters = createExporters(options);
@@ -158,23 +165,23 @@
   override startSpan(hop: Hop, parent?: string): Span {
     const parentContext = parseParent(parent);
     if (!this.#tracer || (parentContext && !isSampled(parentContext))) {
-      // Nothing is recorded here, so the next hop's parent is the one before this hop.
+      // This hop records no span, so the next hop gets the parent of this one.
       const traceparent = formatTraceparent(parentContext ?? createRootContext());
       return { traceparent, setAttributes: () => undefined, end: () => undefined };
     }
     const context: Context = parentContext
       ? trace.setSpanContext(ROOT_CONTEXT, parentContext)
       : ROOT_CONTEXT;
-    return new RecordingSpan(this.#tracer.startSpan(hop, { kind: KINDS[hop] }, context));
+    return new RecordingSpan(this.#tracer.startSpan(hop, { kind: SPAN_KINDS[hop] }, context));
   }
 
   /**
-   * Exports what is left and closes the exporters.
+   * Exports the remaining spans and closes the exporters.
    *
-   * @returns when that is done, or has failed
+   * @returns resolves once the export is complete or has failed
    */
   async stop(): Promise<void> {
-    // A collector that can't be reached must not keep a process from stopping.
+    // An unreachable collector must not keep the process from stopping.
     await this.#provider?.shutdown().catch(() => undefined);
   }
 }
--- a/src/adapters/tracing/otel_tracer_test.ts
+++ b/src/adapters/tracing/otel_tracer_test.ts
@@ -11,17 +11,17 @@
 const TRACE_ID = '0af7651916cd43dd8448eb211c80319c';
 const PARENT_ID = 'b7ad6b7169203331';
 const PARENT = `00-${TRACE_ID}-${PARENT_ID}-01`;
-const FORM = /^00-[0-9a-f]{32}-[0-9a-f]{16}-0[01]$/;
+const TRACEPARENT = /^00-[0-9a-f]{32}-[0-9a-f]{16}-0[01]$/;
 
-/** Keeps spans after its shutdown, which the SDK's own forgets. */
-class KeepingExporter extends InMemorySpanExporter {
+/** Keeps the spans after a shutdown, unlike the in-memory exporter of the SDK. */
+class RetainingExporter extends InMemorySpanExporter {
   override shutdown(): Promise<void> {
     return Promise.resolve();
   }
 }
 
-t.test('OtelTracer passes the trace on from hop to hop', async (t) => {
-  const exporter = new KeepingExporter();
+t.test('OtelTracer propagates the trace from hop to hop', async (t) => {
+  const exporter = new RetainingExporter();
   const tracer = new OtelTracer({ entryHostId: 'entry-1', exporters: [exporter] });
   const first = tracer.startSpan(Hop.EntryHost, PARENT);
   const second = tracer.startSpan(Hop.BackendServer, first.traceparent);
@@ -30,7 +30,7 @@
   second.end();
   first.end();
   await tracer.stop();
-  t.match(first.traceparent, FORM);
+  t.match(first.traceparent, TRACEPARENT);
   t.match(second.traceparent, new RegExp(`^00-${TRACE_ID}-`));
   const [inner, outer] = exporter.getFinishedSpans();
   t.equal(exporter.getFinishedSpans().length, 2);
@@ -56,18 +56,17 @@
     `${PARENT}\r\nx: y`,
   ].forEach((parent) => {
     const { traceparent } = tracer.startSpan(Hop.EntryHost, parent);
-    t.match(traceparent, FORM, JSON.stringify(parent));
+    t.match(traceparent, TRACEPARENT, JSON.stringify(parent));
     t.notMatch(traceparent, TRACE_ID, JSON.stringify(parent));
   });
   await tracer.stop();
 });
 
-t.test('OtelTracer passes the parent on unchanged where it records nothing', async (t) => {
-  // Symptom: traces of other teams with holes in them. A hop that records
-  // nothing names itself as the parent, and the next hop's parent is a span
-  // that nobody will ever export.
+t.test('OtelTracer propagates the parent unchanged when it records no span', async (t) => {
+  // Guards against traces with missing spans: a hop that records no span propagates an ID of its
+  // own, and the next hop gets a parent that is never exported.
   const unsampled = `00-${TRACE_ID}-${PARENT_ID}-00`;
-  const exporter = new KeepingExporter();
+  const exporter = new RetainingExporter();
   const recording = new OtelTracer({ entryHostId: 'e', exporters: [exporter] });
   const span = recording.startSpan(Hop.EntryHost, unsampled);
   t.equal(span.traceparent, unsampled);
@@ -118,7 +117,7 @@
   t.match(bodies.join(''), 'entry-1');
 });
 
-t.test('OtelTracer stops though nobody takes its spans', async (t) => {
+t.test('OtelTracer stops when its exporters cannot write', async (t) => {
   const unwritable = '/nowhere/spans.jsonl';
   const otlpUrl = 'http://127.0.0.1:1/v1/traces';
   const tracer = new OtelTracer({ entryHostId: 'e', traceFile: unwritable, otlpUrl });
