--- a/src/adapters/logging/rate_limited_event_log.ts
+++ b/src/adapters/logging/rate_limited_event_log.ts
@@ -16,8 +16,8 @@
 
 const WINDOW_MS = 1_000;
 
-/** Options of {@link LimitedEventLog}. */
-export interface LimitedEventLogOptions {
+/** Options of the rate-limited event log. */
+export interface RateLimitedEventLogOptions {
   /** Log that receives the lines within the limit. */
   readonly log: EventLog;
   readonly clock: Clock;
@@ -32,7 +32,7 @@
  * always written.
  */
 export class LimitedEventLog extends EventLog {
-  readonly #options: Required<LimitedEventLogOptions>;
+  readonly #options: Required<RateLimitedEventLogOptions>;
 
   #windowEndsAtMs = Number.NEGATIVE_INFINITY;
 
@@ -41,7 +41,7 @@
   #droppedCount = 0;
 
   /** @param options - the underlying log, the clock and the rate limit */
-  constructor(options: LimitedEventLogOptions) {
+  constructor(options: RateLimitedEventLogOptions) {
     super();
     this.#options = { maxLinesPerSecond: DEFAULT_MAX_LINES_PER_SECOND, ...options };
   }
--- a/src/adapters/logging/rate_limited_event_log_test.ts
+++ b/src/adapters/logging/rate_limited_event_log_test.ts
@@ -4,7 +4,7 @@
 import { LogLevel } from '../../domain/errors/mod.js';
 import { LimitedEventLog } from './mod.js';
 
-t.test('LimitedEventLog drops lines above its rate limit and reports how many', async (t) => {
+t.test('RateLimitedEventLog drops lines above its rate limit and reports how many', async (t) => {
   // Guards against an entry host that answers late under a flood of refused requests because
   // each request writes log lines and formatting them uses up the CPU.
   const clock = new VirtualClock();
--- a/src/adapters/metrics/hdr_metrics_test.ts
+++ b/src/adapters/metrics/hdr_metrics_test.ts
@@ -82,7 +82,7 @@
   t.match(metrics.exportPrometheus(), /^monsoonhall_wait_ms_sum 110$/m);
 });
 
-t.test('HdrMetrics.computeSums() sums a counter by one label', async (t) => {
+t.test('HdrMetrics sums a counter by the values of one label', async (t) => {
   const metrics = new HdrMetrics({ clock: new VirtualClock() });
   metrics.count('refusals_total', { kind: 'queue_full', route: 'a' }, 2);
   metrics.count('refusals_total', { kind: 'queue_full', route: 'b' });
--- a/src/adapters/peers_ws/_dialer.ts
+++ b/src/adapters/peers_ws/_dialer.ts
@@ -1,29 +1,33 @@
 /**
- * Decides when which address is dialled.
+ * Schedules the dialling of peer addresses.
  *
  * @module
  */
 import type { Clock, RandomSource, Timer } from '../../ports/mod.js';
 
-/** What the dialer needs. */
+/** Options of {@link Dialer}. */
 export interface DialerOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Shortest and longest time between two attempts, in milliseconds. */
+  /** Shortest backoff before jitter between two attempts to dial an address, in milliseconds. */
   readonly minRedialMs: number;
+  /** Longest backoff between two attempts to dial an address, in milliseconds. */
   readonly maxRedialMs: number;
-  /** Whether a link, dialled or accepted, leads to the address or is being made. */
+  /** Whether a dialled or accepted link to the address exists or is being established. */
   readonly hasLink: (url: string) => boolean;
-  /** Begins to make a link. */
+  /** Starts to establish a link to the address. */
   readonly open: (url: string) => void;
 }
 
+/** Dial state of one address. */
 interface AddressState {
+  /** Number of consecutive failed attempts and short-lived links. */
   failures: number;
+  /** Pending redial; undefined when none is scheduled. */
   timer: Timer | undefined;
 }
 
-/** Keeps one link to each address, with backoff and jitter between attempts. */
+/** Maintains one link to each address; redials with exponential backoff and jitter. */
 export class Dialer {
   readonly #options: DialerOptions;
 
@@ -31,12 +35,12 @@
 
   readonly #ownUrls = new Set<string>();
 
-  /** @param options - what the dialer needs */
+  /** @param options - clock, randomness, backoff limits and callbacks */
   constructor(options: DialerOptions) {
     this.#options = options;
   }
 
-  /** @param urls - the addresses to keep links to, from now on */
+  /** @param urls - the addresses to maintain links to; replaces the previous ones */
   setAddresses(urls: readonly string[]): void {
     const wanted = new Set(urls);
     this.#addresses.forEach((address, url) => {
@@ -51,15 +55,15 @@
     });
   }
 
-  /** @param url - an address of this very process, never to be dialled again */
+  /** @param url - an address of this process, which is never dialled again */
   addOwnUrl(url: string): void {
     this.#ownUrls.add(url);
   }
 
   /**
-   * Dials an address without waiting, unless something leads there already.
+   * Dials an address without backoff, unless a link to it exists.
    *
-   * @param url - the address; one that is not wanted is left alone
+   * @param url - the address; ignored unless `setAddresses` named it
    */
   dialNow(url: string): void {
     const state = this.#addresses.get(url);
@@ -70,12 +74,12 @@
   }
 
   /**
-   * Has an address dialled again after its backoff.
+   * Schedules another attempt to dial an address after its backoff.
    *
-   * @param url - the address whose link has gone
-   * @param lifetimeMs - how long the link had lived; a short life counts as a
-   *   failure, since an end that breaks off after each handshake would else be
-   *   dialled without a pause
+   * @param url - the address whose link has ended
+   * @param lifetimeMs - how long the link existed; a lifetime below `maxRedialMs` counts as a
+   *   failure, since a peer that closes each link after the handshake would otherwise be redialled
+   *   without an increasing backoff
    */
   scheduleRedial(url: string, lifetimeMs: number): void {
     const state = this.#addresses.get(url);
@@ -87,7 +91,7 @@
     });
   }
 
-  /** Dials nothing any more. */
+  /** Cancels all pending attempts and dials no further addresses. */
   stop(): void {
     this.setAddresses([]);
   }
--- a/src/adapters/peers_ws/_frames.ts
+++ b/src/adapters/peers_ws/_frames.ts
@@ -1,5 +1,5 @@
 /**
- * Frames on a link, encoded with msgpack.
+ * Encodes and decodes the frames of a peer link with msgpack.
  *
  * @module
  */
@@ -9,36 +9,38 @@
 import type { PeerMessage } from '../../ports/mod.js';
 import { identitySchema, parseMessage } from './_message_schema.js';
 
-/** Length of a challenge's nonce. */
+/** Length of the nonce of a challenge, in bytes. */
 export const NONCE_BYTES = 32;
 
 const MAC_BYTES = 32;
 
-/** What a frame is. */
+/** Kind of a frame, its first element on the wire. */
 export enum FrameKind {
   Challenge = 0,
   Hello = 1,
   Message = 2,
 }
 
-/** First frame of each end. */
+/** First frame that each end sends. */
 export interface ChallengeFrame {
   readonly kind: FrameKind.Challenge;
+  /** Version of the peer protocol. */
   readonly version: number;
+  /** Unpredictable bytes that the MAC of the other end must cover. */
   readonly nonce: Uint8Array;
 }
 
-/** Second frame of each end: who it is, and the proof that it has the cluster key. */
+/** Second frame that each end sends: its identity and the proof that it has the cluster key. */
 export interface HelloFrame {
   readonly kind: FrameKind.Hello;
   readonly identity: EntryHostIdentity;
   readonly mac: Uint8Array;
 }
 
-/** Every later frame. */
+/** A frame after the handshake, which carries one message. */
 export interface MessageFrame {
   readonly kind: FrameKind.Message;
-  /** Rises with each message of the sending process, over all its links. */
+  /** Increases with each message of the sending process, across all its links. */
   readonly sequence: number;
   readonly message: PeerMessage;
 }
@@ -70,7 +72,7 @@
  * Encodes a frame.
  *
  * @param frame - the frame
- * @returns its bytes
+ * @returns the encoded bytes
  */
 export function encodeFrame(frame: Frame): Buffer {
   switch (frame.kind) {
@@ -84,11 +86,11 @@
 }
 
 /**
- * Decodes a frame and checks it.
+ * Decodes and validates a frame.
  *
- * @param bytes - as they came
+ * @param bytes - the received bytes
  * @returns the frame
- * @throws Error when they are no frame, or the message in it is none
+ * @throws Error when the frame or the message in it is malformed
  */
 export function decodeFrame(bytes: Uint8Array): Frame {
   const decoded: unknown = packr.unpack(bytes);
--- a/src/adapters/peers_ws/_handshake.ts
+++ b/src/adapters/peers_ws/_handshake.ts
@@ -1,5 +1,5 @@
 /**
- * Proves to each other that both ends of a link have the cluster key.
+ * Mutual authentication of both ends of a link with the cluster key.
  *
  * @module
  */
@@ -11,49 +11,50 @@
 const PROTOCOL_NAME = 'monsoonhall peer link';
 const PROTOCOL_VERSION = 1;
 
-/** Which end of a link this is. */
+/** Role of one end of a link. */
 export enum LinkRole {
   Dialer = 'dialer',
   Listener = 'listener',
 }
 
-/** What one end of a handshake needs. */
+/** Options of {@link Handshake}. */
 export interface HandshakeOptions {
   readonly role: LinkRole;
+  /** Identity that this end sends. */
   readonly self: EntryHostIdentity;
+  /** Secret that all entry hosts share. */
   readonly clusterKey: Uint8Array;
-  /** Unpredictable bytes, used for this link alone. */
+  /** Unpredictable bytes that are used for this link only. */
   readonly nonce: Uint8Array;
 }
 
 /**
- * One end of a challenge-response. Each end's MAC covers its role and both
- * nonces: a recorded handshake fails against the other end's new nonce, and a MAC
- * that is sent back to where it came from fails for its role. The key itself
- * never travels.
+ * One end of a challenge-response handshake. The MAC of each end covers its role and both nonces:
+ * a replayed handshake fails because the other end sends a new nonce, and a MAC reflected to its
+ * sender fails because the role differs. The key itself is never sent.
  */
 export class Handshake {
   readonly #options: HandshakeOptions;
 
   #peerNonce: Uint8Array | undefined;
 
-  /** @param options - what this end needs */
+  /** @param options - role, identity, key and nonce of this end */
   constructor(options: HandshakeOptions) {
     this.#options = options;
   }
 
-  /** @returns this end's first frame */
+  /** @returns the first frame that this end sends */
   buildChallenge(): ChallengeFrame {
     const { nonce } = this.#options;
     return { kind: FrameKind.Challenge, version: PROTOCOL_VERSION, nonce };
   }
 
   /**
-   * Answers the other end's challenge.
+   * Answers the challenge of the other end.
    *
-   * @param challenge - its first frame
-   * @returns this end's second frame
-   * @throws Error when it is out of turn or of another version
+   * @param challenge - first frame of the other end
+   * @returns the second frame that this end sends
+   * @throws Error when it is the second challenge, or of another protocol version
    */
   acceptChallenge(challenge: ChallengeFrame): HelloFrame {
     if (this.#peerNonce) throw new Error('Cannot accept challenge: there was one already');
@@ -67,11 +68,11 @@
   }
 
   /**
-   * Checks the other end's proof.
+   * Verifies the proof of the other end.
    *
-   * @param hello - its second frame
-   * @returns who it is
-   * @throws Error when it does not have the key, or its proof is of another link
+   * @param hello - second frame of the other end
+   * @returns the identity of the other end
+   * @throws Error when the MAC is for another key, role, identity or nonce, or no challenge came
    */
   acceptHello(hello: HelloFrame): EntryHostIdentity {
     if (!this.#peerNonce) throw new Error('Cannot accept hello: no challenge came before');
--- a/src/adapters/peers_ws/_link_monitor.ts
+++ b/src/adapters/peers_ws/_link_monitor.ts
@@ -1,5 +1,5 @@
 /**
- * Looks after quiet links.
+ * Monitors the liveness of the links to peers.
  *
  * @module
  */
@@ -7,16 +7,18 @@
 import { LinkEndCause } from './_peer_link.js';
 import type { PeerLink } from './_peer_link.js';
 
-/** What the sweep needs. */
+/** Options of {@link LinkMonitor}. */
 export interface LinkMonitorOptions {
   readonly clock: Clock;
+  /** Time without received data after which a link is pinged, in ms; also the check interval. */
   readonly pingAfterMs: number;
+  /** Time without received data after which a link is ended, in milliseconds. */
   readonly silentAfterMs: number;
-  /** All links, those in their handshake too. */
+  /** Returns all links, including those in their handshake. */
   readonly listLinks: () => readonly PeerLink[];
 }
 
-/** Ends silent links and handshakes that hang, and pings those that are quiet. */
+/** Pings quiet links, and ends silent links and stalled handshakes. */
 export class LinkMonitor {
   readonly #options: LinkMonitorOptions;
 
@@ -24,18 +26,18 @@
 
   #lastCheckAtMs = 0;
 
-  /** @param options - what the sweep needs */
+  /** @param options - clock, time limits and the links */
   constructor(options: LinkMonitorOptions) {
     this.#options = options;
   }
 
-  /** Begins to look after the links. */
+  /** Starts the periodic checks. */
   start(): void {
     this.#lastCheckAtMs = this.#options.clock.nowMs();
     this.#scheduleCheck();
   }
 
-  /** Looks after them no more. */
+  /** Stops the periodic checks. */
   stop(): void {
     this.#timer?.cancel();
   }
@@ -48,20 +50,20 @@
   }
 
   #checkLinks(): void {
-    const { clock, silentAfterMs, listLinks } = this.#options;
+    const { clock, silentAfterMs: timeoutMs, listLinks } = this.#options;
     const nowMs = clock.nowMs();
-    const wasPaused = nowMs - this.#lastCheckAtMs >= silentAfterMs;
+    const wasPaused = nowMs - this.#lastCheckAtMs >= timeoutMs;
     this.#lastCheckAtMs = nowMs;
     listLinks().forEach((link) => {
-      // After a pause of this process its links only look silent: what came is not read yet.
+      // After a pause of this process all links seem silent, as received data is not read yet.
       if (wasPaused) link.recordReceived();
       this.#checkLink(link, nowMs - link.receivedAtMs);
     });
   }
 
   #checkLink(link: PeerLink, silentMs: number): void {
-    const { pingAfterMs, silentAfterMs } = this.#options;
-    if (silentMs >= silentAfterMs) link.end(LinkEndCause.Silent, `nothing came for ${silentMs} ms`);
+    const { pingAfterMs, silentAfterMs: timeoutMs } = this.#options;
+    if (silentMs >= timeoutMs) link.end(LinkEndCause.Silent, `silent for ${silentMs} ms`);
     else if (silentMs >= pingAfterMs) link.sendPing();
   }
 }
--- a/src/adapters/peers_ws/_link_table.ts
+++ b/src/adapters/peers_ws/_link_table.ts
@@ -1,24 +1,25 @@
 /**
- * The links that lead to each incarnation.
+ * Stores the authenticated links to each incarnation.
  *
  * @module
  */
 import type { EntryHostIdentity } from '../../domain/membership/types.js';
 import type { PeerLink } from './_peer_link.js';
 
+/** One incarnation of an entry host and the links to it. */
 interface Peer {
   readonly identity: EntryHostIdentity;
-  /** Oldest first; messages go on the oldest. */
+  /** Links, oldest first; messages are sent on the oldest. */
   readonly links: PeerLink[];
-  /** Number of the newest message that was taken from it. */
+  /** Highest sequence number accepted from the peer. */
   lastSequence: number;
 }
 
-/** Keeps authenticated links by incarnation. */
+/** Maps incarnations to their authenticated links. */
 export class LinkTable {
   readonly #peers = new Map<string, Peer>();
 
-  /** @param identity - who is at the other end. @param link - the link. @returns whether it is the first */
+  /** @param identity - the peer. @param link - a new link. @returns whether it is the only one */
   add(identity: EntryHostIdentity, link: PeerLink): boolean {
     const peer = this.#peers.get(identity.incarnation);
     peer?.links.push(link);
@@ -27,7 +28,7 @@
     return true;
   }
 
-  /** @param incarnation - whose link. @param link - the link. @returns whether it was the last */
+  /** @param incarnation - the peer. @param link - an ended link. @returns whether none is left */
   remove(incarnation: string, link: PeerLink): boolean {
     const peer = this.#peers.get(incarnation);
     const index = peer?.links.indexOf(link) ?? -1;
@@ -38,22 +39,22 @@
     return true;
   }
 
-  /** @param incarnation - whose. @returns the link that messages go on */
+  /** @param incarnation - the peer. @returns the link that messages are sent on, if any */
   findLink(incarnation: string): PeerLink | undefined {
     return this.#peers.get(incarnation)?.links[0];
   }
 
-  /** @param incarnation - whose. @returns all links to it */
+  /** @param incarnation - the peer. @returns all links to it */
   listLinks(incarnation: string): readonly PeerLink[] {
     return [...(this.#peers.get(incarnation)?.links ?? [])];
   }
 
-  /** @returns who is linked */
+  /** @returns identities of all linked peers */
   listIdentities(): readonly EntryHostIdentity[] {
     return [...this.#peers.values()].map(({ identity }) => identity);
   }
 
-  /** @param url - a peer's URL. @returns whether a link leads there */
+  /** @param url - URL of a peer. @returns whether a link to it exists */
   hasUrl(url: string): boolean {
     return [...this.#peers.values()].some(
       ({ identity, links }) =>
@@ -62,12 +63,12 @@
   }
 
   /**
-   * Takes a message's number. The sender changes to another link when the oldest
-   * goes; what is still under way on the old one would then arrive after newer
-   * messages, so numbers that do not rise are refused.
+   * Accepts a message if its sequence number exceeds all previous ones of the sender. The sender
+   * switches to another link when its oldest ends; messages still in flight on the old link could
+   * then arrive after newer ones, and handling them would break the order.
    *
    * @param incarnation - the sender
-   * @param sequence - the number
+   * @param sequence - sequence number of the message
    * @returns whether the message may be handled
    */
   acceptSequence(incarnation: string, sequence: number): boolean {
--- a/src/adapters/peers_ws/_message_schema.ts
+++ b/src/adapters/peers_ws/_message_schema.ts
@@ -1,5 +1,5 @@
 /**
- * Checks of messages between entry hosts, before any handler sees them.
+ * Schemas that validate the messages between entry hosts before a handler receives them.
  *
  * @module
  */
@@ -31,14 +31,14 @@
 const revision = z.int();
 const tier = z.enum(Tier);
 
-/** A wait may be unbounded, which msgpack can carry. */
+/** A wait in ms. It may be Infinity, which `z.number()` rejects and msgpack can encode. */
 const waitMs = z.custom<number>((value) => typeof value === 'number' && value >= 0);
 
 const headers = z
   .record(name, text)
   .refine((record) => Object.keys(record).length <= MAX_HEADERS, 'too many headers');
 
-/** Check of an identity, which the handshake carries too. */
+/** Schema of the identity of an entry host, which the handshake sends too. */
 export const identitySchema = z.object({
   id: name.min(1),
   incarnation: name.min(1),
@@ -282,11 +282,11 @@
 const KNOWN_TYPES: ReadonlySet<unknown> = new Set(Object.values(PeerMessageType));
 
 /**
- * Parses what was decoded.
+ * Validates a decoded value as a message.
  *
  * @param decoded - any value
- * @returns the message, without fields that it should not have
- * @throws Error that says what is wrong with it
+ * @returns the message without fields that its schema does not name
+ * @throws Error that describes the unknown type or the malformed field
  */
 export function parseMessage(decoded: unknown): PeerMessage {
   const type = (decoded as { type?: unknown } | null | undefined)?.type;
--- a/src/adapters/peers_ws/_message_schema_test.ts
+++ b/src/adapters/peers_ws/_message_schema_test.ts
@@ -22,7 +22,7 @@
 
 const LIMITS = { requestsPerSecond: 1.5, tokensPerSecond: 200, inFlight: 3 };
 
-/** One message of each type, with every field set. */
+/** One message of each type. */
 const SAMPLES: { readonly [T in PeerMessageType]: Extract<PeerMessage, { type: T }> } = {
   [PeerMessageType.Hello]: {
     type: PeerMessageType.Hello,
@@ -212,9 +212,9 @@
 
 Object.values(SAMPLES).forEach((sample) => {
   t.test(`parseMessage() keeps every field of ${sample.type}`, async (t) => {
-    // Symptom: one busy entry host got an eighth of its account's limit for
-    // ever. Sequence: a field was added to a message, not to its schema. Cause:
-    // the schema drops what it does not know, and the receiver sees a default.
+    // Guards against a field that is added to a message but not to its schema: the schema drops
+    // the field and the receiver uses a default. One busy entry host permanently got an eighth
+    // of the limit of its account that way.
     t.same(parseMessage(structuredClone(sample)), sample);
   });
 });
--- a/src/adapters/peers_ws/_peer_link.ts
+++ b/src/adapters/peers_ws/_peer_link.ts
@@ -1,5 +1,5 @@
 /**
- * One web socket to a peer, from its handshake to its end.
+ * Provides a link to a peer over one WebSocket, from the handshake to the close.
  *
  * @module
  */
@@ -13,54 +13,56 @@
 import { Handshake } from './_handshake.js';
 import type { HandshakeOptions } from './_handshake.js';
 
-/** Most bytes that an end may send before it has proved that it has the key. */
+/** Maximum number of bytes that an end may send before it is authenticated. */
 const MAX_HANDSHAKE_BYTES = 16_384;
 
-/** Start of the error codes with which the library names faults of the other end. */
+/** Prefix of the error codes of the `ws` library for protocol violations by the other end. */
 const WS_ERROR_CODE_PREFIX = 'WS_ERR_';
 
-/** Why a link ended. */
+/** Cause of the end of a link. */
 export enum LinkEndCause {
-  /** The other end, or the network, closed it. */
+  /** The other end or the network closed the connection. */
   Closed = 'closed',
-  /** The other end broke the protocol or has another key. */
+  /** The other end violated the protocol or has another cluster key. */
   Refused = 'refused',
-  /** It leads to this very process. */
+  /** The link leads to this process itself. */
   OwnIncarnation = 'own_incarnation',
-  /** Nothing came for too long. */
+  /** No data was received for too long. */
   Silent = 'silent',
-  /** It was replaced on request. */
+  /** The link was replaced on request. */
   Replaced = 'replaced',
-  /** Neither end uses it. */
+  /** Neither end uses the link. */
   Unused = 'unused',
-  /** This process closes. */
+  /** This process closes its links. */
   Stopped = 'stopped',
 }
 
-/** What a link calls. */
+/** Callbacks of a link. */
 export interface PeerLinkHandlers {
-  /** The other end has proved who it is. */
+  /** Called once the other end is authenticated. */
   readonly onAuthenticated: (link: PeerLink) => void;
+  /** Called for each message after the handshake. */
   readonly onMessage: (link: PeerLink, frame: MessageFrame) => void;
-  /** Called once; `reason` says what was wrong where something was. */
-  readonly onEnd: (link: PeerLink, end: LinkEndCause, reason: string) => void;
+  /** Called once; `reason` describes the cause in detail, or is empty. */
+  readonly onEnd: (link: PeerLink, cause: LinkEndCause, reason: string) => void;
 }
 
-/** What a link needs. */
+/** Options of {@link PeerLink}. */
 export interface PeerLinkOptions extends PeerLinkHandlers {
   readonly webSocket: WebSocket;
   readonly handshake: HandshakeOptions;
   /** The URL that was dialled; undefined for an accepted link. */
   readonly dialledUrl: string | undefined;
+  /** Returns the monotonic time in milliseconds. */
   readonly nowMs: () => number;
 }
 
-/** A link; frames are checked before anybody sees them. */
+/** A link to a peer. Frames are validated before a callback receives them. */
 export class PeerLink {
   /** The URL that was dialled; undefined for an accepted link. */
   readonly dialledUrl: string | undefined;
 
-  /** When it was begun, in milliseconds. */
+  /** Monotonic time at which the link was created, in milliseconds. */
   readonly createdAtMs: number;
 
   readonly #options: PeerLinkOptions;
@@ -75,7 +77,7 @@
 
   #hasEnded = false;
 
-  /** @param options - what the link needs */
+  /** @param options - WebSocket, handshake, clock and callbacks of the link */
   constructor(options: PeerLinkOptions) {
     this.#options = options;
     this.#webSocket = options.webSocket;
@@ -86,53 +88,53 @@
     this.#registerSocketHandlers();
   }
 
-  /** Who is at the other end; undefined until it has proved it. */
+  /** Identity of the other end; undefined until it is authenticated. */
   get peer(): EntryHostIdentity | undefined {
     return this.#peer;
   }
 
-  /** When anything last came, in milliseconds. */
+  /** Monotonic time at which data was last received, in milliseconds. */
   get receivedAtMs(): number {
     return this.#receivedAtMs;
   }
 
-  /** Bytes that wait to be sent. */
+  /** Number of bytes that are buffered for sending. */
   get bufferedBytes(): number {
     return this.#webSocket.bufferedAmount;
   }
 
-  /** Takes it that something came now. */
+  /** Records the current time as the last time at which data was received. */
   recordReceived(): void {
     this.#receivedAtMs = this.#options.nowMs();
   }
 
   /**
-   * Sends this end's challenge; to be called once the web socket is open.
+   * Sends the challenge of this end. Must be called once the WebSocket is open.
    *
-   * @param socket - the TCP connection under it
+   * @param socket - the TCP connection of the WebSocket
    */
   start(socket: Socket): void {
     this.#limitHandshakeBytes(socket);
     this.#sendFrame(this.#handshake.buildChallenge());
   }
 
-  /** @param sequence - the message's number. @param message - what to send */
+  /** @param sequence - sequence number of the message. @param message - the message */
   send(sequence: number, message: PeerMessage): void {
     this.#sendFrame({ kind: FrameKind.Message, sequence, message });
   }
 
-  /** Asks the other end's library for a sign of life. */
+  /** Sends a WebSocket ping, which the other end answers with a pong. */
   sendPing(): void {
     if (this.#webSocket.readyState === this.#webSocket.OPEN) this.#webSocket.ping();
   }
 
-  /** Ends it at once, without waiting for the other end. */
+  /** Ends the link immediately, without a closing handshake. */
   end(cause: LinkEndCause, reason = ''): void {
     this.#reportEnd(cause, reason);
     this.#webSocket.terminate();
   }
 
-  /** Closes it after what was sent; resolves when it is closed. */
+  /** Closes the link after all buffered data is sent; resolves once it is closed. */
   close(): Promise<void> {
     if (this.#webSocket.readyState === this.#webSocket.CLOSED) return Promise.resolve();
     return new Promise((resolve) => {
@@ -142,14 +144,14 @@
     });
   }
 
-  /** Cuts the socket, if it still isn't closed. */
+  /** Destroys the socket unless it is closed already. */
   terminate(): void {
     this.#webSocket.terminate();
   }
 
   /**
-   * Bounds what an end may send before it has the right to. The library's own
-   * limit is that of the largest message, so strangers could fill the memory.
+   * Limits the bytes that an unauthenticated end may send. The limit of the `ws` library is the
+   * size of the largest message, so unauthenticated connections could exhaust the memory.
    */
   #limitHandshakeBytes(socket: Socket): void {
     const checkByteCount = (): void => {
@@ -170,10 +172,10 @@
     webSocket.on('ping', () => this.recordReceived());
     webSocket.on('pong', () => this.recordReceived());
     webSocket.on('error', (error) => this.#handleError(error));
-    webSocket.on('close', () => this.#reportEnd(LinkEndCause.Closed, 'closed by the other end'));
+    webSocket.on('close', () => this.#reportEnd(LinkEndCause.Closed, 'connection closed'));
   }
 
-  /** The library reports an oversized or malformed frame like a reset connection. */
+  /** The `ws` library emits `error` for malformed or oversized frames and for lost connections. */
   #handleError(error: Error & { code?: string }): void {
     const isProtocolFault = error.code?.startsWith(WS_ERROR_CODE_PREFIX) === true;
     this.end(isProtocolFault ? LinkEndCause.Refused : LinkEndCause.Closed, error.message);
--- a/src/adapters/peers_ws/_peer_listener.ts
+++ b/src/adapters/peers_ws/_peer_listener.ts
@@ -1,5 +1,5 @@
 /**
- * Listens for links from peers.
+ * Accepts WebSocket connections from peers.
  *
  * @module
  */
@@ -10,20 +10,24 @@
 import type { WebSocket } from 'ws';
 
 const HEADERS_TIMEOUT_MS = 5_000;
+/** HTTP status for a request that is not a WebSocket upgrade. */
 const UPGRADE_REQUIRED = 426;
 
-/** What the listener needs. */
+/** Options of {@link PeerListener}. */
 export interface PeerListenerOptions {
+  /** IP address to listen on. */
   readonly host: string;
+  /** Port to listen on; 0 lets the operating system choose. */
   readonly port: number;
+  /** Maximum size of a message, in bytes. */
   readonly maxMessageBytes: number;
-  /** Called with each accepted web socket and the connection under it. */
+  /** Called with each accepted WebSocket and its TCP connection. */
   readonly onSocket: (webSocket: WebSocket, socket: Socket) => void;
-  /** Called with faults of the listener after its start. */
+  /** Called with errors of the listener after its start. */
   readonly onError: (error: Error) => void;
 }
 
-/** A listener for web sockets; any other request is refused. */
+/** Listens for WebSocket connections and refuses other HTTP requests. */
 export class PeerListener {
   readonly #options: PeerListenerOptions;
 
@@ -31,7 +35,7 @@
 
   readonly #webSocketServer: WebSocketServer;
 
-  /** @param options - where to listen */
+  /** @param options - address to listen on, limits and callbacks */
   constructor(options: PeerListenerOptions) {
     this.#options = options;
     this.#server = createServer((_request, response) => {
@@ -49,7 +53,7 @@
     });
   }
 
-  /** @returns the port, once it listens */
+  /** @returns resolves to the port once the server listens */
   start(): Promise<number> {
     return new Promise((resolve, reject) => {
       this.#webSocketServer.once('error', reject);
@@ -61,7 +65,7 @@
     });
   }
 
-  /** @returns when it listens no more; its web sockets must be closed before */
+  /** @returns resolves once the server is closed; all its WebSockets must be closed before */
   close(): Promise<void> {
     if (!this.#server.listening) return Promise.resolve();
     return new Promise((resolve) => {
--- a/src/adapters/peers_ws/_record_checks.ts
+++ b/src/adapters/peers_ws/_record_checks.ts
@@ -1,23 +1,23 @@
 /**
- * Checks of records of numbers, which make up most of what peers tell each other.
+ * Schemas of records of numbers, which make up most of the data in peer messages.
  *
- * A report holds the figures of hundreds of backend servers and accounts. A schema that looks at
- * each entry through a parser of its own took 97 microseconds for a report of 80 entries, a loop 67
- * (warm, one run each).
+ * A host report holds stats of hundreds of backend servers and accounts. Validation with a Zod
+ * parser for each entry took 97 microseconds for a report of 80 entries, and a loop over the
+ * entries took 67 (warm, one run each), so these schemas use a loop.
  *
  * @module
  */
 import * as z from 'zod';
 
-/** Longest name in a message, in characters. */
+/** Maximum length of a name in a message, in characters. */
 export const MAX_NAME_LENGTH = 512;
 
-/** Check of a record of whole numbers that aren't negative. */
+/** Schema of a record of non-negative integers. */
 export const countsSchema = z.custom<Readonly<Record<string, number>>>((value) =>
   isRecordOf(value, isCount),
 );
 
-/** Check of a record of finite numbers. */
+/** Schema of a record of finite numbers. */
 export const numbersSchema = z.custom<Readonly<Record<string, number>>>((value) =>
   isRecordOf(value, Number.isFinite),
 );
--- a/src/adapters/peers_ws/_test_peers.ts
+++ b/src/adapters/peers_ws/_test_peers.ts
@@ -1,6 +1,6 @@
 /**
- * Peers for this package's tests: networks on loopback, and a raw end that can
- * break the protocol.
+ * Test peers: peer networks on loopback, a raw client that can violate the protocol, and a TCP
+ * proxy that can stop forwarding.
  *
  * @module
  */
@@ -18,10 +18,10 @@
 import { WsPeerNetwork } from './mod.js';
 import type { WsPeerNetworkOptions } from './mod.js';
 
-/** The key of every well-behaved test peer. */
+/** Cluster key of all authentic test peers. */
 export const CLUSTER_KEY = Buffer.alloc(32, 7);
 
-/** A started network and what it was made with. */
+/** A started peer network with its fakes and address. */
 export interface TestPeer {
   readonly network: WsPeerNetwork;
   readonly clock: VirtualClock;
@@ -29,11 +29,11 @@
   readonly metrics: FakeMetrics;
   readonly port: number;
   readonly url: string;
-  /** Sequence numbers of heartbeat replies, in order of arrival, with their senders. */
+  /** Received heartbeat replies in order of arrival: incarnation of the sender and number. */
   readonly received: { from: string; sequence: number }[];
 }
 
-/** Waits until something holds; the test's own time limit bounds it. */
+/** Waits until a condition is met or the timeout of the test runner ends the test. */
 export async function waitUntil(isMet: () => boolean): Promise<void> {
   while (!isMet()) {
     await new Promise((resolve) => {
@@ -42,18 +42,18 @@
   }
 }
 
-/** Builds a message that just carries a number. */
+/** Builds a message that carries only a number. */
 export function buildNumberedMessage(sequence: number): HeartbeatReplyMessage {
   return { type: PeerMessageType.HeartbeatReply, sequence };
 }
 
-/** Builds an identity whose URL gets the listening port. */
+/** Builds an identity whose `peerUrl` gets the listening port at the start. */
 export function buildPeerIdentity(id: string, incarnation = `${id}-1`): EntryHostIdentity {
   const url = `http://${id}.test`;
   return { id, incarnation, url, peerUrl: 'ws://127.0.0.1:0', availabilityZone: 'hall-a' };
 }
 
-/** Starts a network on loopback. */
+/** Starts a peer network on loopback. */
 export async function startPeer(
   identity: EntryHostIdentity,
   options: Partial<WsPeerNetworkOptions> = {},
@@ -79,7 +79,7 @@
   return { network, clock, log, metrics, port, url: `ws://127.0.0.1:${port}`, received };
 }
 
-/** Whether two peers are linked, as both ends see it. */
+/** Whether both peers report a link to each other. */
 export function areLinked(one: TestPeer, other: TestPeer): boolean {
   const hasLinkTo = (from: TestPeer, to: TestPeer): boolean =>
     from.network
@@ -88,14 +88,14 @@
   return hasLinkTo(one, other) && hasLinkTo(other, one);
 }
 
-/** Why links were refused, in order. */
+/** Lists the logged reasons of refused links in order. */
 export function listRefusalReasons(peer: TestPeer): readonly string[] {
   return peer.log.lines
     .filter(({ fields }) => fields.end === 'refused')
     .map(({ fields }) => String(fields.reason));
 }
 
-/** A dialling end without any rules. */
+/** A WebSocket client that can send any frame at any time. */
 export class RawPeer {
   readonly frames: Buffer[] = [];
 
@@ -112,13 +112,14 @@
     });
   }
 
-  /** Waits for the listener's challenge and answers it truthfully. */
+  /** Waits for the challenge of the listener and completes the handshake. */
   async authenticate(self: EntryHostIdentity, clusterKey: Uint8Array = CLUSTER_KEY): Promise<void> {
     const nonce = Buffer.alloc(32, 9);
     const handshake = new Handshake({ role: LinkRole.Dialer, self, clusterKey, nonce });
     await waitUntil(() => this.frames.length > 0);
     const challenge = decodeFrame(this.frames[0] as Buffer);
-    if (challenge.kind !== FrameKind.Challenge) throw new Error('Cannot answer: no challenge');
+    if (challenge.kind !== FrameKind.Challenge)
+      throw new Error('Cannot authenticate: the first frame is not a challenge');
     this.send(handshake.buildChallenge());
     this.send(handshake.acceptChallenge(challenge));
   }
@@ -132,9 +133,9 @@
   }
 }
 
-/** A TCP relay that can lose track of the connections it has. */
+/** A TCP proxy that can stop forwarding on its connections without closing them. */
 export class TestProxy {
-  /** Chunks that came from the dialling side. */
+  /** Chunks received from the dialling side. */
   readonly chunksFromDialer: Buffer[] = [];
 
   readonly #sockets = new Set<Socket>();
@@ -145,7 +146,7 @@
 
   constructor(readonly targetPort: number) {}
 
-  /** @returns its URL */
+  /** @returns resolves to the WebSocket URL of the proxy */
   start(): Promise<string> {
     return new Promise((resolve) => {
       this.#server.listen(0, '127.0.0.1', () => {
@@ -154,7 +155,7 @@
     });
   }
 
-  /** From now on the present connections carry nothing; new ones work. */
+  /** Stops forwarding on the present connections; new ones are forwarded. */
   silence(): void {
     this.#sockets.forEach((socket) => this.#silencedSockets.add(socket));
   }
--- a/src/adapters/peers_ws/mod.ts
+++ b/src/adapters/peers_ws/mod.ts
@@ -1,7 +1,11 @@
 /**
- * Links between entry hosts over web sockets, with messages in msgpack.
- * `const peers = new WsPeerNetwork({...}); await peers.start();`, then use it as
- * a `PeerNetwork`.
+ * Links entry hosts over WebSockets, with messages encoded in msgpack.
+ *
+ * ```ts
+ * const peers = new WsPeerNetwork({ ...options });
+ * await peers.start();
+ * peers.setAddresses(['ws://10.0.0.2:7000']);
+ * ```
  *
  * @module
  */
--- a/src/adapters/peers_ws/peer_network_contract_test.ts
+++ b/src/adapters/peers_ws/peer_network_contract_test.ts
@@ -11,7 +11,7 @@
 
 const MESSAGE_COUNT = 300;
 
-/** Makes networks that are linked to each other, one an ID. */
+/** Starts one network per ID; the networks then link to each other. */
 type StartNetworks = (t: Test, ids: readonly string[]) => Promise<readonly PeerNetwork[]>;
 
 async function startWsNetworks(t: Test, ids: readonly string[]): Promise<readonly PeerNetwork[]> {
@@ -48,7 +48,7 @@
   return { type: PeerMessageType.SlotCancel, ticket };
 }
 
-/** Collects the types of messages that arrive, each with its sender. */
+/** Collects received messages with the IDs of their senders. */
 function collectMessages(network: PeerNetwork): { from: string; message: PeerMessage }[] {
   const received: { from: string; message: PeerMessage }[] = [];
   [PeerMessageType.SlotCancel, PeerMessageType.ForwardChunk].forEach((type) => {
@@ -57,9 +57,9 @@
   return received;
 }
 
-Object.entries(IMPLEMENTATIONS).forEach(([name, setting]) => {
-  t.test(`${name} keeps each sender's order and names the sender`, async (t) => {
-    const [a, b, c] = (await startLinked(t, setting, ['a', 'b', 'c'])) as [
+Object.entries(IMPLEMENTATIONS).forEach(([name, startNetworks]) => {
+  t.test(`${name} delivers in order per sender and names the sender`, async (t) => {
+    const [a, b, c] = (await startLinked(t, startNetworks, ['a', 'b', 'c'])) as [
       PeerNetwork,
       PeerNetwork,
       PeerNetwork,
@@ -80,8 +80,8 @@
     });
   });
 
-  t.test(`${name} carries bytes as they are`, async (t) => {
-    const [a, b] = (await startLinked(t, setting, ['a', 'b'])) as [PeerNetwork, PeerNetwork];
+  t.test(`${name} delivers bytes unchanged`, async (t) => {
+    const [a, b] = (await startLinked(t, startNetworks, ['a', 'b'])) as [PeerNetwork, PeerNetwork];
     const arrived = collectMessages(b);
     const bytes = Uint8Array.from({ length: 70_000 }, (_item, index) => index % 256);
     a.send('b-1', { type: PeerMessageType.ForwardChunk, callId: 1, offset: 7, bytes });
@@ -91,20 +91,20 @@
     t.ok(message && 'bytes' in message && Buffer.from(bytes).equals(message.bytes as Uint8Array));
   });
 
-  t.test(`${name} refuses to send where no link leads, and to itself`, async (t) => {
-    const [a] = (await startLinked(t, setting, ['a', 'b'])) as [PeerNetwork];
+  t.test(`${name} refuses to send without a link and to itself`, async (t) => {
+    const [a] = (await startLinked(t, startNetworks, ['a', 'b'])) as [PeerNetwork];
     t.equal(a.send('b-2', buildNumberedMessage(1)), false);
     t.equal(a.send('a-1', buildNumberedMessage(1)), false);
   });
 
-  t.test(`${name} takes one handler a type`, async (t) => {
-    const [a] = (await startLinked(t, setting, ['a', 'b'])) as [PeerNetwork];
+  t.test(`${name} accepts only one handler per message type`, async (t) => {
+    const [a] = (await startLinked(t, startNetworks, ['a', 'b'])) as [PeerNetwork];
     a.handle(PeerMessageType.SlotCancel, () => undefined);
     t.throws(() => a.handle(PeerMessageType.SlotCancel, () => undefined));
   });
 
-  t.test(`${name} tells once that the last link to a peer went`, async (t) => {
-    const [a, b] = (await startLinked(t, setting, ['a', 'b'])) as [PeerNetwork, PeerNetwork];
+  t.test(`${name} reports once that the last link to a peer is down`, async (t) => {
+    const [a, b] = (await startLinked(t, startNetworks, ['a', 'b'])) as [PeerNetwork, PeerNetwork];
     const events: string[] = [];
     a.onLink(({ peer, up }) => events.push(`${peer.incarnation} ${up ? 'up' : 'down'}`));
     await b.close();
--- a/src/adapters/peers_ws/ws_peer_network.ts
+++ b/src/adapters/peers_ws/ws_peer_network.ts
@@ -1,5 +1,5 @@
 /**
- * Links between entry hosts over web sockets.
+ * Implements the `PeerNetwork` port over WebSockets.
  *
  * @module
  */
@@ -29,12 +29,12 @@
 type AnyHandler = (from: EntryHostIdentity, message: PeerMessage) => void;
 
 /**
- * Keeps one link to each address: an address is dialled unless a link leads there
- * already, whichever end made it. When both ends dial at the same moment both links
- * stay; each end sends on its oldest, and numbered messages keep the order.
+ * Maintains one link to each address: an address is dialled unless a link to it exists, whichever
+ * end established that link. When both ends dial at the same time, both links stay; each end sends
+ * on its oldest link, and sequence numbers preserve the order of messages.
  *
- * The handshake proves that both ends have the cluster key; what follows is neither
- * encrypted nor signed, so the peers' listener belongs on a private network.
+ * The handshake proves that both ends have the cluster key. Later messages are neither encrypted
+ * nor signed, so the listener for peers must be on a private network.
  */
 export class WsPeerNetwork extends PeerNetwork {
   readonly #options: Required<WsPeerNetworkOptions>;
@@ -47,7 +47,7 @@
 
   readonly #linkTable = new LinkTable();
 
-  /** All links, those in their handshake too. */
+  /** All links, including those in their handshake. */
   readonly #links = new Set<PeerLink>();
 
   readonly #handlers = new Map<PeerMessageType, AnyHandler>();
@@ -58,12 +58,13 @@
 
   #lastSequence = 0;
 
+  /** Last message that passed validation; sending it to further peers skips the validation. */
   #lastValidMessage: PeerMessage | undefined;
 
   #isClosed = false;
 
   /**
-   * @param options - what the network needs
+   * @param options - identity, listening address, key and limits
    * @throws RangeError when the cluster key is too short
    */
   constructor(options: WsPeerNetworkOptions) {
@@ -85,16 +86,16 @@
     this.#linkMonitor = new LinkMonitor({ ...this.#options, listLinks: () => [...this.#links] });
   }
 
-  /** This entry host as peers see it; its `peerUrl` has the true port after the start. */
+  /** Identity of this entry host; its `peerUrl` has the actual port after the start. */
   get identity(): EntryHostIdentity {
     return this.#identity;
   }
 
   /**
-   * Listens, and begins to watch the links.
+   * Starts the listener and the monitoring of the links.
    *
    * @returns the listening port
-   * @throws Error when it can't listen
+   * @throws Error when the listener can't be started
    */
   async start(): Promise<{ port: number }> {
     const port = await this.#listener.start();
@@ -160,9 +161,9 @@
   }
 
   /**
-   * A message that the other end would refuse is a fault of this process. Sent, it
-   * would cost the link, and the next one after it; one would notice all links of
-   * the deployment going up and down.
+   * Returns false for a full buffer and for a malformed message, which is a fault of this process.
+   * The receiver would close the link because of it, and the next link after it as well; all links
+   * of the deployment would repeatedly go down and up.
    */
   #maySend(link: PeerLink, message: PeerMessage): boolean {
     if (link.bufferedBytes > this.#options.maxBufferedBytes) {
@@ -205,7 +206,7 @@
         followRedirects: false,
       });
       const link = this.#addLink(webSocket, url);
-      // Listening to the socket before the library does would take its first bytes away.
+      // A data listener on the socket before that of the library would consume the first bytes.
       webSocket.once('upgrade', ({ socket }) => {
         webSocket.once('open', () => link.start(socket));
       });
@@ -252,7 +253,7 @@
     try {
       this.#handlers.get(message.type)?.(peer, message);
     } catch (error) {
-      // A fault of one handler is no fault of the link, which carries all others' messages.
+      // The link stays up when a handler fails, since it carries the messages of all handlers.
       this.#log(LogLevel.Error, 'peer_message_handler_failed', String(error), {
         type: message.type,
       });
@@ -277,7 +278,7 @@
   #logEnd({ peer, dialledUrl }: PeerLink, cause: LinkEndCause, reason: string): void {
     const isFault = cause === LinkEndCause.Refused || cause === LinkEndCause.OwnIncarnation;
     if (isFault) this.#options.metrics.count('peer_links_refused_total', { reason: cause });
-    // An address that nobody listens at is dialled again and again.
+    // Logged at debug level without a peer, as an address without a listener is redialled forever.
     const level = peer ? LogLevel.Info : LogLevel.Debug;
     this.#log(isFault ? LogLevel.Warn : level, 'peer_link_down', reason, {
       end: cause,
--- a/src/adapters/peers_ws/ws_peer_network_faults_test.ts
+++ b/src/adapters/peers_ws/ws_peer_network_faults_test.ts
@@ -18,7 +18,7 @@
 const UNKNOWN_PEER = buildPeerIdentity('stranger');
 const PROPERTY_OPTIONS = { seed: 42, numRuns: 500 };
 
-/** Two linked peers, the first of which will be attacked. */
+/** Starts two linked peers; the tests attack the first one. */
 async function startLinked(t: Test): Promise<[TestPeer, TestPeer]> {
   const a = await startPeer(buildPeerIdentity('a'), { maxMessageBytes: 65_536 });
   const b = await startPeer(buildPeerIdentity('b'));
@@ -28,7 +28,7 @@
   return [a, b];
 }
 
-/** The stranger is out, and the well-behaved peer's messages still arrive. */
+/** Asserts that the raw client is refused and messages of the authentic peer still arrive. */
 async function assertRefused(
   t: Test,
   [a, b]: readonly [TestPeer, TestPeer],
@@ -46,7 +46,7 @@
   t.same(a.received, [{ from: 'b-1', sequence: 1 }]);
 }
 
-/** What an end may do wrong before it has proved that it has the key. */
+/** Protocol violations of an unauthenticated client, with the reason of the refusal. */
 const FAULTS_BEFORE_HANDSHAKE: Readonly<Record<string, [(raw: RawPeer) => void, RegExp]>> = {
   garbage: [(raw) => raw.webSocket.send(Buffer.alloc(100, 0xc1)), /./],
   text: [(raw) => raw.webSocket.send('hello'), /not binary/],
@@ -70,7 +70,7 @@
 };
 
 Object.entries(FAULTS_BEFORE_HANDSHAKE).forEach(([name, [act, reason]]) => {
-  t.test(`WsPeerNetwork refuses a stranger that sends ${name}`, async (t) => {
+  t.test(`WsPeerNetwork refuses an unauthenticated client that sends ${name}`, async (t) => {
     const peers = await startLinked(t);
     const raw = new RawPeer(peers[0].url);
     await waitUntil(() => raw.frames.length > 0);
@@ -79,7 +79,7 @@
   });
 });
 
-/** What an authenticated end may do wrong. */
+/** Protocol violations of an authenticated client, with the reason of the refusal. */
 const FAULTS_AFTER_HANDSHAKE: Readonly<Record<string, [(raw: RawPeer) => void, RegExp]>> = {
   garbage: [(raw) => raw.webSocket.send(Buffer.alloc(100, 0xc1)), /./],
   'an unknown type': [(raw) => raw.sendMessage(1, { type: 'unheard_of' }), /type is unknown/],
@@ -120,15 +120,14 @@
   t.ok(areLinked(a, b));
 });
 
-t.test('WsPeerNetwork refuses a key that is too short', async (t) => {
+t.test('WsPeerNetwork refuses a cluster key that is too short', async (t) => {
   const start = startPeer(buildPeerIdentity('a'), { clusterKey: new Uint8Array(31) });
   await t.rejects(start, { message: /31 bytes/ });
 });
 
-t.test('WsPeerNetwork refuses a recorded handshake', async (t) => {
-  // Symptom: a stranger is taken for a peer.
-  // Sequence: it records a peer's handshake on the wire and sends the same bytes later.
-  // Cause: the proof covers nothing that is new at each link.
+t.test('WsPeerNetwork refuses a replayed handshake', async (t) => {
+  // Guards against an attacker that records the handshake of a peer on the network and replays
+  // the same bytes later. A MAC that covers no nonce of the new link would accept it.
   const [a, b] = await startLinked(t);
   const dialer = await startPeer(buildPeerIdentity('c'));
   const relay = new TestProxy(a.port);
@@ -138,24 +137,23 @@
   await relay.close();
   const raw = new RawPeer(a.url);
   await waitUntil(() => raw.frames.length > 0 && a.network.listLinked().length === 1);
-  // The recorded bytes begin with the upgrade request; what follows are whole frames.
+  // The recorded bytes start with the upgrade request, followed by complete frames.
   const recorded = Buffer.concat(relay.chunksFromDialer);
   const socket = (raw.webSocket as unknown as { _socket: { write(bytes: Buffer): void } })._socket;
   socket.write(recorded.subarray(recorded.indexOf('\r\n\r\n') + 4));
   await assertRefused(t, [a, b], raw, /MAC does not match/);
 });
 
-t.test('WsPeerNetwork refuses its own proof sent back', async (t) => {
-  // Symptom: a stranger without the key is taken for a peer.
-  // Sequence: it answers each frame with the very same frame.
-  // Cause: the proof does not say which end it comes from.
+t.test('WsPeerNetwork refuses its own MAC reflected to it', async (t) => {
+  // Guards against an attacker without the key that answers each frame with the same frame. A MAC
+  // that does not cover the role of its sender would accept it.
   const peers = await startLinked(t);
   const raw = new RawPeer(peers[0].url);
   raw.webSocket.on('message', (data) => raw.webSocket.send(data as Buffer));
   await assertRefused(t, peers, raw, /MAC does not match/);
 });
 
-t.test('WsPeerNetwork ends a handshake that hangs', async (t) => {
+t.test('WsPeerNetwork ends a stalled handshake', async (t) => {
   const a = await startPeer(buildPeerIdentity('a'), { maxUnauthenticatedLinks: 1 });
   t.teardown(() => a.network.close());
   const silent = new RawPeer(a.url);
@@ -170,10 +168,10 @@
   await third.authenticate(UNKNOWN_PEER, CLUSTER_KEY);
   await waitUntil(() => a.network.listLinked().length === 1);
   third.webSocket.terminate();
-  t.pass('there is room again');
+  t.pass('the limit of unauthenticated links has capacity again');
 });
 
-t.test('decodeFrame() takes any bytes without harm', async (t) => {
+t.test('decodeFrame() returns a frame or throws an Error for any bytes', async (t) => {
   const damaged = fc
     .tuple(fc.nat(200), fc.nat(255), fc.nat())
     .map(([position, value, sequence]) => {
--- a/src/adapters/peers_ws/ws_peer_network_options.ts
+++ b/src/adapters/peers_ws/ws_peer_network_options.ts
@@ -1,40 +1,40 @@
 /**
- * Options of the peer network over web sockets.
+ * Options of the peer network over WebSockets and their defaults.
  *
  * @module
  */
 import type { EntryHostIdentity } from '../../domain/membership/types.js';
 import type { Clock, EventLog, Metrics, RandomSource } from '../../ports/mod.js';
 
-/** What the network needs, and its bounds. */
+/** Options of `WsPeerNetwork`. */
 export interface WsPeerNetworkOptions {
-  /** This entry host. A port 0 in its `peerUrl` becomes the listening port at the start. */
+  /** This entry host. A port 0 in its `peerUrl` is replaced by the listening port at the start. */
   readonly self: EntryHostIdentity;
-  /** IP number to listen on. */
+  /** IP address to listen on. */
   readonly listenHost: string;
-  /** Port to listen on; 0 lets the system choose. */
+  /** Port to listen on; 0 lets the operating system choose. */
   readonly listenPort: number;
-  /** Secret that all entry hosts share; 32 bytes or more. */
+  /** Secret that all entry hosts share; at least 32 bytes. */
   readonly clusterKey: Uint8Array;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly log: EventLog;
   readonly metrics: Metrics;
-  /** Largest message, in bytes. Default: 8 MiB. */
+  /** Maximum size of a message, in bytes. Default: 8 MiB. */
   readonly maxMessageBytes?: number;
-  /** Most bytes that may wait to be sent on a link. Default: 16 MiB. */
+  /** Maximum number of bytes buffered for sending on a link. Default: 16 MiB. */
   readonly maxBufferedBytes?: number;
-  /** Most connections that have not proved their key yet. Default: 256. */
+  /** Maximum number of links that are not authenticated yet. Default: 256. */
   readonly maxUnauthenticatedLinks?: number;
-  /** Silence on a link after which it is pinged, in milliseconds. Default: 1000. */
+  /** Time without received data after which a link is pinged, in milliseconds. Default: 1000. */
   readonly pingAfterMs?: number;
-  /** Silence on a link after which it is replaced, in milliseconds. Default: 3000. */
+  /** Time without received data after which a link is replaced, in milliseconds. Default: 3000. */
   readonly silentAfterMs?: number;
-  /** Shortest time between two attempts to dial an address, in milliseconds. Default: 100. */
+  /** Shortest backoff between attempts to dial an address, in milliseconds. Default: 100. */
   readonly minRedialMs?: number;
-  /** Longest time between two attempts to dial an address, in milliseconds. Default: 5000. */
+  /** Longest backoff between attempts to dial an address, in milliseconds. Default: 5000. */
   readonly maxRedialMs?: number;
-  /** How long the closing of a link may take, in milliseconds. Default: 1000. */
+  /** Timeout for closing the links, in milliseconds. Default: 1000. */
   readonly closeTimeoutMs?: number;
 }
 
@@ -43,17 +43,17 @@
 const MIN_KEY_BYTES = 32;
 
 /**
- * Puts the defaults where an option is left out.
+ * Applies the defaults of omitted options.
  *
- * @param options - as they were given
- * @returns all of them
+ * @param options - the given options
+ * @returns the complete options
  * @throws RangeError when the cluster key is too short
  */
 export function resolveOptions(options: WsPeerNetworkOptions): Required<WsPeerNetworkOptions> {
   if (options.clusterKey.length < MIN_KEY_BYTES) {
     throw new RangeError(
       `Cannot link to peers: the cluster key has ${options.clusterKey.length} bytes, ` +
-        `${MIN_KEY_BYTES} are needed`,
+        `${MIN_KEY_BYTES} are required`,
     );
   }
   return {
--- a/src/adapters/peers_ws/ws_peer_network_test.ts
+++ b/src/adapters/peers_ws/ws_peer_network_test.ts
@@ -44,7 +44,7 @@
   return peer.received.map(({ sequence }) => sequence);
 }
 
-t.test('send() delivers in order, both ways, over the one link that one end made', async (t) => {
+t.test('send() delivers in order in both directions over a single link', async (t) => {
   const [a, b] = await startLinked(t);
   const events = recordLinkEvents(b);
   b.network.setAddresses([a.url]);
@@ -61,25 +61,24 @@
   t.same(events, []);
 });
 
-t.test('send() tells that there is no link', async (t) => {
+t.test('send() returns false without a link', async (t) => {
   const [a] = await startLinked(t);
   t.equal(a.network.send('c-1', buildNumberedMessage(1)), false);
   t.equal(a.network.send('a-1', buildNumberedMessage(1)), false);
 });
 
-t.test('send() refuses beyond its buffer, and other peers go on', async (t) => {
-  // Symptom: the memory of an entry host grows until it dies.
-  // Sequence: one peer reads nothing any more, and answers go on to be sent to it.
-  // Cause: sends are buffered without a bound.
+t.test('send() refuses messages only to the peer whose buffer is full', async (t) => {
+  // Guards against memory that grows until the entry host dies: a peer stops reading while
+  // messages are still sent to it, and the send buffer has no limit.
   const maxBufferedBytes = 262_144;
   const a = await startPeer(buildPeerIdentity('a'), { maxBufferedBytes });
   const b = await startPeer(buildPeerIdentity('b'));
   t.teardown(() => Promise.all([a.network.close(), b.network.close()]));
   b.network.setAddresses([a.url]);
-  const stuck = new RawPeer(a.url);
-  await stuck.authenticate(buildPeerIdentity('c'));
+  const stalled = new RawPeer(a.url);
+  await stalled.authenticate(buildPeerIdentity('c'));
   await waitUntil(() => a.network.listLinked().length === 2);
-  stuck.webSocket.pause();
+  stalled.webSocket.pause();
   const chunk: ForwardChunkMessage = {
     type: PeerMessageType.ForwardChunk,
     callId: 1,
@@ -88,16 +87,16 @@
   };
   let sent = 0;
   while (sent < 500 && a.network.send('c-1', chunk)) sent += 1;
-  t.ok(sent > 0 && sent < 500, 'the send was refused at some time');
+  t.ok(sent > 0 && sent < 500, 'the send is refused eventually');
   t.ok(a.network.send('b-1', buildNumberedMessage(1)));
   await waitUntil(() => b.received.length === 1);
-  stuck.webSocket.terminate();
+  stalled.webSocket.terminate();
 });
 
-t.test('send() keeps a malformed message back and the link up', async (t) => {
-  // Symptom: all links of a deployment go up and down without end.
-  // Sequence: a fault puts NaN into a message; the receiver closes the link; it is made anew.
-  // Cause: the sender does not check what the receiver will refuse.
+t.test('send() refuses a malformed message and keeps the link', async (t) => {
+  // Guards against links of a deployment that keep going down and up: a fault puts NaN into a
+  // message, the receiver closes the link, and the new link gets the same message because the
+  // sender does not validate it.
   const [a, b] = await startLinked(t);
   t.equal(a.network.send('b-1', buildNumberedMessage(Number.NaN)), false);
   t.ok(a.log.lines.some(({ event }) => event === 'peer_message_malformed'));
@@ -117,28 +116,28 @@
   t.throws(() => b.network.handle(PeerMessageType.SlotCancel, () => undefined));
 });
 
-t.test('setAddresses() links to a peer that starts later, and again when restarted', async (t) => {
-  // Symptom: a restarted entry host stays unreachable for those that knew it before.
-  // Sequence: it is down, dialled in vain, and comes back at its address as a new incarnation.
-  // Cause: dialling is given up, or the old incarnation's link stands for the address.
+t.test('setAddresses() links to a peer that starts later or restarts', async (t) => {
+  // Guards against a restarted entry host that stays unreachable for its former peers. It returns
+  // at its address as a new incarnation after failed attempts to dial it; its peers no longer dial
+  // the address, or the link of the old incarnation still counts for it.
   const [a, b] = await startLinked(t);
   const events = recordLinkEvents(a);
   await b.network.close();
   await waitUntil(() => events.length === 1);
   t.equal(a.network.send('b-1', buildNumberedMessage(1)), false);
   await a.clock.advance(MAX_REDIAL_MS);
-  const again = await startPeer(buildPeerIdentity('b', 'b-2'), { listenPort: b.port });
-  t.teardown(() => again.network.close());
+  const restarted = await startPeer(buildPeerIdentity('b', 'b-2'), { listenPort: b.port });
+  t.teardown(() => restarted.network.close());
   while (events.length === 1) await a.clock.advance(MAX_REDIAL_MS);
   t.same(events, ['b-1 down', 'b-2 up']);
   t.ok(a.network.send('b-2', buildNumberedMessage(2)));
-  await waitUntil(() => again.received.length === 1);
+  await waitUntil(() => restarted.received.length === 1);
 });
 
-t.test('WsPeerNetwork replaces a silent link within its bound', async (t) => {
-  // Symptom: a peer seems dead for hours, though new connections to it work.
-  // Sequence: something between the ends forgets the connection; neither end is told.
-  // Cause: only a closed socket counts as a lost link.
+t.test('WsPeerNetwork replaces a silent link within its timeout', async (t) => {
+  // Guards against a peer that seems dead for hours although new connections to it work: a device
+  // between the ends forgets the connection without closing it, and only a closed socket counts
+  // as a lost link.
   const a = await startPeer(buildPeerIdentity('a'));
   const b = await startPeer(buildPeerIdentity('b'));
   const relay = new TestProxy(b.port);
@@ -150,7 +149,7 @@
   await waitUntil(() => areLinked(a, b));
   const events = recordLinkEvents(a);
   relay.silence();
-  t.ok(a.network.send('b-1', buildNumberedMessage(1)), 'nobody has noticed yet');
+  t.ok(a.network.send('b-1', buildNumberedMessage(1)), 'the link is not ended yet');
   await a.clock.advance(LINK_TIMEOUT_MS + 1_000);
   t.equal(events[0], 'b-1 down');
   await a.clock.advance(1_000);
@@ -160,7 +159,7 @@
   t.same(listSequences(b), [2]);
 });
 
-t.test('replaceLink() makes a new link without waiting', async (t) => {
+t.test('replaceLink() establishes a new link without backoff', async (t) => {
   const [a, b] = await startLinked(t);
   const events = recordLinkEvents(a);
   a.network.replaceLink('b-1');
@@ -170,7 +169,7 @@
   await waitUntil(() => b.received.length === 1);
 });
 
-t.test('WsPeerNetwork keeps its quiet links by pings', async (t) => {
+t.test('WsPeerNetwork keeps quiet links up with pings', async (t) => {
   const [a, b] = await startLinked(t);
   const events = recordLinkEvents(a);
   for (let second = 0; second < 10; second += 1) {
@@ -180,10 +179,10 @@
   t.same(events, []);
 });
 
-t.test('WsPeerNetwork does not take its own pause for silent links', async (t) => {
-  // Symptom: after a pause of one process all its links are made anew at once.
-  // Sequence: it is stopped for a minute and woken; its timer runs before its sockets are read.
-  // Cause: the time that it stood still itself counts as silence of the others.
+t.test('WsPeerNetwork does not treat links as silent after a pause of its process', async (t) => {
+  // Guards against all links of a process being replaced at once after it was paused for a minute:
+  // on resume its timers run before its sockets are read, so its own pause looks like silence of
+  // its peers.
   const base = new VirtualClock();
   const gate = new ProcessGate();
   const [a] = await startLinked(t, { clock: new GatedClock(base, gate) });
@@ -196,9 +195,9 @@
 });
 
 t.test('WsPeerNetwork refuses a message that was overtaken on another link', async (t) => {
-  // Symptom: a slot that was released and granted anew is released again.
-  // Sequence: the sender changes to its second link while messages are under way on the first.
-  // Cause: each link keeps its order, but two links have none between them.
+  // Guards against a slot that is released a second time after it was granted again: the sender
+  // switches to its second link while messages are in flight on the first, and two links keep no
+  // order between them.
   const a = await startPeer(buildPeerIdentity('a'));
   t.teardown(() => a.network.close());
   const [first, second] = [new RawPeer(a.url), new RawPeer(a.url)];
@@ -213,12 +212,12 @@
   t.same(listSequences(a), [2, 3]);
   first.webSocket.terminate();
   await waitUntil(() => first.isClosed);
-  t.same(events, ['c-1 up'], 'the second link still leads there');
+  t.same(events, ['c-1 up'], 'the second link is still up');
   second.webSocket.terminate();
   await waitUntil(() => events.length === 2);
 });
 
-t.test('WsPeerNetwork links to its own address no longer than it takes to notice', async (t) => {
+t.test('WsPeerNetwork stops dialling its own address after the first attempt', async (t) => {
   const a = await startPeer({ ...buildPeerIdentity('a'), peerUrl: 'ws://a.test' });
   t.teardown(() => a.network.close());
   a.network.setAddresses([a.url]);
@@ -231,7 +230,7 @@
   t.same(a.network.listLinked(), []);
 });
 
-t.test('close() delivers what was sent before', async (t) => {
+t.test('close() delivers all messages sent before', async (t) => {
   const [a, b] = await startLinked(t);
   for (let number = 1; number <= MESSAGE_COUNT; number += 1) {
     a.network.send('b-1', buildNumberedMessage(number) satisfies PeerMessage);
--- a/src/adapters/platform_http/http_platform_reader.ts
+++ b/src/adapters/platform_http/http_platform_reader.ts
@@ -15,10 +15,10 @@
 export const CONNECT_TIMEOUT_MS = 1000;
 
 /** Default time, beyond the wait of a watch, to receive the whole response, in milliseconds. */
-export const ANSWER_MARGIN_MS = 2000;
+export const RESPONSE_MARGIN_MS = 2000;
 
 /** Default maximum size of a response, in bytes. */
-export const MAX_ANSWER_BYTES = 67_108_864;
+export const MAX_RESPONSE_BYTES = 67_108_864;
 
 /** Maximum jitter that the service adds to the wait of a watch, as a fraction of that wait. */
 const MAX_WAIT_JITTER_FRACTION = 1 / 16;
@@ -33,12 +33,12 @@
   readonly baseUrl: string;
   /** Clock for the timeouts. */
   readonly clock: Clock;
-  /** Connect timeout. Default: {@link CONNECT_TIMEOUT_MS}. */
+  /** Connect timeout in milliseconds. Default: {@link CONNECT_TIMEOUT_MS}. */
   readonly connectTimeoutMs?: number;
-  /** Time beyond the wait to receive the whole response. Default: {@link ANSWER_MARGIN_MS}. */
+  /** Time in ms, beyond the wait, to receive the response. Default: {@link RESPONSE_MARGIN_MS}. */
   readonly answerMarginMs?: number;
-  /** Maximum size of a response. Default: {@link MAX_ANSWER_BYTES}. */
-  readonly maxAnswerBytes?: number;
+  /** Maximum size of a response in bytes. Default: {@link MAX_RESPONSE_BYTES}. */
+  readonly maxResponseBytes?: number;
 }
 
 /** Reads and watches the key-value pairs of one platform service. */
@@ -52,8 +52,8 @@
     super();
     this.#options = {
       connectTimeoutMs: CONNECT_TIMEOUT_MS,
-      answerMarginMs: ANSWER_MARGIN_MS,
-      maxAnswerBytes: MAX_ANSWER_BYTES,
+      answerMarginMs: RESPONSE_MARGIN_MS,
+      maxResponseBytes: MAX_RESPONSE_BYTES,
       ...options,
     };
   }
@@ -72,19 +72,19 @@
    * @throws Error when the service can't be read within the time and size limits
    */
   override async read(prefix: string, options: PlatformReadOptions): Promise<PlatformSnapshot> {
-    const { clock, connectTimeoutMs, answerMarginMs, maxAnswerBytes } = this.#options;
+    const { clock, connectTimeoutMs, answerMarginMs: marginMs, maxResponseBytes } = this.#options;
     const { afterIndex, waitMs, signal } = options;
     const maxWaitMs = afterIndex > 0 ? waitMs * (1 + MAX_WAIT_JITTER_FRACTION) : 0;
-    const answer = readAnswer({
+    const response = readAnswer({
       url: this.#buildUrl(prefix, options),
       agent: this.#agent,
       clock,
       connectTimeoutMs,
-      answerTimeoutMs: maxWaitMs + answerMarginMs,
-      maxBytes: maxAnswerBytes,
+      answerTimeoutMs: maxWaitMs + marginMs,
+      maxBytes: maxResponseBytes,
       signal,
     });
-    const { status, headers, body } = await answer.catch((error: unknown) => {
+    const { status, headers, body } = await response.catch((error: unknown) => {
       throw new Error(`Cannot read the platform service: ${formatReason(error)}`, { cause: error });
     });
     if (status !== STATUS_OK && status !== STATUS_NOT_FOUND) {
--- a/src/adapters/platform_http/http_platform_reader_test.ts
+++ b/src/adapters/platform_http/http_platform_reader_test.ts
@@ -8,11 +8,11 @@
 import { Platform } from '../../../standin/mod.js';
 import { FakePlatform } from '../../../test/support/fake_platform.js';
 import { VirtualClock } from '../../../test/support/virtual_clock.js';
-import { ANSWER_MARGIN_MS, CONNECT_TIMEOUT_MS, HttpPlatformReader } from './mod.js';
+import { RESPONSE_MARGIN_MS, CONNECT_TIMEOUT_MS, HttpPlatformReader } from './mod.js';
 
 const PREFIX = 'monsoonhall/';
 const WAIT_MS = 10_000;
-const READ_TIMEOUT_MS = WAIT_MS * (1 + 1 / 16) + ANSWER_MARGIN_MS;
+const READ_TIMEOUT_MS = WAIT_MS * (1 + 1 / 16) + RESPONSE_MARGIN_MS;
 
 function buildReadOptions(
   afterIndex = 0,
@@ -36,14 +36,14 @@
   t: Test,
   server: Server,
   clock = new VirtualClock(),
-  maxAnswerBytes?: number,
+  maxResponseBytes?: number,
 ): HttpPlatformReader {
   const { port } = server.address() as AddressInfo;
   const baseUrl = `http://127.0.0.1:${port}`;
   const reader = new HttpPlatformReader({
     baseUrl,
     clock,
-    ...(maxAnswerBytes && { maxAnswerBytes }),
+    ...(maxResponseBytes && { maxResponseBytes }),
   });
   t.teardown(() => reader.close());
   return reader;
--- a/src/adapters/platform_http/mod.ts
+++ b/src/adapters/platform_http/mod.ts
@@ -9,9 +9,9 @@
  * @module
  */
 export {
-  ANSWER_MARGIN_MS,
+  RESPONSE_MARGIN_MS,
   CONNECT_TIMEOUT_MS,
   HttpPlatformReader,
-  MAX_ANSWER_BYTES,
+  MAX_RESPONSE_BYTES,
 } from './http_platform_reader.js';
 export type { HttpPlatformReaderOptions } from './http_platform_reader.js';
--- a/src/adapters/tracing/otel_tracer_test.ts
+++ b/src/adapters/tracing/otel_tracer_test.ts
@@ -73,10 +73,13 @@
   span.end();
   await recording.stop();
   t.equal(exporter.getFinishedSpans().length, 0);
-  const silent = new OtelTracer({ entryHostId: 'e' });
-  t.equal(silent.startSpan(Hop.EntryHost, PARENT).traceparent, PARENT);
-  t.match(silent.startSpan(Hop.EntryHost).traceparent, /^00-[0-9a-f]{32}-[0-9a-f]{16}-00$/);
-  await silent.stop();
+  const withoutExporters = new OtelTracer({ entryHostId: 'e' });
+  t.equal(withoutExporters.startSpan(Hop.EntryHost, PARENT).traceparent, PARENT);
+  t.match(
+    withoutExporters.startSpan(Hop.EntryHost).traceparent,
+    /^00-[0-9a-f]{32}-[0-9a-f]{16}-00$/,
+  );
+  await withoutExporters.stop();
 });
 
 t.test('OtelTracer appends each span to the trace file', async (t) => {
