--- a/src/adapters/peers_ws/_dialer.ts
+++ b/src/adapters/peers_ws/_dialer.ts
@@ -1,42 +1,46 @@
 /**
- * Decides when which address is dialled.
+ * Schedules the dialling of peer addresses.
  *
  * @module
  */
 import type { Clock, RandomSource, Timer } from '../../ports/mod.js';
 
-/** What the dialer needs. */
+/** Options of {@link Dialer}. */
 export interface DialerOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Shortest and longest time between two attempts, in milliseconds. */
+  /** Shortest backoff before jitter between two attempts to dial an address, in milliseconds. */
   readonly minRedialMs: number;
+  /** Longest backoff between two attempts to dial an address, in milliseconds. */
   readonly maxRedialMs: number;
-  /** Whether a link, dialled or accepted, leads to the address or is being made. */
-  readonly isCovered: (url: string) => boolean;
-  /** Begins to make a link. */
+  /** Whether a dialled or accepted link to the address exists or is being established. */
+  readonly hasLink: (url: string) => boolean;
+  /** Starts to establish a link to the address. */
   readonly open: (url: string) => void;
 }
 
-interface Address {
+/** Dial state of one address. */
+interface AddressState {
+  /** Number of consecutive failed attempts and short-lived links. */
   failures: number;
+  /** Pending redial; undefined when none is scheduled. */
   timer: Timer | undefined;
 }
 
-/** Keeps one link to each address, with backoff and jitter between attempts. */
+/** Maintains one link to each address; redials with exponential backoff and jitter. */
 export class Dialer {
   readonly #options: DialerOptions;
 
-  readonly #addresses = new Map<string, Address>();
+  readonly #addresses = new Map<string, AddressState>();
 
   readonly #ownUrls = new Set<string>();
 
-  /** @param options - what the dialer needs */
+  /** @param options - clock, randomness, backoff limits and callbacks */
   constructor(options: DialerOptions) {
     this.#options = options;
   }
 
-  /** @param urls - the addresses to keep links to, from now on */
+  /** @param urls - the addresses to maintain links to; replaces the previous ones */
   setAddresses(urls: readonly string[]): void {
     const wanted = new Set(urls);
     this.#addresses.forEach((address, url) => {
@@ -47,54 +51,54 @@
     wanted.forEach((url) => {
       if (this.#addresses.has(url)) return;
       this.#addresses.set(url, { failures: 0, timer: undefined });
-      this.openNow(url);
+      this.dialNow(url);
     });
   }
 
-  /** @param url - an address of this very process, never to be dialled again */
+  /** @param url - an address of this process, which is never dialled again */
   addOwnUrl(url: string): void {
     this.#ownUrls.add(url);
   }
 
   /**
-   * Dials an address without waiting, unless something leads there already.
+   * Dials an address without backoff, unless a link to it exists.
    *
-   * @param url - the address; one that is not wanted is left alone
+   * @param url - the address; ignored unless `setAddresses` named it
    */
-  openNow(url: string): void {
-    const address = this.#addresses.get(url);
-    if (!address || this.#ownUrls.has(url)) return;
-    address.timer?.cancel();
-    address.timer = undefined;
-    if (!this.#options.isCovered(url)) this.#options.open(url);
+  dialNow(url: string): void {
+    const state = this.#addresses.get(url);
+    if (!state || this.#ownUrls.has(url)) return;
+    state.timer?.cancel();
+    state.timer = undefined;
+    if (!this.#options.hasLink(url)) this.#options.open(url);
   }
 
   /**
-   * Has an address dialled again after its backoff.
+   * Schedules another attempt to dial an address after its backoff.
    *
-   * @param url - the address whose link has gone
-   * @param livedMs - how long the link had lived; a short life counts as a
-   *   failure, since an end that breaks off after each handshake would else be
-   *   dialled without a pause
+   * @param url - the address whose link has ended
+   * @param lifetimeMs - how long the link existed; a lifetime below `maxRedialMs` counts as a
+   *   failure, since a peer that closes each link after the handshake would otherwise be redialled
+   *   without an increasing backoff
    */
-  scheduleRedial(url: string, livedMs: number): void {
-    const address = this.#addresses.get(url);
-    if (!address || address.timer || this.#options.isCovered(url)) return;
-    address.failures = livedMs >= this.#options.maxRedialMs ? 0 : address.failures + 1;
-    address.timer = this.#options.clock.setTimer(this.#computeDelay(address), () => {
-      address.timer = undefined;
-      this.openNow(url);
+  scheduleRedial(url: string, lifetimeMs: number): void {
+    const state = this.#addresses.get(url);
+    if (!state || state.timer || this.#options.hasLink(url)) return;
+    state.failures = lifetimeMs >= this.#options.maxRedialMs ? 0 : state.failures + 1;
+    state.timer = this.#options.clock.setTimer(this.#computeDelayMs(state), () => {
+      state.timer = undefined;
+      this.dialNow(url);
     });
   }
 
-  /** Dials nothing any more. */
+  /** Cancels all pending attempts and dials no further addresses. */
   stop(): void {
     this.setAddresses([]);
   }
 
-  #computeDelay({ failures }: Address): number {
+  #computeDelayMs({ failures }: AddressState): number {
     const { random, minRedialMs, maxRedialMs } = this.#options;
-    const longestMs = Math.min(maxRedialMs, minRedialMs * 2 ** Math.min(failures, 30));
-    return longestMs * (0.5 + random.nextFraction() / 2);
+    const maxDelayMs = Math.min(maxRedialMs, minRedialMs * 2 ** Math.min(failures, 30));
+    return maxDelayMs * (0.5 + random.nextFraction() / 2);
   }
 }
--- a/src/adapters/peers_ws/ws_peer_network.ts
+++ b/src/adapters/peers_ws/ws_peer_network.ts
@@ -1,5 +1,5 @@
 /**
- * Links between entry hosts over web sockets.
+ * Implements the `PeerNetwork` port over WebSockets.
  *
  * @module
  */
@@ -18,10 +18,10 @@
 import { NONCE_BYTES } from './_frames.js';
 import type { MessageFrame } from './_frames.js';
 import { LinkRole } from './_handshake.js';
-import { LinkSweep } from './_link_sweep.js';
+import { LinkMonitor } from './_link_monitor.js';
 import { LinkTable } from './_link_table.js';
 import { parseMessage } from './_message_schema.js';
-import { LinkEnd, PeerLink } from './_peer_link.js';
+import { LinkEndCause, PeerLink } from './_peer_link.js';
 import { PeerListener } from './_peer_listener.js';
 import { resolveOptions } from './ws_peer_network_options.js';
 import type { WsPeerNetworkOptions } from './ws_peer_network_options.js';
@@ -29,12 +29,12 @@
 type AnyHandler = (from: EntryHostIdentity, message: PeerMessage) => void;
 
 /**
- * Keeps one link to each address: an address is dialled unless a link leads there
- * already, whichever end made it. When both ends dial at the same moment both links
- * stay; each end sends on its oldest, and numbered messages keep the order.
+ * Maintains one link to each address: an address is dialled unless a link to it exists, whichever
+ * end established that link. When both ends dial at the same time, both links stay; each end sends
+ * on its oldest link, and sequence numbers preserve the order of messages.
  *
- * The handshake proves that both ends have the cluster key; what follows is neither
- * encrypted nor signed, so the peers' listener belongs on a private network.
+ * The handshake proves that both ends have the cluster key. Later messages are neither encrypted
+ * nor signed, so the listener for peers must be on a private network.
  */
 export class WsPeerNetwork extends PeerNetwork {
   readonly #options: Required<WsPeerNetworkOptions>;
@@ -43,11 +43,11 @@
 
   readonly #dialer: Dialer;
 
-  readonly #sweep: LinkSweep;
+  readonly #linkMonitor: LinkMonitor;
 
-  readonly #table = new LinkTable();
+  readonly #linkTable = new LinkTable();
 
-  /** All links, those in their handshake too. */
+  /** All links, including those in their handshake. */
   readonly #links = new Set<PeerLink>();
 
   readonly #handlers = new Map<PeerMessageType, AnyHandler>();
@@ -56,14 +56,15 @@
 
   #identity: EntryHostIdentity;
 
-  #sequence = 0;
+  #lastSequence = 0;
 
-  #lastChecked: PeerMessage | undefined;
+  /** Last message that passed validation; sending it to further peers skips the validation. */
+  #lastValidMessage: PeerMessage | undefined;
 
   #isClosed = false;
 
   /**
-   * @param options - what the network needs
+   * @param options - identity, listening address, key and limits
    * @throws RangeError when the cluster key is too short
    */
   constructor(options: WsPeerNetworkOptions) {
@@ -74,33 +75,33 @@
       host: options.listenHost,
       port: options.listenPort,
       maxMessageBytes: this.#options.maxMessageBytes,
-      onSocket: (webSocket, socket) => this.#handleSocket(webSocket, socket),
+      onSocket: (webSocket, socket) => this.#acceptSocket(webSocket, socket),
       onError: (error) => this.#log(LogLevel.Error, 'peer_listener_failed', error.message),
     });
     this.#dialer = new Dialer({
       ...this.#options,
-      isCovered: (url) => this.#isCovered(url),
+      hasLink: (url) => this.#hasLink(url),
       open: (url) => this.#openLink(url),
     });
-    this.#sweep = new LinkSweep({ ...this.#options, listLinks: () => [...this.#links] });
+    this.#linkMonitor = new LinkMonitor({ ...this.#options, listLinks: () => [...this.#links] });
   }
 
-  /** This entry host as peers see it; its `peerUrl` has the true port after the start. */
+  /** Identity of this entry host; its `peerUrl` has the actual port after the start. */
   get identity(): EntryHostIdentity {
     return this.#identity;
   }
 
   /**
-   * Listens, and begins to watch the links.
+   * Starts the listener and the monitoring of the links.
    *
    * @returns the listening port
-   * @throws Error when it can't listen
+   * @throws Error when the listener can't be started
    */
   async start(): Promise<{ port: number }> {
     const port = await this.#listener.start();
     const { peerUrl } = this.#identity;
     this.#identity = { ...this.#identity, peerUrl: peerUrl.replace(/:0(?=\/|$)/, `:${port}`) };
-    this.#sweep.start();
+    this.#linkMonitor.start();
     return { port };
   }
 
@@ -110,10 +111,10 @@
   }
 
   override send(incarnation: string, message: PeerMessage): boolean {
-    const link = this.#table.findLink(incarnation);
+    const link = this.#linkTable.findLink(incarnation);
     if (!link || !this.#maySend(link, message)) return false;
-    this.#sequence += 1;
-    link.send(this.#sequence, message);
+    this.#lastSequence += 1;
+    link.send(this.#lastSequence, message);
     this.#options.metrics.count('peer_messages_sent_total', { type: message.type });
     return true;
   }
@@ -128,49 +129,51 @@
   }
 
   override listLinked(): readonly EntryHostIdentity[] {
-    return this.#table.listIdentities();
+    return this.#linkTable.listIdentities();
   }
 
   override replaceLink(incarnation: string): void {
-    const links = this.#table.listLinks(incarnation);
+    const links = this.#linkTable.listLinks(incarnation);
     const urls = links.flatMap(({ dialledUrl, peer }) => [dialledUrl, peer?.peerUrl]);
-    links.forEach((link) => link.end(LinkEnd.Replaced));
+    links.forEach((link) => link.end(LinkEndCause.Replaced));
     new Set(urls).forEach((url) => {
-      if (url !== undefined) this.#dialer.openNow(url);
+      if (url !== undefined) this.#dialer.dialNow(url);
     });
   }
 
   override dropLink(incarnation: string): void {
-    this.#table.listLinks(incarnation).forEach((link) => link.end(LinkEnd.Unused));
+    this.#linkTable.listLinks(incarnation).forEach((link) => link.end(LinkEndCause.Unused));
   }
 
   override async close(): Promise<void> {
     this.#isClosed = true;
-    this.#sweep.stop();
+    this.#linkMonitor.stop();
     this.#dialer.stop();
     const links = [...this.#links];
-    const timer = this.#options.clock.setTimer(this.#options.closeLimitMs, () => {
+    const timer = this.#options.clock.setTimer(this.#options.closeTimeoutMs, () => {
       links.forEach((link) => link.terminate());
     });
-    await Promise.all(links.map((link) => (link.peer ? link.close() : link.end(LinkEnd.Stopped))));
+    await Promise.all(
+      links.map((link) => (link.peer ? link.close() : link.end(LinkEndCause.Stopped))),
+    );
     timer.cancel();
     await this.#listener.close();
   }
 
   /**
-   * A message that the other end would refuse is a fault of this process. Sent, it
-   * would cost the link, and the next one after it; one would notice all links of
-   * the deployment going up and down.
+   * Returns false for a full buffer and for a malformed message, which is a fault of this process.
+   * The receiver would close the link because of it, and the next link after it as well; all links
+   * of the deployment would repeatedly go down and up.
    */
   #maySend(link: PeerLink, message: PeerMessage): boolean {
     if (link.bufferedBytes > this.#options.maxBufferedBytes) {
       this.#options.metrics.count('peer_sends_refused_total', { reason: 'buffer_full' });
       return false;
     }
-    if (message === this.#lastChecked) return true;
+    if (message === this.#lastValidMessage) return true;
     try {
       parseMessage(message);
-      this.#lastChecked = message;
+      this.#lastValidMessage = message;
       return true;
     } catch (error) {
       this.#options.metrics.count('peer_sends_refused_total', { reason: 'malformed' });
@@ -179,13 +182,13 @@
     }
   }
 
-  #isCovered(url: string): boolean {
-    return this.#table.hasUrl(url) || [...this.#links].some((link) => link.dialledUrl === url);
+  #hasLink(url: string): boolean {
+    return this.#linkTable.hasUrl(url) || [...this.#links].some((link) => link.dialledUrl === url);
   }
 
-  #handleSocket(webSocket: WebSocket, socket: Socket): void {
-    const unauthenticated = [...this.#links].filter((link) => !link.peer).length;
-    if (this.#isClosed || unauthenticated >= this.#options.maxUnauthenticated) {
+  #acceptSocket(webSocket: WebSocket, socket: Socket): void {
+    const unauthenticatedCount = [...this.#links].filter((link) => !link.peer).length;
+    if (this.#isClosed || unauthenticatedCount >= this.#options.maxUnauthenticatedLinks) {
       this.#options.metrics.count('peer_links_refused_total', { reason: 'too_many' });
       webSocket.on('error', () => undefined);
       webSocket.terminate();
@@ -203,7 +206,7 @@
         followRedirects: false,
       });
       const link = this.#addLink(webSocket, url);
-      // Listening to the socket before the library does would take its first bytes away.
+      // A data listener on the socket before that of the library would consume the first bytes.
       webSocket.once('upgrade', ({ socket }) => {
         webSocket.once('open', () => link.start(socket));
       });
@@ -233,7 +236,7 @@
 
   #handleAuthenticated(link: PeerLink): void {
     const { peer } = link;
-    if (!peer || !this.#table.add(peer, link)) return;
+    if (!peer || !this.#linkTable.add(peer, link)) return;
     this.#log(LogLevel.Info, 'peer_link_up', undefined, {
       entryHost: peer.id,
       incarnation: peer.incarnation,
@@ -242,7 +245,7 @@
   }
 
   #handleMessage({ peer }: PeerLink, { sequence, message }: MessageFrame): void {
-    if (!peer || !this.#table.acceptSequence(peer.incarnation, sequence)) {
+    if (!peer || !this.#linkTable.acceptSequence(peer.incarnation, sequence)) {
       this.#options.metrics.count('peer_messages_overtaken_total');
       return;
     }
@@ -250,35 +253,35 @@
     try {
       this.#handlers.get(message.type)?.(peer, message);
     } catch (error) {
-      // A fault of one handler is no fault of the link, which carries all others' messages.
+      // The link stays up when a handler fails, since it carries the messages of all handlers.
       this.#log(LogLevel.Error, 'peer_message_handler_failed', String(error), {
         type: message.type,
       });
     }
   }
 
-  #handleEnd(link: PeerLink, end: LinkEnd, reason: string): void {
+  #handleEnd(link: PeerLink, cause: LinkEndCause, reason: string): void {
     this.#links.delete(link);
     const { peer, dialledUrl } = link;
-    this.#logEnd(link, end, reason);
-    if (end === LinkEnd.OwnIncarnation && dialledUrl !== undefined) {
+    this.#logEnd(link, cause, reason);
+    if (cause === LinkEndCause.OwnIncarnation && dialledUrl !== undefined) {
       this.#dialer.addOwnUrl(dialledUrl);
     }
-    const wasLast = peer !== undefined && this.#table.remove(peer.incarnation, link);
-    const livedMs = this.#options.clock.nowMs() - link.begunAtMs;
+    const wasLastLink = peer !== undefined && this.#linkTable.remove(peer.incarnation, link);
+    const lifetimeMs = this.#options.clock.nowMs() - link.createdAtMs;
     new Set([dialledUrl, peer?.peerUrl]).forEach((url) => {
-      if (url !== undefined) this.#dialer.scheduleRedial(url, livedMs);
+      if (url !== undefined) this.#dialer.scheduleRedial(url, lifetimeMs);
     });
-    if (peer && wasLast) this.#notifyLink({ peer, up: false });
+    if (peer && wasLastLink) this.#notifyLink({ peer, up: false });
   }
 
-  #logEnd({ peer, dialledUrl }: PeerLink, end: LinkEnd, reason: string): void {
-    const isFault = end === LinkEnd.Refused || end === LinkEnd.OwnIncarnation;
-    if (isFault) this.#options.metrics.count('peer_links_refused_total', { reason: end });
-    // An address that nobody listens at is dialled again and again.
+  #logEnd({ peer, dialledUrl }: PeerLink, cause: LinkEndCause, reason: string): void {
+    const isFault = cause === LinkEndCause.Refused || cause === LinkEndCause.OwnIncarnation;
+    if (isFault) this.#options.metrics.count('peer_links_refused_total', { reason: cause });
+    // Logged at debug level without a peer, as an address without a listener is redialled forever.
     const level = peer ? LogLevel.Info : LogLevel.Debug;
     this.#log(isFault ? LogLevel.Warn : level, 'peer_link_down', reason, {
-      end,
+      end: cause,
       entryHost: peer?.id,
       incarnation: peer?.incarnation,
       peerUrl: dialledUrl,
