--- a/src/commands/_direct_gateway.ts
+++ b/src/commands/_direct_gateway.ts
@@ -1,5 +1,5 @@
 /**
- * The gateway of an entry host, with bounds from its settings.
+ * Creates the gateway of an entry host with limits derived from its settings.
  *
  * @module
  */
@@ -10,16 +10,17 @@
 import type { DirectSettings } from './direct_settings.js';
 
 /**
- * Part of the revocation time up to which keys are believed. The rest covers clocks
- * that were stepped and the way to the backend server.
+ * Fraction of the key revocation time that the configuration's age may reach before its keys are
+ * no longer accepted. The remainder covers clock steps and the time that a request takes to reach
+ * the backend server.
  */
-const KEY_AGE_PART = 0.8;
+const MAX_KEY_AGE_FRACTION = 0.8;
 
 const MS_PER_SECOND = 1_000;
 
 type DerivedOptions = 'backend' | 'retryBounds' | 'maxKeyAgeMs' | 'sureAgeMs' | 'countEntryHosts';
 
-/** What the gateway is made of. */
+/** Settings and collaborators of the gateway; all other options are derived from them. */
 export interface DirectGatewayParts extends Omit<DirectGatewayOptions, DerivedOptions> {
   readonly settings: DirectSettings;
   readonly dialect: DirectDialect;
@@ -29,7 +30,7 @@
 /**
  * Creates the gateway.
  *
- * @param parts - what it is made of
+ * @param parts - settings and collaborators of the gateway
  * @returns the gateway
  */
 export function createDirectGateway(parts: DirectGatewayParts): DirectGateway {
@@ -42,7 +43,7 @@
       slack: settings.retrySlack,
       windowMs: settings.retryWindowS * MS_PER_SECOND,
     },
-    maxKeyAgeMs: settings.keyRevocationMs * KEY_AGE_PART,
+    maxKeyAgeMs: settings.keyRevocationMs * MAX_KEY_AGE_FRACTION,
     sureAgeMs: settings.configurationApplyMs,
     countEntryHosts: () => reports.knownCount,
   });
--- a/src/commands/_direct_gauges.ts
+++ b/src/commands/_direct_gauges.ts
@@ -1,5 +1,5 @@
 /**
- * Gauges of an entry host of calls that bear their own request ID.
+ * Updates the gauges of an entry host whose calls carry their own request ID.
  *
  * @module
  */
@@ -7,9 +7,9 @@
 import type { CrashKeeper } from '../application/crashes/mod.js';
 import type { DirectGateway, HostReports, StoreKnowledge } from '../application/direct/mod.js';
 
-/** What the gauges tell of. */
-export interface GaugedParts {
-  readonly knowledge: StoreKnowledge;
+/** Components whose current state the gauges report. */
+export interface GaugeSources {
+  readonly storeView: StoreKnowledge;
   readonly gateway: DirectGateway;
   readonly reports: HostReports;
   readonly crashes: CrashKeeper;
@@ -17,23 +17,23 @@
 }
 
 /**
- * Brings the gauges up to date.
+ * Sets every gauge to its current value.
  *
- * @param metrics - where they are kept
- * @param parts - what they tell of
+ * @param metrics - registry that holds the gauges
+ * @param sources - components that the values are read from
  */
 export function updateGauges(
   metrics: HdrMetrics,
-  { knowledge, gateway, reports, crashes, isServing }: GaugedParts,
+  { storeView, gateway, reports, crashes, isServing }: GaugeSources,
 ): void {
-  metrics.set('configuration_age_ms', Math.round(knowledge.routing.computeAgeMs()));
+  metrics.set('configuration_age_ms', Math.round(storeView.routing.computeAgeMs()));
   metrics.set('calls_under_way', gateway.callCount);
   metrics.set('calls_waiting', gateway.waitingCount);
   metrics.set('entry_hosts_known', reports.knownCount);
   metrics.set('entry_hosts_heard', reports.listHeard().length + 1);
   metrics.set('serving', isServing ? 1 : 0);
   metrics.set('passes_reports_on', reports.isRelay ? 1 : 0);
-  metrics.set('zones_closed', knowledge.places.closedCount);
-  metrics.set('backend_servers_cold', knowledge.servers.coldCount);
+  metrics.set('zones_closed', storeView.places.closedCount);
+  metrics.set('backend_servers_cold', storeView.servers.coldCount);
   metrics.set('requests_held', crashes.heldCount);
 }
--- a/src/commands/_direct_peers.ts
+++ b/src/commands/_direct_peers.ts
@@ -1,5 +1,6 @@
 /**
- * Links between entry hosts of calls that bear their own request ID.
+ * Creates the identity and the peer links of an entry host whose calls carry their own request
+ * ID.
  *
  * @module
  */
@@ -9,20 +10,25 @@
 import type { Clock, EventLog, Metrics, RandomSource } from '../ports/mod.js';
 import type { DirectSettings } from './direct_settings.js';
 
-/** Silence on a link between peers after which it is asked, and after which it is replaced, in milliseconds. */
-const PEER_PING_MS = 400;
-const PEER_SILENT_MS = 1_200;
+/** Silence on a peer link after which the link is pinged, in milliseconds. */
+const PEER_PING_AFTER_MS = 400;
 
-/** Longest pause between two attempts to reach a peer, in milliseconds: a restarted one is soon linked again. */
-const PEER_REDIAL_MS = 1_000;
+/** Silence on a peer link after which the link is replaced, in milliseconds. */
+const PEER_LINK_TIMEOUT_MS = 1_200;
+
+/**
+ * Longest delay between two attempts to connect to a peer, in milliseconds. It is short so that
+ * a restarted peer is linked again soon.
+ */
+const MAX_PEER_REDIAL_MS = 1_000;
 
 const INCARNATION_BYTES = 8;
 
 /**
- * Builds what this process tells of itself.
+ * Builds the identity that this process announces to its peers.
  *
  * @param settings - checked settings
- * @param random - makes the incarnation
+ * @param random - source of the random incarnation
  * @returns the identity
  */
 export function buildDirectIdentity(
@@ -38,12 +44,12 @@
   };
 }
 
-/** @param address - IP number and port of a peer. @returns the URL that it is dialled by */
+/** @param address - IP address and port of a peer. @returns the WebSocket URL of that peer */
 export function formatPeerUrl(address: string): string {
   return `ws://${address}`;
 }
 
-/** What the links need. */
+/** Options of the peer links. */
 export interface DirectPeersOptions {
   readonly self: EntryHostIdentity;
   readonly settings: DirectSettings;
@@ -54,11 +60,11 @@
 }
 
 /**
- * Creates the links. Where the settings hold no secret that only entry hosts have, the
- * key made of the store's address keeps deployments apart that share a network, and no
- * more.
+ * Creates the peer network. Without a configured peer secret, the cluster key is derived from
+ * the store's address. That key only separates deployments on a shared network; it does not
+ * authenticate peers.
  *
- * @param options - who links, and how
+ * @param options - identity, settings and ports of this entry host
  * @returns the network, not started yet
  */
 export function createDirectPeers(options: DirectPeersOptions): WsPeerNetwork {
@@ -75,17 +81,17 @@
     random,
     log,
     metrics,
-    pingAfterMs: PEER_PING_MS,
-    silentAfterMs: PEER_SILENT_MS,
-    maxRedialMs: PEER_REDIAL_MS,
+    pingAfterMs: PEER_PING_AFTER_MS,
+    silentAfterMs: PEER_LINK_TIMEOUT_MS,
+    maxRedialMs: MAX_PEER_REDIAL_MS,
   });
 }
 
 /**
- * Splits an address.
+ * Splits an address into host and port.
  *
- * @param address - IP number and port
- * @returns both
+ * @param address - IPv4 address and port, such as `10.0.0.1:8080`
+ * @returns the host and the port
  */
 export function splitAddress(address: string): [host: string, port: number] {
   const [host = '', port = ''] = address.split(':');
--- a/src/commands/direct_entry.ts
+++ b/src/commands/direct_entry.ts
@@ -1,5 +1,5 @@
 /**
- * An entry host for calls that bear their own request ID, from its parts.
+ * Assembles and runs an entry host whose calls carry their own request ID.
  *
  * @module
  */
@@ -40,8 +40,8 @@
 
 export { splitAddress } from './_direct_peers.js';
 
-/** Limits on callers before the first configuration. */
-const START_LIMITS: CallerLimits = {
+/** Limits on callers until the first configuration is read. */
+const INITIAL_LIMITS: CallerLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 4_194_304,
   headerTimeoutMs: 3_000,
@@ -50,7 +50,7 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** What the outside of an entry host is made of. */
+/** Settings and the adapters that connect an entry host to its environment. */
 export interface DirectEntryAdapters {
   readonly settings: DirectSettings;
   readonly createFeed: (clock: Clock) => ChangeFeed;
@@ -58,13 +58,13 @@
   readonly layout: StoreLayout;
 }
 
-/** Who asks for the addresses to use. */
+/** Request of a caller for the addresses of entry hosts to use. */
 export interface AddressQuery {
-  /** IP number of who asks. */
+  /** IP address of the caller. */
   readonly address: string;
-  /** Region that it says it is in; empty: it doesn't say. */
+  /** Region that the caller states; empty if it states none. */
   readonly region: string;
-  /** Host name that its calls will be for. */
+  /** Host name that the caller's calls will address. */
   readonly hostName: string;
 }
 
@@ -84,15 +84,15 @@
 
   readonly #peers: WsPeerNetwork;
 
-  readonly #knowledge: StoreKnowledge;
+  readonly #storeView: StoreKnowledge;
 
   readonly #spending: AccountSpending;
 
   readonly #reports: HostReports;
 
-  readonly #follower: FeedFollower;
+  readonly #feedFollower: FeedFollower;
 
-  readonly #sharing: FeedSharing;
+  readonly #feedDistributor: FeedSharing;
 
   readonly #crashes: CrashKeeper;
 
@@ -102,7 +102,7 @@
 
   #isStopping = false;
 
-  /** @param adapters - what the outside is made of */
+  /** @param adapters - settings and adapters to the environment */
   constructor(adapters: DirectEntryAdapters) {
     this.#adapters = adapters;
     const { settings } = adapters;
@@ -114,7 +114,7 @@
       settings,
       random: this.#random,
     });
-    this.#knowledge = new StoreKnowledge({
+    this.#storeView = new StoreKnowledge({
       ...shared,
       layout: adapters.layout,
       zoneRegions: settings.zoneRegions,
@@ -128,19 +128,19 @@
     });
     this.#spending = new AccountSpending(this.clock);
     this.#reports = this.#createReports();
-    this.#follower = this.#createFollower(adapters.createFeed(this.clock));
-    this.#sharing = new FeedSharing({
+    this.#feedFollower = this.#createFollower(adapters.createFeed(this.clock));
+    this.#feedDistributor = new FeedSharing({
       ...shared,
       peers: this.#peers,
       reports: this.#reports,
-      follower: this.#follower,
+      follower: this.#feedFollower,
     });
     this.#crashes = new CrashKeeper({
       ...shared,
       peers: this.#peers,
       probe: new TcpServerProbe(),
       random: this.#random,
-      paths: new DirectCrashPaths(this.#reports, this.#knowledge.servers),
+      paths: new DirectCrashPaths(this.#reports, this.#storeView.servers),
     });
     this.#gateway = createDirectGateway({
       ...shared,
@@ -149,47 +149,47 @@
       dialect: adapters.dialect,
       peers: this.#peers,
       reports: this.#reports,
-      routing: this.#knowledge.routing,
-      servers: this.#knowledge.servers,
+      routing: this.#storeView.routing,
+      servers: this.#storeView.servers,
       spending: this.#spending,
       crashes: this.#crashes,
     });
     this.#listener = new DirectListener({
       dialect: adapters.dialect,
-      getLimits: () => this.#knowledge.routing.table?.document.callerLimits ?? START_LIMITS,
+      getLimits: () => this.#storeView.routing.table?.document.callerLimits ?? INITIAL_LIMITS,
       mustClose: () => this.#isStopping,
       handle: (request, reply) => this.#gateway.handle(request, reply),
     });
-    this.#knowledge.routing.onChange(() => this.#handleConfiguration());
-    this.#knowledge.servers.onChange(() => this.#gateway.advance());
+    this.#storeView.routing.onChange(() => this.#applyAccounts());
+    this.#storeView.servers.onChange(() => this.#gateway.advance());
   }
 
-  /** Whether callers may be sent here. */
+  /** Whether callers may be sent to this entry host. */
   get isServing(): boolean {
     return !this.#isStopping && this.#gateway.isServing;
   }
 
   /**
-   * Lists addresses that a caller is to use.
+   * Lists the addresses that a caller should use.
    *
-   * @param caller - who asks, and for what
-   * @returns addresses of entry hosts that serve, as far as this one knows
+   * @param query - location of the caller and the host name it will call
+   * @returns addresses of nearby entry hosts that serve, as far as this one knows
    */
-  listAddresses(caller: AddressQuery): readonly string[] {
+  listAddresses(query: AddressQuery): readonly string[] {
     const hosts = this.#reports.listHeard().filter(({ isServing }) => isServing);
     const serving = this.isServing ? [...hosts, this.#reports.self] : hosts;
-    const near = pickNearHosts(serving, {
-      callerRegion: caller.region,
-      homeRegions: this.#knowledge.routing.table?.findRegions(caller.hostName),
-      findRegion: (zone) => this.#knowledge.findRegion(zone),
+    const nearbyHosts = pickNearHosts(serving, {
+      callerRegion: query.region,
+      homeRegions: this.#storeView.routing.table?.findRegions(query.hostName),
+      findRegion: (zone) => this.#storeView.findRegion(zone),
     });
-    return pickAddresses(near, caller.address);
+    return pickAddresses(nearbyHosts, query.address);
   }
 
   /** @returns counters, gauges and histograms as text */
   exportMetrics(): string {
     updateGauges(this.metrics, {
-      knowledge: this.#knowledge,
+      storeView: this.#storeView,
       gateway: this.#gateway,
       reports: this.#reports,
       crashes: this.#crashes,
@@ -199,7 +199,8 @@
   }
 
   /**
-   * Takes in settings that have changed. Addresses of its own stay those of the start.
+   * Applies the seed addresses of changed settings. All other settings, such as this host's own
+   * addresses, keep their values from the start of the process.
    *
    * @param settings - checked settings
    */
@@ -210,12 +211,12 @@
     });
   }
 
-  /** Starts everything. */
+  /** Starts every component. */
   async start(): Promise<void> {
     await this.#peers.start();
     const [host, port] = splitAddress(this.#adapters.settings.callersAddress);
     await this.#listener.start(host, port);
-    this.#follower.start();
+    this.#feedFollower.start();
     this.#reports.start();
     this.#crashes.start();
     const { id, incarnation, url, peerUrl } = this.#self;
@@ -227,7 +228,7 @@
     });
   }
 
-  /** Stops as planned. */
+  /** Runs a planned stop. */
   async stop(): Promise<void> {
     await runDirectStop({
       clock: this.clock,
@@ -254,17 +255,17 @@
       cores: this.#adapters.settings.coreShare * this.#adapters.settings.coreSpeed,
       getState: () => ({
         isServing: this.isServing,
-        isInTouch: this.#follower.isInTouch,
+        isInTouch: this.#feedFollower.isInTouch,
         isLeaving: this.#isStopping,
       }),
       buildFigures: (sources) =>
         buildReportFigures(
-          { servers: this.#knowledge.servers, gateway: this.#gateway, spending: this.#spending },
+          { servers: this.#storeView.servers, gateway: this.#gateway, spending: this.#spending },
           sources,
         ),
       onReport: (report) => this.#handleReport(report),
-      onSilent: ({ incarnation }) => this.#knowledge.servers.applyPeer(incarnation, undefined),
-      onReach: (reach) => this.#spending.setReach(reach),
+      onSilent: ({ incarnation }) => this.#storeView.servers.applyPeer(incarnation, undefined),
+      onReach: (reachableFraction) => this.#spending.setReach(reachableFraction),
     });
   }
 
@@ -275,22 +276,22 @@
       random: this.#random,
       log: this.log,
       metrics: this.metrics,
-      getReadPlan: () => this.#sharing.getReadPlan(),
-      getRetryPauses: () => this.#sharing.getRetryPauses(),
-      onAll: (items, context) => this.#knowledge.applyAll(items, context),
-      onChanges: (changes, context) => this.#knowledge.applyChanges(changes, context),
-      onRead: (update, context) => this.#sharing.sendUpdate(update, context),
+      getReadPlan: () => this.#feedDistributor.getReadPlan(),
+      getRetryPauses: () => this.#feedDistributor.getRetryPauses(),
+      onAll: (items, context) => this.#storeView.applyAll(items, context),
+      onChanges: (changes, context) => this.#storeView.applyChanges(changes, context),
+      onRead: (update, context) => this.#feedDistributor.sendUpdate(update, context),
     });
   }
 
   #handleReport(counted: CountedReport): void {
     const { identity, report } = counted;
     this.#spending.applyReport(counted);
-    this.#knowledge.servers.applyPeer(identity.incarnation, report);
+    this.#storeView.servers.applyPeer(identity.incarnation, report);
     this.#gateway.advance();
   }
 
-  #handleConfiguration(): void {
-    this.#spending.applyAccounts(this.#knowledge.routing.table?.document.accounts ?? []);
+  #applyAccounts(): void {
+    this.#spending.applyAccounts(this.#storeView.routing.table?.document.accounts ?? []);
   }
 }
--- a/src/commands/direct_settings.ts
+++ b/src/commands/direct_settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of an entry host for calls that bear their own request ID.
+ * Reads and checks the settings of an entry host whose calls carry their own request ID.
  *
  * @module
  */
@@ -11,56 +11,61 @@
 /** Environment variable that names the settings file. */
 export const DIRECT_SETTINGS_VARIABLE = 'MONSOONHALL_CONFIG';
 
-const address = z.string().regex(/^\d+\.\d+\.\d+\.\d+:\d+$/, 'expected an IP number and a port');
-const positive = z.number().positive();
+const addressSchema = z
+  .string()
+  .regex(/^\d+\.\d+\.\d+\.\d+:\d+$/, 'expected an IP number and a port');
+const positiveSchema = z.number().positive();
 
 /** Shortest shared secret, in characters: 128 bits in hexadecimal. */
 const MIN_SECRET_LENGTH = 32;
 
 const settingsSchema = z.object({
-  /** Name of this entry host; the same after a restart. */
+  /** Name of this entry host, which stays the same after a restart. */
   hostId: z.string().min(1),
   ip: z.ipv4(),
   availabilityZone: z.string().default(''),
   /** Region of each availability zone. */
   zoneRegions: z.record(z.string(), z.string()).default({}),
-  /** Where callers connect. */
-  callersAddress: address,
-  /** Where the platform asks whether this entry host is ready. */
-  readinessAddress: address,
-  /** Where peers connect. */
-  peersAddress: address,
-  /** Where peers are told to connect, if that isn't the same: behind a forwarded port. */
-  advertisedPeersAddress: address.optional(),
-  /** Secret that all entry hosts share; without it, one made of the store's address. */
+  /** Address that callers connect to. */
+  callersAddress: addressSchema,
+  /** Address at which the platform checks whether this entry host is ready. */
+  readinessAddress: addressSchema,
+  /** Address that peers connect to. */
+  peersAddress: addressSchema,
+  /** Address announced to peers if it differs from `peersAddress`, as behind a forwarded port. */
+  advertisedPeersAddress: addressSchema.optional(),
+  /** Secret that all entry hosts share. By default it is derived from the store's address. */
   peersSecret: z.string().min(MIN_SECRET_LENGTH).optional(),
-  /** Where callers ask for the addresses to use. */
-  addressBookAddress: address,
-  /** Peers to begin with; they may be gone. */
-  seedPeerAddresses: z.array(address).default([]),
-  /** Where the shared store is. */
-  storeAddress: address,
-  /** Part of a processor core that this process may use. */
-  coreShare: positive,
-  /** Speed of that core, as a multiple of the usual one. */
-  coreSpeed: positive,
-  /** Time from the signal to stop to the end of the process, in seconds. */
-  stopLimitS: positive,
-  /** Time after which a key that was taken away must not be served anywhere, in milliseconds. */
-  keyRevocationMs: positive,
-  /** Time after which a published configuration must be in force, in milliseconds. */
-  configurationApplyMs: positive,
-  /** Longest time for which callers may keep addresses, in seconds. */
-  maxAddressLifeS: positive,
-  /** Retries that a service may be given for each first attempt, over all entry hosts. */
+  /** Address at which callers ask which entry hosts to use. */
+  addressBookAddress: addressSchema,
+  /** Addresses of the first peers to connect to; some of them may no longer exist. */
+  seedPeerAddresses: z.array(addressSchema).default([]),
+  /** Address of the shared store. */
+  storeAddress: addressSchema,
+  /** Fraction of a processor core that this process may use. */
+  coreShare: positiveSchema,
+  /** Speed of that core relative to a standard core. */
+  coreSpeed: positiveSchema,
+  /** Longest time from the stop signal to the end of the process, in seconds. */
+  stopLimitS: positiveSchema,
+  /** Time after which no entry host may accept a revoked key, in milliseconds. */
+  keyRevocationMs: positiveSchema,
+  /** Time after which a published configuration must be in effect, in milliseconds. */
+  configurationApplyMs: positiveSchema,
+  /** Longest time for which callers may keep the addresses they received, in seconds. */
+  maxAddressLifeS: positiveSchema,
+  /** Retries that a service may receive per first attempt, summed over all entry hosts. */
   retryRatio: z.number().nonnegative(),
-  /** Retries beside those in one window. */
+  /** Retries that a service may receive in one window in addition to that ratio. */
   retrySlack: z.number().nonnegative(),
-  /** Length of that window in seconds. */
-  retryWindowS: positive,
-  /** Factor by which the rate that a cold backend server bears may be passed, over all entry hosts. */
+  /** Length of the retry window, in seconds. */
+  retryWindowS: positiveSchema,
+  /**
+   * Factor by which the request rate of all entry hosts together may exceed the rate that a cold
+   * backend server can handle.
+   */
   warmupFactor: z.number().min(1).default(1),
-  /** Requests that may reach it beside that in any second. */
+  /** Requests that may reach a cold backend server in any second in addition to that rate. */
   warmupSlack: z.number().nonnegative().default(0),
 });
 
@@ -68,10 +73,10 @@
 export type DirectSettings = z.infer<typeof settingsSchema>;
 
 /**
- * Checks settings.
+ * Parses and checks settings.
  *
- * @param text - the file's content, in JSON
- * @returns the settings
+ * @param text - content of the settings file, in JSON
+ * @returns the checked settings
  * @throws SettingsError with every fault, one line each
  */
 export function parseDirectSettings(text: string): DirectSettings {
@@ -91,8 +96,8 @@
 /**
  * Reads and checks the settings file.
  *
- * @param env - environment variables; one names the file
- * @returns the settings
+ * @param env - environment variables, of which `MONSOONHALL_CONFIG` names the file
+ * @returns the checked settings
  * @throws SettingsError with every fault, one line each
  */
 export function readDirectSettings(env: NodeJS.ProcessEnv): DirectSettings {
