--- a/src/commands/_call_settings.ts
+++ b/src/commands/_call_settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of `monsoonhall call`.
+ * Parses and checks the settings of `monsoonhall call` and builds its request.
  *
  * @module
  */
@@ -16,9 +16,9 @@
 import { SettingsError } from './settings.js';
 
 const MAX_DEADLINE_MS = 86_400_000;
-const MAX_MAX_TOKENS = 1_000_000;
+const MAX_TOKENS_LIMIT = 1_000_000;
 
-/** Texts of the flags. */
+/** Flag values as they were given, before any check. */
 export interface CallFlags {
   readonly urls?: readonly string[] | undefined;
   readonly key?: string | undefined;
@@ -38,16 +38,20 @@
   readonly prompt?: string | undefined;
 }
 
-/** Checked settings of one call. */
+/** Checked settings of one call. Either `model` or `service` is set, never both. */
 export interface CallSettings {
   readonly urls: readonly string[];
+  /** API key. */
   readonly key: string;
-  /** In PEM. */
+  /** Trusted CA certificates, as PEM text. */
   readonly certificateAuthority: string | undefined;
   readonly model: string | undefined;
   readonly service: string | undefined;
+  /** Path and query at the plain service; empty for a model. */
   readonly path: string;
+  /** HTTP method at the plain service. */
   readonly method: string;
+  /** Kind of work, as the account's contract names it. */
   readonly workKind: string | undefined;
   readonly deadlineMs: number | undefined;
   readonly maxTokens: number | undefined;
@@ -59,11 +63,11 @@
   readonly prompt: string | undefined;
 }
 
-/** Collects what is wrong with each flag. */
-class FaultList {
+/** Collects one fault message for each invalid flag. */
+class FaultCollector {
   readonly faults: string[] = [];
 
-  /** @returns the value, or undefined when the text is absent or faulty */
+  /** @returns the parsed value, or undefined if the text is missing or invalid */
   parse<T>(schema: z.ZodType<T, string>, flag: string, text: string | undefined): T | undefined {
     if (text === undefined) return undefined;
     const result = schema.safeParse(text);
@@ -71,71 +75,71 @@
     return result.data;
   }
 
-  /** Notes a fault where a condition doesn't hold. */
-  check(holds: boolean, fault: string): void {
-    if (!holds) this.faults.push(fault);
+  /** Records a fault unless the condition is met. */
+  check(isMet: boolean, fault: string): void {
+    if (!isMet) this.faults.push(fault);
   }
 }
 
-function checkTarget(faults: FaultList, flags: CallFlags): void {
+function checkTarget(collector: FaultCollector, flags: CallFlags): void {
   const { model, service, servicePath, prompt } = flags;
-  faults.check(
+  collector.check(
     (model === undefined) !== (service === undefined),
-    '--model, --service: one of them must be given, and not both',
+    '--model, --service: one of them must be given, but not both',
   );
   if (model !== undefined)
-    faults.check(prompt !== undefined, 'PROMPT: it must be given with --model');
+    collector.check(prompt !== undefined, 'PROMPT: it must be given with --model');
   if (service !== undefined)
-    faults.check(
+    collector.check(
       servicePath?.startsWith('/') ?? false,
       '--path: expected a path that starts with /',
     );
 }
 
 /**
- * Checks the flags of one call, all at once.
+ * Checks all flags of one call and reports every fault together.
  *
- * @param flags - texts of the flags
+ * @param flags - flag values as they were given
  * @param env - environment variables
- * @returns the settings
- * @throws SettingsError with every fault, one line each; none shows the key
+ * @returns the checked settings
+ * @throws SettingsError with one line for each fault; no line contains the API key
  */
 export function parseCallSettings(flags: CallFlags, env: NodeJS.ProcessEnv): CallSettings {
-  const faults = new FaultList();
+  const collector = new FaultCollector();
   const urlText = flags.urls?.join(',') ?? env.MONSOONHALL_URL ?? '';
   const urlSource = '--url (MONSOONHALL_URL)';
-  const urls = faults.parse(createUrlListSchema(['http', 'https']), urlSource, urlText);
-  faults.check(urls === undefined || urls.length > 0, `${urlSource}: it must be given`);
-  faults.check(Boolean(flags.key), '--key (MONSOONHALL_KEY): it must be given');
-  const deadlineMs = faults.parse(
+  const urls = collector.parse(createUrlListSchema(['http', 'https']), urlSource, urlText);
+  collector.check(urls === undefined || urls.length > 0, `${urlSource}: it must be given`);
+  collector.check(Boolean(flags.key), '--key (MONSOONHALL_KEY): it must be given');
+  const deadlineMs = collector.parse(
     createIntegerSchema(1, MAX_DEADLINE_MS),
     '--deadline-ms',
     flags.deadlineMs,
   );
-  const maxTokens = faults.parse(
-    createIntegerSchema(1, MAX_MAX_TOKENS),
+  const maxTokens = collector.parse(
+    createIntegerSchema(1, MAX_TOKENS_LIMIT),
     '--max-tokens',
     flags.maxTokens,
   );
-  const certificateAuthority = faults.parse(
+  const certificateAuthority = collector.parse(
     createPemFileSchema(),
     '--certificate-authority (MONSOONHALL_CERTIFICATE_AUTHORITY)',
     flags.certificateAuthority,
   );
-  const traceFile = faults.parse(
+  const traceFile = collector.parse(
     createWritableFileSchema(),
     '--trace-file (MONSOONHALL_TRACE_FILE)',
     flags.traceFile,
   );
-  const otlpUrl = faults.parse(
+  const otlpUrl = collector.parse(
     createUrlSchema(['http', 'https']),
     '--otlp-url (MONSOONHALL_OTLP_URL)',
     flags.otlpUrl,
   );
-  const service = faults.parse(createNameSchema(), '--service', flags.service);
-  const workKind = faults.parse(createNameSchema(), '--work-kind', flags.workKind);
-  checkTarget(faults, flags);
-  if (faults.faults.length > 0) throw new SettingsError(faults.faults);
+  const service = collector.parse(createNameSchema(), '--service', flags.service);
+  const workKind = collector.parse(createNameSchema(), '--work-kind', flags.workKind);
+  checkTarget(collector, flags);
+  if (collector.faults.length > 0) throw new SettingsError(collector.faults);
   return {
     urls: urls ?? [],
     key: flags.key ?? '',
@@ -157,10 +161,11 @@
 }
 
 /**
- * Builds the call that the settings name.
+ * Builds the request for a call: a chat completion for a model, or a request that is passed
+ * to a plain service.
  *
  * @param settings - checked settings
- * @returns the call
+ * @returns the request to send
  */
 export function buildCallRequest(settings: CallSettings): CallerRequest {
   const { workKind, deadlineMs, idempotencyKey, traceparent } = settings;
--- a/src/commands/_cli.ts
+++ b/src/commands/_cli.ts
@@ -1,5 +1,5 @@
 /**
- * The command line.
+ * Registers the commands of the `monsoonhall` program and runs one of them.
  *
  * @module
  */
@@ -29,16 +29,16 @@
   Builtins.VersionCommand,
 ];
 
-/** A command line whose help names the values of options; clipanion's own prints `#0`. */
-class ReadableCli extends Cli {
+/** Prints a value name in the help of options, where clipanion itself prints `#0`. */
+class NamedValueCli extends Cli {
   override usage(...args: Parameters<Cli['usage']>): string {
     return formatUsage(super.usage(...args));
   }
 }
 
-/** @returns the command line with every command */
+/** @returns the command-line interface with every command registered */
 export function createCli(): Cli {
-  const cli = new ReadableCli({
+  const cli = new NamedValueCli({
     binaryLabel: 'monsoonhall',
     binaryName: 'monsoonhall',
     binaryVersion: VERSION,
@@ -48,18 +48,18 @@
   return cli;
 }
 
-function formatLine(error: unknown): string {
+function formatErrorLine(error: unknown): string {
   const message = formatReason(error);
   return message.split('\n')[0]?.replace(/(; did you mean.*)?[.:]$/, '') ?? message;
 }
 
-/** Prints one line a fault and no stack trace: operators read it, not developers. */
+/** Prints one line per fault, without a stack trace, because the reader is an operator. */
 function printFailure(error: unknown, context: BaseContext): number {
   if (error instanceof SettingsError) {
     error.faults.forEach((fault) => context.stderr.write(`${fault}\n`));
     return SETTINGS_EXIT_CODE;
   }
-  context.stderr.write(`monsoonhall: ${formatLine(error)}\n`);
+  context.stderr.write(`monsoonhall: ${formatErrorLine(error)}\n`);
   return FAILURE_EXIT_CODE;
 }
 
@@ -68,30 +68,30 @@
     context.stdout.write(cli.usage(command, { detailed: true }));
     return 0;
   }
-  const prepared = command;
-  prepared.context = context;
-  prepared.cli = cli;
-  return prepared.validateAndExecute();
+  const preparedCommand = command;
+  preparedCommand.context = context;
+  preparedCommand.cli = cli;
+  return preparedCommand.validateAndExecute();
 }
 
 /**
- * Runs one command.
+ * Runs one command. Without arguments, prints the help.
  *
- * @param argv - arguments behind the program's name
- * @param streams - streams and environment; by default those of the process
+ * @param argv - arguments after the program name
+ * @param contextOverrides - streams and environment variables that replace those of the process
  * @returns the exit code
  */
 export async function runCli(
   argv: readonly string[],
-  streams: Partial<BaseContext> = {},
+  contextOverrides: Partial<BaseContext> = {},
 ): Promise<number> {
   const cli = createCli();
-  const context = { ...Cli.defaultContext, ...streams };
+  const context = { ...Cli.defaultContext, ...contextOverrides };
   let command: Command;
   try {
     command = cli.process(argv.length === 0 ? ['--help'] : [...argv], context);
   } catch (error) {
-    context.stderr.write(`monsoonhall: ${formatLine(error)}; see monsoonhall --help\n`);
+    context.stderr.write(`monsoonhall: ${formatErrorLine(error)}; see monsoonhall --help\n`);
     return SETTINGS_EXIT_CODE;
   }
   try {
--- a/src/commands/_entry_admin.ts
+++ b/src/commands/_entry_admin.ts
@@ -1,20 +1,20 @@
 /**
- * What the administration listener tells of an entry host's parts.
+ * Creates the administration listener, which reports the state of an entry host's components.
  *
  * @module
  */
 import { AdminListener } from '../adapters/admin_http/mod.js';
 import type { AdminSources, ContractCheck, Readiness } from '../adapters/admin_http/mod.js';
 import { explainContract, formatFault, parseContract } from '../domain/contracts/mod.js';
-import { buildLimits, listStartReasons } from './_entry_parts.js';
+import { buildLimits, listUnreadyReasons } from './_entry_parts.js';
 import type { EntryParts } from './_entry_parts.js';
 import { VERSION } from './_version.js';
 
 /**
  * Creates the administration listener.
  *
- * @param parts - the entry host's parts
- * @returns the listener, not started
+ * @param parts - components of the entry host
+ * @returns the listener, not started yet
  */
 export function createAdminListener(parts: EntryParts): AdminListener {
   return new AdminListener({
@@ -52,9 +52,9 @@
 
 function computeReadiness(parts: EntryParts): Readiness {
   const { configuration, membership, late } = parts;
-  const reasons = [...listStartReasons(configuration, membership)];
+  const reasons = [...listUnreadyReasons(configuration, membership)];
   if (!late.isListening) reasons.push("the callers' listener is not open yet");
-  if (membership.isStopping()) reasons.push('this entry host stops');
+  if (membership.isStopping()) reasons.push('this entry host is stopping');
   return { ready: reasons.length === 0, reasons };
 }
 
--- a/src/commands/_entry_options.ts
+++ b/src/commands/_entry_options.ts
@@ -1,5 +1,5 @@
 /**
- * The flags of `monsoonhall entry`.
+ * Declares the flags of `monsoonhall entry`, one for each row of the setting table.
  *
  * @module
  */
@@ -11,13 +11,13 @@
 
 function createFlag(name: EntrySettingName): string | undefined {
   const { description, fallback }: SettingRow<unknown> = ENTRY_SETTING_TABLE[name];
-  const standard = fallback ? `; default ${fallback}` : '';
+  const defaultNote = fallback ? `; default ${fallback}` : '';
   return Option.String(formatFlag(name), {
-    description: `${description}${standard} (${formatVariable(name)})`,
+    description: `${description}${defaultNote} (${formatVariable(name)})`,
   });
 }
 
-/** Declares every flag of the entry host; its command extends this. */
+/** Base class of the `entry` command that declares every flag of the entry host. */
 export abstract class EntryOptions extends Command {
   id = createFlag('id');
 
@@ -81,7 +81,7 @@
 
   strategy = createFlag('strategy');
 
-  /** @returns the texts of the flags that were given, for `parseEntrySettings` */
+  /** @returns the flag values as they were given, for `parseEntrySettings` */
   protected readFlags(): EntryFlags {
     const names = Object.keys(ENTRY_SETTING_TABLE) as EntrySettingName[];
     return Object.fromEntries(names.map((name) => [name, this[name]]));
--- a/src/commands/_entry_parts.ts
+++ b/src/commands/_entry_parts.ts
@@ -1,5 +1,5 @@
 /**
- * The parts of an entry host, put together.
+ * Creates the components of an entry host and connects them with each other.
  *
  * @module
  */
@@ -20,6 +20,7 @@
 import { ConfigurationKeeper } from '../application/configuration/mod.js';
 import { CrashKeeper, formatAddress, MeshCrashPaths } from '../application/crashes/mod.js';
 import { DispatcherService, SlotClient } from '../application/dispatcher/mod.js';
+import type { DispatcherOptions } from '../application/dispatcher/mod.js';
 import {
   CallerGateway,
   ForwardedCalls,
@@ -36,12 +37,21 @@
 import type { EntrySettings } from './settings.js';
 
 const INCARNATION_BYTES = 8;
-const PLATFORM_MARGIN_MS = 1000;
-const RESTART_PATIENCE_MS = 1500;
-const MAX_RECORDS = 200_000;
 
-/** Ports and identity that every part is given. */
-function createBase(settings: EntrySettings) {
+/** Time beyond the requested wait after which a platform watch is abandoned, in milliseconds. */
+const PLATFORM_RESPONSE_MARGIN_MS = 1000;
+
+/**
+ * Time for which a starting entry host waits for peers before it relies on the configuration
+ * service alone, in milliseconds.
+ */
+const START_TIMEOUT_MS = 1500;
+
+/** Most requests whose records the owner keeps at once. */
+const MAX_REQUEST_RECORDS = 200_000;
+
+/** Creates the ports and the identity that all components share. */
+function createBaseParts(settings: EntrySettings) {
   const clock = new SystemClock();
   const random = new SystemRandom();
   const log = new PinoEventLog({ level: settings.logLevel });
@@ -65,15 +75,15 @@
 }
 
 /**
- * Creates a reader whose watches are given up soon after the platform should
- * have answered: a watch that went silent hides changes until then.
+ * Creates a reader that abandons a watch soon after the platform should have responded, because
+ * a silent watch hides changes until it is abandoned.
  */
-function createReader(baseUrl: string, clock: SystemClock): HttpPlatformReader {
-  return new HttpPlatformReader({ baseUrl, clock, answerMarginMs: PLATFORM_MARGIN_MS });
+function createPlatformReader(baseUrl: string, clock: SystemClock): HttpPlatformReader {
+  return new HttpPlatformReader({ baseUrl, clock, answerMarginMs: PLATFORM_RESPONSE_MARGIN_MS });
 }
 
-/** Links, configuration and membership: what an entry host knows. */
-function createKeepers(settings: EntrySettings, base: ReturnType<typeof createBase>) {
+/** Creates the peer links and the views of the configuration and the membership. */
+function createClusterViews(settings: EntrySettings, base: ReturnType<typeof createBaseParts>) {
   const { clock } = base;
   const peers = new WsPeerNetwork({
     ...base,
@@ -83,24 +93,24 @@
   });
   const configuration = new ConfigurationKeeper({
     ...base,
-    platform: createReader(settings.configurationUrl, clock),
+    platform: createPlatformReader(settings.configurationUrl, clock),
     peers,
     waitMs: settings.platformWaitMs,
-    restartPatienceMs: RESTART_PATIENCE_MS,
+    restartPatienceMs: START_TIMEOUT_MS,
   });
-  // The dispatcher and the listener need the membership, whose heartbeats tell
-  // of both; they are filled in once they are there.
+  // Heartbeats report the dispatcher's load and the listener's state, but both components depend
+  // on the membership and are created after it. Until then, this object holds initial values.
   const late = { listLoads: (): readonly GroupLoad[] => [], isListening: false };
   const membership: MembershipKeeper = new MembershipKeeper({
     ...base,
-    platform: createReader(settings.hostListUrl, clock),
+    platform: createPlatformReader(settings.hostListUrl, clock),
     peers,
     seedPeerUrls: settings.peers,
     readWaitMs: settings.platformWaitMs,
     heartbeatMs: settings.heartbeatMs,
     suspectAfterMs: settings.suspectAfterMs,
     listGroupLoads: () => late.listLoads(),
-    isReady: () => late.isListening && listStartReasons(configuration, membership).length === 0,
+    isReady: () => late.isListening && listUnreadyReasons(configuration, membership).length === 0,
     getConfiguration: () => configuration.getStatus(),
   });
   membership.onPeerConfiguration((incarnation, revision, hash) => {
@@ -110,55 +120,55 @@
 }
 
 /**
- * Tells what a starting entry host still lacks. Peers name it to callers only
- * when it lacks nothing: a caller sent here before would be refused for want of
- * a configuration that every other entry host has.
+ * Lists why a starting entry host is not ready yet. Peers name it to callers only when the list
+ * is empty: a caller sent here earlier would be refused because a configuration is missing that
+ * every other entry host has.
  *
- * @param configuration - what is in force here
- * @param membership - who is there
- * @returns a line for each thing that is lacking
+ * @param configuration - configuration in effect on this entry host
+ * @param membership - this entry host's view of the membership
+ * @returns one line for each reason; empty if nothing is missing
  */
-export function listStartReasons(
+export function listUnreadyReasons(
   configuration: ConfigurationKeeper,
   membership: MembershipView,
 ): readonly string[] {
   const reasons: string[] = [];
-  if (!configuration.hasLoaded()) reasons.push('no configuration is in force yet');
-  if (configuration.listServices().length === 0) reasons.push('no fleet document is in force');
+  if (!configuration.hasLoaded()) reasons.push('no configuration is in effect yet');
+  if (configuration.listServices().length === 0) reasons.push('no fleet document is in effect');
   if (!membership.isFresh()) reasons.push('membership is not fresh');
   return reasons;
 }
 
-/** Dispatching: slots, limits, the last hop. */
-function createDispatching(
+/** Creates the dispatcher, the slot client, the allowances and the backend server client. */
+function createDispatchingParts(
   settings: EntrySettings,
-  base: ReturnType<typeof createBase>,
-  keepers: ReturnType<typeof createKeepers>,
+  base: ReturnType<typeof createBaseParts>,
+  clusterViews: ReturnType<typeof createClusterViews>,
 ) {
-  const { membership, late } = keepers;
+  const { membership, late } = clusterViews;
   const backend = new HttpBackendServerClient();
   const strategy = createStrategy(settings.strategy, { reserveFraction: settings.reserveFraction });
   const options = {
     ...base,
-    ...keepers,
+    ...clusterViews,
     backend,
     strategy,
-    noteBackendServerLoad: (id: string, saysLeaving: boolean) => {
-      if (saysLeaving) membership.noteBackendServerLeaving(id);
+    noteBackendServerLoad: (id: string, isLeaving: boolean) => {
+      if (isLeaving) membership.noteBackendServerLeaving(id);
     },
-  };
+  } satisfies DispatcherOptions;
   const dispatcher = new DispatcherService(options);
   late.listLoads = () => dispatcher.listGroupLoads();
   const slots = new SlotClient({ ...options, dispatcher });
   membership.onGroupLoads((incarnation, groups) => slots.handleGroupLoads(incarnation, groups));
-  const allowances = new AllowanceKeeper({ ...base, ...keepers });
+  const allowances = new AllowanceKeeper({ ...base, ...clusterViews });
   return { backend, dispatcher, slots, allowances };
 }
 
-/** What finds the requests that end backend servers. */
-function createCrashKeeper(
-  base: ReturnType<typeof createBase>,
-  { peers, configuration, membership }: ReturnType<typeof createKeepers>,
+/** Creates the quarantine of requests that crash backend servers. */
+function createCrashQuarantine(
+  base: ReturnType<typeof createBaseParts>,
+  { peers, configuration, membership }: ReturnType<typeof createClusterViews>,
 ): CrashKeeper {
   const findAddress = (id: string): string | undefined => {
     if (membership.isBackendServerLeaving(id)) return undefined;
@@ -169,21 +179,21 @@
   return new CrashKeeper({ ...base, peers, probe: new TcpServerProbe(), paths });
 }
 
-/** Requests: the owner's side, forwarding, and the callers' listener. */
-function createRequests(
+/** Creates the owner service, the forwarding between entry hosts and the callers' listener. */
+function createRequestParts(
   settings: EntrySettings,
-  base: ReturnType<typeof createBase>,
-  keepers: ReturnType<typeof createKeepers>,
-  dispatching: ReturnType<typeof createDispatching>,
+  base: ReturnType<typeof createBaseParts>,
+  clusterViews: ReturnType<typeof createClusterViews>,
+  dispatching: ReturnType<typeof createDispatchingParts>,
 ) {
-  const shared = { ...base, ...keepers, ...dispatching };
-  const crashes = createCrashKeeper(base, keepers);
+  const shared = { ...base, ...clusterViews, ...dispatching };
+  const crashes = createCrashQuarantine(base, clusterViews);
   const owner = new OwnerService({
     ...shared,
     crashes,
     answerBytes: settings.answerBytes,
     answerKeepMs: settings.answerKeepMs,
-    maxRecords: MAX_RECORDS,
+    maxRecords: MAX_REQUEST_RECORDS,
   });
   const issuer = new IdentityIssuer({
     ...shared,
@@ -194,8 +204,8 @@
   const calls = new OwnedCalls({ ...shared, owner });
   const forwarded = new ForwardedCalls({ ...shared, issuer, owner, calls });
   const forwardServer = new ForwardServer({
-    peers: keepers.peers,
-    handler: (call, callerGone) => forwarded.handle(call, callerGone),
+    peers: clusterViews.peers,
+    handler: (call, disconnectSignal) => forwarded.handle(call, disconnectSignal),
   });
   const forwardClient = new ForwardClient(shared);
   const gateway = new CallerGateway({ ...shared, issuer, owner, calls, forwardClient });
@@ -212,8 +222,10 @@
 }
 
 /**
+ * Builds the HTTP limits that all listeners of an entry host share.
+ *
  * @param settings - checked settings
- * @returns the limits of the entry host's listeners
+ * @returns the limits
  */
 export function buildLimits(settings: EntrySettings): HttpLimits {
   return {
@@ -226,18 +238,18 @@
 }
 
 /**
- * Creates every part of an entry host; starts none.
+ * Creates every component of an entry host without starting any.
  *
  * @param settings - checked settings
- * @returns the parts
+ * @returns the components
  */
 export function createEntryParts(settings: EntrySettings) {
-  const base = createBase(settings);
-  const keepers = createKeepers(settings, base);
-  const dispatching = createDispatching(settings, base, keepers);
-  const requests = createRequests(settings, base, keepers, dispatching);
-  return { settings, ...base, ...keepers, ...dispatching, ...requests };
+  const base = createBaseParts(settings);
+  const clusterViews = createClusterViews(settings, base);
+  const dispatching = createDispatchingParts(settings, base, clusterViews);
+  const requests = createRequestParts(settings, base, clusterViews, dispatching);
+  return { settings, ...base, ...clusterViews, ...dispatching, ...requests };
 }
 
-/** The parts of one entry host. */
+/** Components of one entry host. */
 export type EntryParts = ReturnType<typeof createEntryParts>;
--- a/src/commands/_entry_process.ts
+++ b/src/commands/_entry_process.ts
@@ -1,5 +1,5 @@
 /**
- * The life of an entry host's process: start, planned stop.
+ * Starts the components of an entry host and stops them as planned.
  *
  * @module
  */
@@ -11,8 +11,8 @@
 import type { EntryParts } from './_entry_parts.js';
 import type { EntrySettings } from './settings.js';
 
-/** Time that listeners get at least to end their last answers, in milliseconds. */
-const CLOSE_LIMIT_MS = 2000;
+/** Least time that listeners get to finish their last answers, in milliseconds. */
+const CLOSE_TIMEOUT_MS = 2000;
 
 /** One running entry host. */
 export class EntryProcess {
@@ -26,7 +26,7 @@
     this.#admin = createAdminListener(this.#parts);
   }
 
-  /** Starts everything. The callers' listener comes last: who connects is served. */
+  /** Starts every component. The callers' listener starts last, so that each caller is served. */
   async start(): Promise<void> {
     const { settings, peers, configuration, membership, log } = this.#parts;
     const { dispatcher, allowances, owner, crashes, forwardServer, callers, self, late } =
@@ -52,12 +52,12 @@
   }
 
   /**
-   * Stops as planned.
+   * Runs a planned stop: drains the callers, waits for running requests, then closes everything.
    *
-   * @param hurry - ends the wait early
-   * @returns whether no request was cut
+   * @param whenForced - promise whose fulfilment ends the wait for running requests early
+   * @returns whether no running request was cut off
    */
-  async stop(hurry: Promise<void>): Promise<boolean> {
+  async stop(whenForced: Promise<void>): Promise<boolean> {
     const { clock, log, owner, membership, callers, settings } = this.#parts;
     const startedAtMs = clock.nowMs();
     const isClean = await runPlannedStop({
@@ -70,14 +70,14 @@
       },
       keepAddressMs: settings.keepAddressMs,
       limitMs: settings.stopLimitMs,
-      hurry,
+      hurry: whenForced,
     });
-    // Answers that are passed on for other owners, or that slow callers still
-    // read, get the rest of the limit; a hurried stop only a moment.
-    const restMs = isClean ? settings.stopLimitMs - (clock.nowMs() - startedAtMs) : 0;
-    const hurried = hurry.then(() => this.#waitFor(CLOSE_LIMIT_MS));
-    const limit = this.#waitFor(Math.max(CLOSE_LIMIT_MS, restMs));
-    await Promise.race([this.#close(), limit, hurried]);
+    // Answers that are forwarded for other owners, or that slow callers still read, get the rest
+    // of the stop limit. A forced stop grants them only the close timeout.
+    const remainingLimitMs = isClean ? settings.stopLimitMs - (clock.nowMs() - startedAtMs) : 0;
+    const forcedLimit = whenForced.then(() => this.#waitFor(CLOSE_TIMEOUT_MS));
+    const closeLimit = this.#waitFor(Math.max(CLOSE_TIMEOUT_MS, remainingLimitMs));
+    await Promise.race([this.#close(), closeLimit, forcedLimit]);
     return isClean;
   }
 
--- a/src/commands/_entry_setting_table.ts
+++ b/src/commands/_entry_setting_table.ts
@@ -1,6 +1,6 @@
 /**
- * The table of the settings of `monsoonhall entry`: flags, environment
- * variables, schemas, defaults and help all follow from it.
+ * Defines the settings of `monsoonhall entry`. Flags, environment variables, checks, defaults
+ * and help texts are all derived from this table.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   createChoiceSchema,
   createHexKeySchema,
   createIntegerSchema,
-  createPartSchema,
+  createFractionSchema,
   createNameSchema,
   createPemFileSchema,
   createSecretSchema,
@@ -22,8 +22,8 @@
 } from './_setting_schemas.js';
 
 const MAX_RESERVE_FRACTION = 0.5;
-const LEAST_ADMIN_KEY_LENGTH = 8;
-const LEAST_CLUSTER_KEY_BYTES = 32;
+const MIN_ADMIN_KEY_LENGTH = 8;
+const MIN_CLUSTER_KEY_BYTES = 32;
 const MINUTE_MS = 60_000;
 const HOUR_MS = 60 * MINUTE_MS;
 const MEBIBYTE = 1_048_576;
@@ -31,23 +31,29 @@
 const MAX_BODY_BYTES = 256 * MEBIBYTE;
 const MAX_CONNECTIONS = 100_000;
 
-/** One row of the table. */
+/** Definition of one setting. */
 export interface SettingRow<T> {
+  /** Parses and checks the text of the flag or environment variable. */
   readonly schema: z.ZodType<T, string>;
-  /** What it is for, as the help and the operators' page print it. */
+  /** Purpose of the setting, as the help and the operators' page print it. */
   readonly description: string;
-  /** Text taken when neither flag nor environment variable is given. */
+  /** Text that is parsed if neither the flag nor the environment variable is given. */
   readonly fallback?: string;
-  /** Whether it may be left out; it is undefined then. */
+  /** Whether the setting may be omitted; its value is undefined in that case. */
   readonly optional?: true;
 }
 
-function buildDuration(least: number, most: number, fallback: number, description: string) {
-  const schema = createIntegerSchema(least, most);
-  return { schema, description: `${description}, in milliseconds`, fallback: String(fallback) };
+function buildDurationSetting(
+  minMs: number,
+  maxMs: number,
+  fallbackMs: number,
+  description: string,
+) {
+  const schema = createIntegerSchema(minMs, maxMs);
+  return { schema, description: `${description}, in milliseconds`, fallback: String(fallbackMs) };
 }
 
-/** Every setting of the entry host, by its name in camel case. */
+/** Every setting of the entry host, keyed by its name in camel case. */
 export const ENTRY_SETTING_TABLE = {
   id: { schema: createNameSchema(), description: "This entry host's name" },
   availabilityZone: { schema: createNameSchema(), description: 'Availability zone it stands in' },
@@ -68,12 +74,12 @@
     description: 'Address of the administration listener',
   },
   adminKey: {
-    schema: createSecretSchema(LEAST_ADMIN_KEY_LENGTH),
+    schema: createSecretSchema(MIN_ADMIN_KEY_LENGTH),
     description: 'Key of the administration API; rather by its environment variable',
   },
   clusterKey: {
-    schema: createHexKeySchema(LEAST_CLUSTER_KEY_BYTES),
-    description: `Key of peer links and request IDs, at least ${LEAST_CLUSTER_KEY_BYTES} bytes in hex; rather by its environment variable`,
+    schema: createHexKeySchema(MIN_CLUSTER_KEY_BYTES),
+    description: `Key of peer links and request IDs, at least ${MIN_CLUSTER_KEY_BYTES} bytes in hex; rather by its environment variable`,
   },
   configurationUrl: {
     schema: createUrlSchema(['http', 'https']),
@@ -114,23 +120,33 @@
       'URL that spans are sent to by OTLP over HTTP, such as http://10.0.0.9:4318/v1/traces',
     optional: true,
   },
-  requestIdLifetimeMs: buildDuration(1000, 24 * HOUR_MS, 600_000, 'How long a request ID lives'),
-  keepAddressMs: buildDuration(100, HOUR_MS, 30_000, 'How long callers may keep an address'),
+  requestIdLifetimeMs: buildDurationSetting(
+    1000,
+    24 * HOUR_MS,
+    600_000,
+    'How long a request ID lives',
+  ),
+  keepAddressMs: buildDurationSetting(100, HOUR_MS, 30_000, 'How long callers may keep an address'),
   answerBytes: {
     schema: createIntegerSchema(65_536, 64 * GIBIBYTE),
     description: 'Bytes of answers that are kept, over all requests',
     fallback: '33554432',
   },
-  answerKeepMs: buildDuration(0, HOUR_MS, 60_000, 'How long a finished answer is kept'),
-  stopLimitMs: buildDuration(100, 24 * HOUR_MS, 120_000, 'Longest time of a planned stop'),
-  platformWaitMs: buildDuration(
+  answerKeepMs: buildDurationSetting(0, HOUR_MS, 60_000, 'How long a finished answer is kept'),
+  stopLimitMs: buildDurationSetting(100, 24 * HOUR_MS, 120_000, 'Longest time of a planned stop'),
+  platformWaitMs: buildDurationSetting(
     100,
     HOUR_MS,
     2000,
     'How long the platform may hold a watch; a silent watch is noticed a second later',
   ),
-  heartbeatMs: buildDuration(10, MINUTE_MS, 500, 'Time between heartbeats'),
-  suspectAfterMs: buildDuration(20, HOUR_MS, 2000, 'Silence after which a peer is suspected'),
+  heartbeatMs: buildDurationSetting(10, MINUTE_MS, 500, 'Time between heartbeats'),
+  suspectAfterMs: buildDurationSetting(
+    20,
+    HOUR_MS,
+    2000,
+    'Silence after which a peer is suspected',
+  ),
   maxBodyBytes: {
     schema: createIntegerSchema(1024, MAX_BODY_BYTES),
     description: "Longest body of a caller's request, in bytes",
@@ -141,10 +157,10 @@
     description: "Most connections of the callers' listener",
     fallback: '2000',
   },
-  headerTimeoutMs: buildDuration(10, HOUR_MS, 5000, "Longest time for a request's header"),
-  requestTimeoutMs: buildDuration(10, HOUR_MS, 15_000, 'Longest time for a whole request'),
+  headerTimeoutMs: buildDurationSetting(10, HOUR_MS, 5000, "Longest time for a request's header"),
+  requestTimeoutMs: buildDurationSetting(10, HOUR_MS, 15_000, 'Longest time for a whole request'),
   reserveFraction: {
-    schema: createPartSchema(MAX_RESERVE_FRACTION),
+    schema: createFractionSchema(MAX_RESERVE_FRACTION),
     description: 'Part of each window kept free for each higher tier',
     fallback: '0.125',
   },
--- a/src/commands/_event_text_reader.ts
+++ b/src/commands/_event_text_reader.ts
@@ -1,12 +1,12 @@
 /**
- * The text in a streamed chat completion.
+ * Extracts the generated text from a streamed chat completion.
  *
  * @module
  */
 import * as z from 'zod';
 
 const DATA_FIELD = 'data: ';
-const EVENT_END = '\n\n';
+const EVENT_SEPARATOR = '\n\n';
 
 const chunkSchema = z.object({
   choices: z.array(z.object({ delta: z.object({ content: z.string().nullish() }) })),
@@ -18,24 +18,28 @@
     const chunk = chunkSchema.safeParse(JSON.parse(event.slice(DATA_FIELD.length)));
     return chunk.data?.choices.map(({ delta }) => delta.content ?? '').join('') ?? '';
   } catch {
-    // The last event says [DONE], which is no JSON.
+    // The last event holds the marker [DONE], which isn't JSON.
     return '';
   }
 }
 
-/** Takes the generated text out of a stream of chunks. */
+/** Decodes server-sent events piece by piece and returns the text that they contain. */
 export class EventTextReader {
   readonly #decoder = new TextDecoder();
 
-  #held = '';
+  #partialEvent = '';
 
   /**
-   * @param bytes - the next bytes of the stream
-   * @returns the text that they complete
+   * Reads the next bytes of the stream and buffers an incomplete event at their end.
+   *
+   * @param bytes - next bytes of the stream
+   * @returns text of the events that these bytes complete
    */
   read(bytes: Uint8Array): string {
-    const events = (this.#held + this.#decoder.decode(bytes, { stream: true })).split(EVENT_END);
-    this.#held = events.pop() ?? '';
+    const events = (this.#partialEvent + this.#decoder.decode(bytes, { stream: true })).split(
+      EVENT_SEPARATOR,
+    );
+    this.#partialEvent = events.pop() ?? '';
     return events.map(parseContent).join('');
   }
 }
--- a/src/commands/_help.ts
+++ b/src/commands/_help.ts
@@ -1,25 +1,25 @@
 /**
- * Help on the command line.
+ * Provides the `--help` command and formats the help of single commands.
  *
  * @module
  */
 import { Command } from 'clipanion';
 
-/** How clipanion writes the value of an option, and the room behind it. */
+/** Placeholder that clipanion prints for an option's value, with the padding after it. */
 const VALUE_PATTERN = /#0 {3}/g;
 const VALUE_NAME = 'VALUE';
 
 /**
- * Puts a name in the place of an option's value.
+ * Replaces the placeholder of each option's value by a readable name of the same width.
  *
- * @param usage - help as clipanion writes it
- * @returns the help as it is printed
+ * @param usage - help text as clipanion formats it
+ * @returns the help text to print
  */
 export function formatUsage(usage: string): string {
   return usage.replace(VALUE_PATTERN, VALUE_NAME);
 }
 
-/** Lists the commands; their options would fill several screens here. */
+/** Lists the commands without their options, which would fill several screens. */
 export class HelpCommand extends Command {
   static override paths = [['--help'], ['-h']];
 
@@ -33,13 +33,13 @@
         description: description?.trim() ?? '',
       }))
       .sort((a, b) => (a.path < b.path ? -1 : 1));
-    const width = Math.max(...commands.map(({ path }) => path.length));
+    const pathWidth = Math.max(...commands.map(({ path }) => path.length));
     const lines = commands.map(
-      ({ path, description }) => `  ${path.padEnd(width)}  ${description}`,
+      ({ path, description }) => `  ${path.padEnd(pathWidth)}  ${description}`,
     );
     this.context.stdout.write(
-      `${binaryName} ${binaryVersion}, a request scheduler for unlike model engines\n\n` +
-        `${lines.join('\n')}\n\nEach command explains its options: ${binaryName} COMMAND --help\n`,
+      `${binaryName} ${binaryVersion}, a request scheduler for heterogeneous model engines\n\n` +
+        `${lines.join('\n')}\n\nFor the options of a command, run: ${binaryName} COMMAND --help\n`,
     );
     return 0;
   }
--- a/src/commands/_setting_schemas.ts
+++ b/src/commands/_setting_schemas.ts
@@ -1,6 +1,6 @@
 /**
- * Schemas of single settings. Each takes the text of a flag or environment
- * variable and gives the typed value.
+ * Provides schemas for single settings. Each schema parses the text of a flag or environment
+ * variable into a typed value.
  *
  * @module
  */
@@ -10,34 +10,34 @@
 import * as z from 'zod';
 
 const MAX_PORT = 65_535;
-const MAX_LISTED_VALUE_LENGTH = 80;
+const MAX_SHOWN_VALUE_LENGTH = 80;
 
-/** Where a listener binds. */
+/** Address that a listener binds to. */
 export interface ListenAddress {
-  /** IP number, without brackets. */
+  /** IP address, without brackets. */
   readonly host: string;
   /** TCP port; 0 lets the operating system choose. */
   readonly port: number;
 }
 
 /**
- * Formats a value for a fault's line, so that no value can break the line.
+ * Quotes a value for a fault message, so that line breaks in the value can't split the message.
  *
- * @param value - what was given
- * @returns the value quoted, cut where it is long
+ * @param value - text as it was given
+ * @returns the value as a JSON string, truncated if it is long
  */
-export function formatGiven(value: string): string {
-  const cut =
-    value.length > MAX_LISTED_VALUE_LENGTH ? `${value.slice(0, MAX_LISTED_VALUE_LENGTH)}…` : value;
-  return JSON.stringify(cut);
+export function quoteValue(value: string): string {
+  const shown =
+    value.length > MAX_SHOWN_VALUE_LENGTH ? `${value.slice(0, MAX_SHOWN_VALUE_LENGTH)}…` : value;
+  return JSON.stringify(shown);
 }
 
-/** Builds a schema from a function that gives undefined for what it cannot take. */
+/** Creates a schema from a parser that returns undefined for invalid text. */
 function createSchema<T>(expected: string, parse: (text: string) => T | undefined) {
   return z.string().transform((text, context): T => {
     const value = parse(text);
     if (value !== undefined) return value;
-    context.addIssue({ code: 'custom', message: `expected ${expected}, got ${formatGiven(text)}` });
+    context.addIssue({ code: 'custom', message: `expected ${expected}, got ${quoteValue(text)}` });
     return z.NEVER;
   });
 }
@@ -51,7 +51,7 @@
   return { host, port };
 }
 
-/** A listener's address: an IP number and a port. */
+/** Creates the schema of a listener's address: an IP address and a port. */
 export function createAddressSchema() {
   return createSchema('an IP number and a port such as 127.0.0.1:8080', parseAddress);
 }
@@ -66,9 +66,10 @@
 }
 
 /**
- * A base URL without credentials, query and fragment; the slash at its end is taken off.
+ * Creates the schema of a base URL without credentials, query or fragment. The parsed value has
+ * no trailing slash.
  *
- * @param schemes - schemes that may be used, such as `http`
+ * @param schemes - allowed schemes, such as `http`
  * @returns the schema
  */
 export function createUrlSchema(schemes: readonly string[]) {
@@ -78,9 +79,9 @@
 }
 
 /**
- * URLs with commas between them; may be empty.
+ * Creates the schema of a list of URLs, separated by commas. The list may be empty.
  *
- * @param schemes - schemes that may be used
+ * @param schemes - allowed schemes, such as `http`
  * @returns the schema
  */
 export function createUrlListSchema(schemes: readonly string[]) {
@@ -93,7 +94,7 @@
   });
 }
 
-/** A name that can stand in URLs, logs and metrics as it is. */
+/** Creates the schema of a name that needs no escaping in URLs, logs and metrics. */
 export function createNameSchema() {
   return createSchema('a name of letters, digits, dots, dashes and underscores', (text) =>
     /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/.test(text) ? text : undefined,
@@ -101,74 +102,78 @@
 }
 
 /**
- * A whole number within bounds.
+ * Creates the schema of a whole number within bounds.
  *
- * @param least - least value that is taken
- * @param most - greatest value that is taken
+ * @param min - least allowed value
+ * @param max - greatest allowed value
  * @returns the schema
  */
-export function createIntegerSchema(least: number, most: number) {
-  return createSchema(`a whole number from ${least} to ${most}`, (text) => {
+export function createIntegerSchema(min: number, max: number) {
+  return createSchema(`a whole number from ${min} to ${max}`, (text) => {
     const value = Number(text);
-    return /^\d{1,15}$/.test(text) && value >= least && value <= most ? value : undefined;
+    return /^\d{1,15}$/.test(text) && value >= min && value <= max ? value : undefined;
   });
 }
 
 /**
- * @param most - greatest value
- * @returns schema of a part from 0 to that
+ * Creates the schema of a fraction from 0 to a maximum.
+ *
+ * @param max - greatest allowed value
+ * @returns the schema
  */
-export function createPartSchema(most: number) {
-  return createSchema(`a number from 0 to ${most}`, (text) => {
-    const part = Number(text);
-    const isPart = text.trim() !== '' && part >= 0 && part <= most;
-    return isPart ? part : undefined;
+export function createFractionSchema(max: number) {
+  return createSchema(`a number from 0 to ${max}`, (text) => {
+    const value = Number(text);
+    const isInRange = text.trim() !== '' && value >= 0 && value <= max;
+    return isInRange ? value : undefined;
   });
 }
 
 /**
- * One of a closed list of words.
+ * Creates the schema of a setting with a fixed set of values.
  *
- * @param words - the words
+ * @param choices - allowed values
  * @returns the schema
  */
-export function createChoiceSchema<T extends string>(words: readonly T[]) {
-  return createSchema(`one of ${words.join(', ')}`, (text) => words.find((word) => word === text));
+export function createChoiceSchema<T extends string>(choices: readonly T[]) {
+  return createSchema(`one of ${choices.join(', ')}`, (text) =>
+    choices.find((word) => word === text),
+  );
 }
 
 /**
- * A key written as text. Its faults never print what was given.
+ * Creates the schema of a secret in plain text. Fault messages never contain the given value.
  *
- * @param leastLength - least length in characters
+ * @param minLength - least length in characters
  * @returns the schema
  */
-export function createSecretSchema(leastLength: number) {
+export function createSecretSchema(minLength: number) {
   return z
     .string()
-    .min(leastLength, `expected at least ${leastLength} characters; the value is not shown`);
+    .min(minLength, `expected at least ${minLength} characters; the value is not shown`);
 }
 
 /**
- * A key written in hex. Its faults never print what was given.
+ * Creates the schema of a key in hexadecimal. Fault messages never contain the given value.
  *
- * @param leastBytes - least length in bytes
+ * @param minBytes - least length in bytes
  * @returns the schema
  */
-export function createHexKeySchema(leastBytes: number) {
+export function createHexKeySchema(minBytes: number) {
   return z.string().transform((text, context): Uint8Array => {
-    if (/^(?:[0-9a-fA-F]{2})+$/.test(text) && text.length >= leastBytes * 2)
+    if (/^(?:[0-9a-fA-F]{2})+$/.test(text) && text.length >= minBytes * 2)
       return Uint8Array.from(Buffer.from(text, 'hex'));
-    const message = `expected at least ${leastBytes} bytes in hex; the value is not shown`;
+    const message = `expected at least ${minBytes} bytes in hex; the value is not shown`;
     context.addIssue({ code: 'custom', message });
     return z.NEVER;
   });
 }
 
-/** A file in PEM; the value is the file's text. */
+/** Creates the schema of a path to a PEM file. The parsed value is the text of the file. */
 export function createPemFileSchema() {
-  return createSchema('a file in PEM that can be read', (file) => {
+  return createSchema('a file in PEM that can be read', (filePath) => {
     try {
-      const text = readFileSync(file, 'utf8');
+      const text = readFileSync(filePath, 'utf8');
       return text.includes('-----BEGIN ') ? text : undefined;
     } catch {
       return undefined;
@@ -176,12 +181,12 @@
   });
 }
 
-/** A file that can be created or appended to: its folder is there and may be written. */
+/** Creates the schema of an output file, whose directory must exist and be writable. */
 export function createWritableFileSchema() {
-  return createSchema('a file in a folder that can be written', (text) => {
+  return createSchema('a file in a folder that can be written', (filePath) => {
     try {
-      accessSync(path.dirname(path.resolve(text)), constants.W_OK);
-      return text;
+      accessSync(path.dirname(path.resolve(filePath)), constants.W_OK);
+      return filePath;
     } catch {
       return undefined;
     }
--- a/src/commands/_status_report.ts
+++ b/src/commands/_status_report.ts
@@ -1,5 +1,5 @@
 /**
- * What `monsoonhall status` prints.
+ * Checks the status responses of entry hosts and formats them for `monsoonhall status`.
  *
  * @module
  */
@@ -8,12 +8,14 @@
 import type { TableRow } from './_table.js';
 
 const HASH_LENGTH = 12;
+
+/** Time since a peer was last heard, which differs between any two responses. */
 const VOLATILE_FIELD = 'silentMs';
 
 const rowSchema = z.record(z.string(), z.unknown());
 const rowsSchema = z.union([z.array(rowSchema), rowSchema]);
 
-/** An entry host's `/v1/status`; what this program doesn't know is printed as it comes. */
+/** Schema of an entry host's `/v1/status` response. Unknown row fields are printed unchanged. */
 export const statusSchema = z.object({
   health: rowSchema,
   readiness: z.object({ ready: z.boolean(), reasons: z.array(z.string()) }),
@@ -33,14 +35,14 @@
   refusals: rowsSchema,
 });
 
-/** An entry host's status. */
+/** Checked `/v1/status` response of an entry host. */
 export type EntryHostStatus = z.infer<typeof statusSchema>;
 
-/** What one administration URL answered. */
-export interface StatusAnswer {
+/** Status of the entry host behind one administration URL, or the reason why it is missing. */
+export interface StatusResult {
   readonly adminUrl: string;
   readonly status?: EntryHostStatus;
-  /** Why there is no status. */
+  /** Reason why the status could not be read. */
   readonly error?: string;
 }
 
@@ -50,12 +52,12 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-function formatItem(item: unknown): string {
-  if (!isRecord(item)) return String(item);
-  return String(item.id ?? JSON.stringify(item));
+function formatItem(listItem: unknown): string {
+  if (!isRecord(listItem)) return String(listItem);
+  return String(listItem.id ?? JSON.stringify(listItem));
 }
 
-/** Puts the fields of nested objects side by side, so that each gets a column. */
+/** Flattens nested objects, so that each of their fields gets a column. */
 function toFlatRow(row: TableRow): TableRow {
   return Object.fromEntries(
     Object.entries(row).flatMap(([name, value]): [string, unknown][] => {
@@ -65,7 +67,7 @@
   );
 }
 
-/** A record of counts becomes two columns, a list one row an item. */
+/** Converts a section to rows: one row per list item, or one row per entry of a record. */
 function toRows(section: Section): readonly TableRow[] {
   if (Array.isArray(section)) return section.map(toFlatRow);
   return Object.entries(section).map(([name, value]) =>
@@ -73,45 +75,45 @@
   );
 }
 
-function getName({ adminUrl, status }: StatusAnswer): string {
+function getEntryHostName({ adminUrl, status }: StatusResult): string {
   return String(status?.health.id ?? adminUrl);
 }
 
-/** Leaves out what differs from one moment to the next and says nothing of a disagreement. */
-function removeVolatile(row: TableRow): TableRow {
+/** Removes the field whose value changes all the time and so indicates no disagreement. */
+function omitVolatileField(row: TableRow): TableRow {
   return Object.fromEntries(Object.entries(row).filter(([name]) => name !== VOLATILE_FIELD));
 }
 
-/** Joins rows that several entry hosts tell alike, so that the ones on which they differ stand out. */
+/** Merges equal rows of several entry hosts, so that rows on which they disagree stand out. */
 function mergeRows(
-  answers: readonly StatusAnswer[],
-  pick: (status: EntryHostStatus) => Section,
+  results: readonly StatusResult[],
+  selectSection: (status: EntryHostStatus) => Section,
 ): readonly TableRow[] {
-  const tellers = answers.filter(({ status }) => status);
-  const merged = new Map<string, { row: TableRow; toldBy: string[] }>();
-  tellers.forEach((answer) => {
-    if (!answer.status) return;
-    toRows(pick(answer.status)).forEach((full) => {
-      const row = tellers.length > 1 ? removeVolatile(full) : full;
+  const responders = results.filter(({ status }) => status);
+  const mergedByKey = new Map<string, { row: TableRow; toldBy: string[] }>();
+  responders.forEach((result) => {
+    if (!result.status) return;
+    toRows(selectSection(result.status)).forEach((fullRow) => {
+      const row = responders.length > 1 ? omitVolatileField(fullRow) : fullRow;
       const key = JSON.stringify(row);
-      const known = merged.get(key) ?? { row, toldBy: [] };
-      known.toldBy.push(getName(answer));
-      merged.set(key, known);
+      const entry = mergedByKey.get(key) ?? { row, toldBy: [] };
+      entry.toldBy.push(getEntryHostName(result));
+      mergedByKey.set(key, entry);
     });
   });
-  if (tellers.length < 2) return [...merged.values()].map(({ row }) => row);
-  return [...merged.values()].map(({ row, toldBy }) => ({
+  if (responders.length < 2) return [...mergedByKey.values()].map(({ row }) => row);
+  return [...mergedByKey.values()].map(({ row, toldBy }) => ({
     ...row,
-    toldBy: toldBy.length === tellers.length ? 'all' : toldBy.join(' '),
+    toldBy: toldBy.length === responders.length ? 'all' : toldBy.join(' '),
   }));
 }
 
-function toOverviewRow(answer: StatusAnswer): TableRow {
-  const { adminUrl, status, error } = answer;
+function toOverviewRow(result: StatusResult): TableRow {
+  const { adminUrl, status, error } = result;
   if (!status) return { entryHost: adminUrl, ready: 'unreachable', reasons: error };
   const { readiness, configuration } = status;
   return {
-    entryHost: getName(answer),
+    entryHost: getEntryHostName(result),
     ready: readiness.ready ? 'yes' : 'no',
     revision: configuration.revision,
     hash: configuration.hash.slice(0, HASH_LENGTH),
@@ -123,13 +125,13 @@
   };
 }
 
-function formatAgreement(answers: readonly StatusAnswer[]): string {
-  const hashes = new Set(answers.flatMap(({ status }) => status?.configuration.hash ?? []));
+function formatDisagreement(results: readonly StatusResult[]): string {
+  const hashes = new Set(results.flatMap(({ status }) => status?.configuration.hash ?? []));
   if (hashes.size < 2) return '';
   return `\nThe entry hosts have ${hashes.size} different configurations in force.\n`;
 }
 
-function listRejected({ configuration }: EntryHostStatus): Section {
+function listRejectedDocuments({ configuration }: EntryHostStatus): Section {
   return configuration.rejected.map(({ key, revision, reasons }) => ({
     document: key,
     revision,
@@ -138,21 +140,24 @@
 }
 
 /**
- * Formats what the entry hosts answered.
+ * Formats the status of entry hosts as text.
  *
- * @param answers - one an administration URL
- * @returns an overview, then what they tell, alike rows once
+ * @param results - one result for each administration URL
+ * @returns an overview and a table for each section; equal rows of several hosts appear once
  */
-export function formatStatus(answers: readonly StatusAnswer[]): string {
-  const overview = formatTable(answers.map(toOverviewRow)) + formatAgreement(answers);
-  if (!answers.some(({ status }) => status)) return overview;
-  const formatSection = (title: string, pick: (status: EntryHostStatus) => Section): string => {
-    const rows = mergeRows(answers, pick);
+export function formatStatus(results: readonly StatusResult[]): string {
+  const overview = formatTable(results.map(toOverviewRow)) + formatDisagreement(results);
+  if (!results.some(({ status }) => status)) return overview;
+  const formatSection = (
+    title: string,
+    selectSection: (status: EntryHostStatus) => Section,
+  ): string => {
+    const rows = mergeRows(results, selectSection);
     return `\n${title}\n${rows.length === 0 ? 'none\n' : formatTable(rows)}`;
   };
   return [
     overview,
-    formatSection('Rejected documents', listRejected),
+    formatSection('Rejected documents', listRejectedDocuments),
     formatSection('Entry hosts', ({ entryHosts }) => entryHosts),
     formatSection('Backend servers', ({ backendServers }) => backendServers),
     formatSection('Queues', ({ queues }) => queues),
--- a/src/commands/_table.ts
+++ b/src/commands/_table.ts
@@ -1,32 +1,32 @@
 /**
- * Tables in plain text.
+ * Formats tables in plain text.
  *
  * @module
  */
 
-const GAP = '  ';
-const EMPTY = '-';
-const DECIMALS = 2;
+const COLUMN_GAP = '  ';
+const EMPTY_CELL = '-';
+const MAX_DECIMALS = 2;
 
-/** One row, by its columns' names. */
+/** One row: the values by column name. */
 export type TableRow = Readonly<Record<string, unknown>>;
 
-function formatPlain(value: unknown): string {
-  return typeof value === 'number' ? String(Number(value.toFixed(DECIMALS))) : String(value);
+function formatScalar(value: unknown): string {
+  return typeof value === 'number' ? String(Number(value.toFixed(MAX_DECIMALS))) : String(value);
 }
 
-/** Control characters of a remote text would move the operator's cursor. */
+/** Replaces control characters, with which remote text could move the operator's cursor. */
 function formatCell(value: unknown): string {
-  if (value === undefined || value === null || value === '') return EMPTY;
-  const text = typeof value === 'object' ? JSON.stringify(value) : formatPlain(value);
+  if (value === undefined || value === null || value === '') return EMPTY_CELL;
+  const text = typeof value === 'object' ? JSON.stringify(value) : formatScalar(value);
   return text.replace(/\p{Cc}/gu, ' ');
 }
 
 /**
  * Formats rows with aligned columns.
  *
- * @param rows - the rows; their keys are the columns, in order of appearance
- * @returns the lines with their line breaks; empty for no rows
+ * @param rows - rows to format; their keys become the columns, in order of first appearance
+ * @returns a header line and one line per row, each with a line break; empty without rows
  */
 export function formatTable(rows: readonly TableRow[]): string {
   const columns = [...new Set(rows.flatMap((row) => Object.keys(row)))];
@@ -37,7 +37,7 @@
   const formatLine = (line: readonly string[]): string =>
     `${line
       .map((cell, index) => cell.padEnd(widths[index] ?? 0))
-      .join(GAP)
+      .join(COLUMN_GAP)
       .trimEnd()}\n`;
   return rows.length === 0 ? '' : [columns, ...cells].map(formatLine).join('');
 }
--- a/src/commands/_version.ts
+++ b/src/commands/_version.ts
@@ -1,8 +1,8 @@
 /**
- * The program's version, compiled into the binary.
+ * Holds the version of the program, which is compiled into the binary.
  *
  * @module
  */
 
-/** The version; a test compares it with package.json. */
+/** Version of the program. A test checks that it equals the version in package.json. */
 export const VERSION = '0.1.0';
--- a/src/commands/call.ts
+++ b/src/commands/call.ts
@@ -1,5 +1,5 @@
 /**
- * `monsoonhall call`: one call, its answer printed as it comes.
+ * Implements `monsoonhall call`, which sends one call and prints its answer as it arrives.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 import { EventTextReader } from './_event_text_reader.js';
 
 const FIRST_ERROR_STATUS = 400;
-const ERROR_ANSWER_EXIT_CODE = 1;
+const ERROR_RESPONSE_EXIT_CODE = 1;
 const INTERRUPTED_EXIT_CODE = 130;
 
 const EXIT_CODES: Readonly<Record<RunOutcome, number>> = {
@@ -38,8 +38,8 @@
   static override usage = Command.Usage({
     description: 'send one call and print its answer',
     details:
-      'Asks which entry host to use and for a request ID, sends the call once, and reads its answer ' +
-      'on through the other entry hosts when a connection breaks. Exits with 0 when it was ' +
+      'Gets a request ID and an address to use, sends the call once, and resumes reading its ' +
+      'answer through other entry hosts when a connection breaks. Exits with 0 when it was ' +
       'answered, 1 when the backend server answered with an error, 2 for bad settings, 3 when it ' +
       'was refused and has not run, 4 when it may have run, 5 when it ran and its answer is lost.',
     examples: [
@@ -55,12 +55,12 @@
   });
 
   urls = Option.Array('--url', {
-    description: 'base URL of an entry host; repeat it (MONSOONHALL_URL)',
+    description: 'base URL of an entry host; may be repeated (MONSOONHALL_URL)',
   });
 
   key = Option.String('--key', {
     env: 'MONSOONHALL_KEY',
-    description: 'API key; rather by MONSOONHALL_KEY, which other users of the machine do not see',
+    description: 'API key; prefer MONSOONHALL_KEY, as other users of the machine can see flags',
   });
 
   certificateAuthority = Option.String('--certificate-authority', {
@@ -68,9 +68,9 @@
     description: 'file of certificates to trust, in PEM (MONSOONHALL_CERTIFICATE_AUTHORITY)',
   });
 
-  model = Option.String('--model', { description: 'model that gets the prompt' });
+  model = Option.String('--model', { description: 'model that receives the prompt' });
 
-  service = Option.String('--service', { description: 'plain service, instead of a model' });
+  service = Option.String('--service', { description: 'plain service (instead of a model)' });
 
   servicePath = Option.String('--path', { description: 'path and query at the plain service' });
 
@@ -81,11 +81,11 @@
   deadlineMs = Option.String('--deadline-ms', { description: 'deadline in milliseconds' });
 
   maxTokens = Option.String('--max-tokens', {
-    description: 'longest answer of a model, in tokens',
+    description: 'longest answer that a model may generate, in tokens',
   });
 
   idempotencyKey = Option.String('--idempotency-key', {
-    description: 'gives a repeated call the same request ID, while that lives',
+    description: 'gives a repeated call the same request ID until that ID expires',
   });
 
   traceparent = Option.String('--traceparent', {
@@ -124,12 +124,12 @@
     const onInterrupt = (): void => interrupt.abort();
     process.once('SIGINT', onInterrupt);
     try {
-      const traced = { ...settings, traceparent: span.traceparent };
-      const exitCode = await this.#send(client, traced, interrupt.signal);
+      const tracedSettings = { ...settings, traceparent: span.traceparent };
+      const exitCode = await this.#send(client, tracedSettings, interrupt.signal);
       span.end();
       return exitCode;
     } catch (error) {
-      closeFailedSpan(span, error);
+      endFailedSpan(span, error);
       return this.#printFailure(error, interrupt.signal);
     } finally {
       process.removeListener('SIGINT', onInterrupt);
@@ -143,28 +143,29 @@
     try {
       await this.#printBody(reply, settings);
     } catch (error) {
-      // Whoever interrupts a call wants no further work to be done for it.
+      // An interrupted call is cancelled, so that the backend server does no more work for it.
       if (signal.aborted) await client.cancel(reply.requestId).catch(() => undefined);
       throw error;
     }
     if (reply.status < FIRST_ERROR_STATUS) return 0;
     this.context.stderr.write(`monsoonhall call: the backend server answered ${reply.status}\n`);
-    return ERROR_ANSWER_EXIT_CODE;
+    return ERROR_RESPONSE_EXIT_CODE;
   }
 
   async #printBody(reply: CallerReply, settings: CallSettings): Promise<void> {
     let hasPrinted = false;
-    const isStream = reply.headers['content-type']?.startsWith('text/event-stream') ?? false;
-    const reader = isStream && settings.model !== undefined ? new EventTextReader() : undefined;
+    const isEventStream = reply.headers['content-type']?.startsWith('text/event-stream') ?? false;
+    const reader =
+      isEventStream && settings.model !== undefined ? new EventTextReader() : undefined;
     try {
       for await (const bytes of reply.body) {
-        const part = reader ? reader.read(bytes) : bytes;
-        hasPrinted ||= part.length > 0;
-        if (part.length > 0 && !this.context.stdout.write(part))
+        const chunk = reader ? reader.read(bytes) : bytes;
+        hasPrinted ||= chunk.length > 0;
+        if (chunk.length > 0 && !this.context.stdout.write(chunk))
           await once(this.context.stdout, 'drain');
       }
     } finally {
-      // Whatever is told next starts on a line of its own.
+      // The line break makes the shell prompt or an error message start on a line of its own.
       if (hasPrinted) this.context.stdout.write('\n');
     }
   }
@@ -184,6 +185,6 @@
   }
 }
 
-function closeFailedSpan(span: Span, error: unknown): void {
+function endFailedSpan(span: Span, error: unknown): void {
   span.end(error instanceof CallerError ? error.code : 'interrupted');
 }
--- a/src/commands/call_test.ts
+++ b/src/commands/call_test.ts
@@ -10,7 +10,7 @@
 
 const KEY = 'never-shown';
 
-/** Runs a command and gives what it printed. */
+/** Runs a command and returns its exit code and its output. */
 async function runCommand(argv: readonly string[], env: Record<string, string> = {}) {
   const stdout = new PassThrough();
   const stderr = new PassThrough();
@@ -38,7 +38,7 @@
   return [...events, '[DONE]'].map((data) => `data: ${data}\n\n`).join('');
 }
 
-t.test("call prints a streamed answer's text", async (t) => {
+t.test('call prints the text of a streamed answer', async (t) => {
   const host = await startHost(t, (request, response) =>
     response.writeHead(200, HEADERS).end(writeEvents(['Damp ', 'in the ', 'näxt room'])),
   );
@@ -64,7 +64,7 @@
   });
 });
 
-t.test("call passes a plain service's call through", async (t) => {
+t.test('call sends a request to a plain service unchanged', async (t) => {
   const host = await startHost(t, (request, response) => response.writeHead(200).end('dry'));
   const argv = ['call', '--url', host.url, '--key', KEY, '--service', 'case-app'];
   const result = await runCommand([...argv, '--path', '/status/7?full=1']);
@@ -73,7 +73,7 @@
   t.equal(call?.query.get('full'), '1');
 });
 
-t.test('call exports its span, which the entry host continues', async (t) => {
+t.test('call exports its span and propagates the trace context to the entry host', async (t) => {
   const folder = mkdtempSync(path.join(tmpdir(), 'monsoonhall-'));
   t.teardown(() => rmSync(folder, { recursive: true }));
   const traceFile = path.join(folder, 'spans.jsonl');
@@ -88,7 +88,7 @@
   t.equal(call?.headers.traceparent, `00-${traceId}-${span.spanId}-01`);
 });
 
-/** What the entry host answers, the exit code, and what the line must say. */
+/** Response of the entry host, expected exit code and expected line on stderr. */
 const OUTCOMES: readonly (readonly [FakeHandler, number, RegExp])[] = [
   [
     (request, response) =>
@@ -114,7 +114,7 @@
   ],
 ];
 
-t.test('call tells each outcome by its exit code and one line', async (t) => {
+t.test('call reports each outcome by its exit code and one line', async (t) => {
   for (const [handle, exitCode, line] of OUTCOMES) {
     const host = await startHost(t, handle);
     const result = await runCommand([
@@ -133,7 +133,7 @@
   }
 });
 
-/** Arguments that can't be used, and the lines that say so. */
+/** Invalid arguments and the expected lines on stderr. */
 const FAULTS: readonly (readonly [readonly string[], readonly RegExp[]])[] = [
   [[], [/^--url /, /^--key /, /^--model, --service: one of them/]],
   [
@@ -147,7 +147,7 @@
   [['--bogus'], [/^monsoonhall: Unsupported option name \("--bogus"\); see monsoonhall --help$/]],
 ];
 
-t.test('call tells every faulty setting, one line each, with exit code 2', async (t) => {
+t.test('call reports each invalid setting on its own line and exits with 2', async (t) => {
   for (const [argv, expected] of FAULTS) {
     const { exitCode, stdout, stderr } = await runCommand(['call', ...argv]);
     t.equal(exitCode, 2);
--- a/src/commands/contract_check.ts
+++ b/src/commands/contract_check.ts
@@ -1,5 +1,5 @@
 /**
- * `monsoonhall contract check`: the daemon's validator, offline.
+ * Implements `monsoonhall contract check`, which validates documents offline as the daemon does.
  *
  * @module
  */
@@ -15,18 +15,18 @@
   static override usage = Command.Usage({
     category: 'Contracts',
     description: 'check contract and fleet documents as the daemon does',
-    details: 'Tells all faults with file, line and field. Hints are no faults.',
+    details: 'Reports every fault with file, line and field. Hints do not count as faults.',
     examples: [
       ['Check contracts', 'monsoonhall contract check firm-a.json firm-b.json'],
       [
-        'Check a fleet and contracts beside it',
+        'Check a fleet and contracts against it',
         'monsoonhall contract check --fleet fleet.json firm-a.json',
       ],
     ],
   });
 
   readonly fleet = Option.String('--fleet', {
-    description: 'fleet document; checked too, and hints are given beside it',
+    description: 'fleet document to check; contracts are also compared with it for hints',
   });
 
   readonly files = Option.Rest({ name: 'FILE' });
@@ -40,7 +40,7 @@
     const fleetFile = this.fleet === undefined ? undefined : await readFleetFile(this.fleet);
     const contractFiles = await Promise.all(this.files.map(readContractFile));
     const checked = fleetFile ? [fleetFile, ...contractFiles] : contractFiles;
-    checked.forEach((one) => this.#print(one, fleetFile));
+    checked.forEach((file) => this.#print(file, fleetFile));
     return checked.every(({ faults }) => faults.length === 0) ? 0 : 1;
   }
 
--- a/src/commands/contract_commands_test.ts
+++ b/src/commands/contract_commands_test.ts
@@ -46,7 +46,7 @@
   };
 }
 
-t.test('contract commands tell faults, hints and the exit code', async (t) => {
+t.test('contract commands print faults and hints and set the exit code', async (t) => {
   const hint = /Work "k" names the service "gone", which the fleet lacks/;
   const cases: readonly (readonly [string, number, RegExp, RegExp])[] = [
     ['check good.json', 0, /^good.json: valid \(contract of firm-a\)\n$/, /^$/],
--- a/src/commands/contract_explain.ts
+++ b/src/commands/contract_explain.ts
@@ -1,5 +1,5 @@
 /**
- * `monsoonhall contract explain`: what follows from a contract.
+ * Implements `monsoonhall contract explain`, which prints what a contract results in.
  *
  * @module
  */
--- a/src/commands/contract_files.ts
+++ b/src/commands/contract_files.ts
@@ -1,5 +1,5 @@
 /**
- * Reads documents from files for the contract commands.
+ * Reads and checks document files for the contract commands.
  *
  * @module
  */
@@ -8,20 +8,21 @@
 import { parseContract, parseFleet } from '../domain/contracts/mod.js';
 import type { AccountContract, DocumentFault, Fleet } from '../domain/contracts/mod.js';
 
-/** A document file that was read and checked. */
+/** Result of reading and checking one document file. */
 export interface CheckedFile {
+  /** Name of the file as it was given. */
   readonly file: string;
   readonly contract?: AccountContract;
   readonly fleet?: Fleet;
-  /** All faults; empty where the document is valid. */
+  /** All faults; empty if the document is valid. */
   readonly faults: readonly DocumentFault[];
 }
 
 /**
- * Reads and checks a contract file, by the validator of the daemon.
+ * Reads a contract file and checks it with the same validator as the daemon.
  *
- * @param file - the file's name
- * @returns the contract or its faults; a file that can't be read is a fault
+ * @param file - name of the file
+ * @returns the contract or its faults; a file that can't be read results in a fault
  */
 export async function readContractFile(file: string): Promise<CheckedFile> {
   return checkFile(file, (bytes) => {
@@ -31,10 +32,10 @@
 }
 
 /**
- * Reads and checks a fleet file, by the validator of the daemon.
+ * Reads a fleet file and checks it with the same validator as the daemon.
  *
- * @param file - the file's name
- * @returns the fleet or its faults; a file that can't be read is a fault
+ * @param file - name of the file
+ * @returns the fleet or its faults; a file that can't be read results in a fault
  */
 export async function readFleetFile(file: string): Promise<CheckedFile> {
   return checkFile(file, (bytes) => {
@@ -44,10 +45,10 @@
 }
 
 /**
- * Writes a file's faults, one a line, in the form that editors know.
+ * Formats the faults of a file, one per line, in the `file:line:` format that editors recognise.
  *
  * @param checked - the checked file
- * @returns such as `firm-a.json:7: work[2].tier: is required`
+ * @returns lines such as `firm-a.json:7: work[2].tier: is required`
  */
 export function formatFileFaults({ file, faults }: CheckedFile): string {
   return faults
@@ -57,10 +58,10 @@
 
 async function checkFile(
   file: string,
-  check: (bytes: Uint8Array) => Omit<CheckedFile, 'file'>,
+  parse: (bytes: Uint8Array) => Omit<CheckedFile, 'file'>,
 ): Promise<CheckedFile> {
   try {
-    const { contract, fleet, faults } = check(await readFile(file));
+    const { contract, fleet, faults } = parse(await readFile(file));
     return { file, contract, fleet, faults };
   } catch (error) {
     const reason = formatReason(error);
--- a/src/commands/entry.ts
+++ b/src/commands/entry.ts
@@ -1,5 +1,5 @@
 /**
- * `monsoonhall entry`: the daemon on an entry host.
+ * Implements `monsoonhall entry`, the daemon of an entry host.
  *
  * @module
  */
@@ -8,28 +8,28 @@
 import { EntryProcess } from './_entry_process.js';
 import { parseEntrySettings } from './settings.js';
 
-const CUT_EXIT_CODE = 1;
+const CUT_REQUESTS_EXIT_CODE = 1;
 
-/** Runs an entry host until it is told to stop. */
+/** Runs an entry host until a signal stops it. */
 export class EntryCommand extends EntryOptions {
   static override paths = [['entry']];
 
   static override usage = Command.Usage({
     description: 'run an entry host',
     details:
-      'Takes callers in, schedules their requests and dispatches them to backend servers. SIGTERM or SIGINT begins a planned stop, which cuts no request; a second signal ends it at once with honest answers. Exit code 0 after a clean stop, 1 when requests were cut, 2 when a setting cannot be used.',
+      'Accepts calls, schedules them and dispatches them to backend servers. SIGTERM or SIGINT starts a planned stop, which lets running requests finish. A second signal ends them at once and tells each caller whether its request may have run. Exits with 0 after a clean stop, 1 when requests were cut off, 2 for invalid settings.',
   });
 
   override async execute(): Promise<number> {
     const settings = parseEntrySettings(this.readFlags(), this.context.env);
     const entryHost = new EntryProcess(settings);
-    const first = waitForSignal();
+    const stopSignal = waitForSignal();
     await entryHost.start();
-    await first;
+    await stopSignal;
     const isClean = await entryHost.stop(waitForSignal());
-    // Timers and links of peers that are slow to close must not hold the
-    // process: everything that had to be told has been told.
-    process.exit(isClean ? 0 : CUT_EXIT_CODE);
+    // Timers and peer links that are slow to close must not delay the exit: all answers and
+    // notices have been sent by now.
+    process.exit(isClean ? 0 : CUT_REQUESTS_EXIT_CODE);
   }
 }
 
--- a/src/commands/load.ts
+++ b/src/commands/load.ts
@@ -1,5 +1,5 @@
 /**
- * `monsoonhall load`: offers open-loop load and says what became of it.
+ * Implements `monsoonhall load`, which offers open-loop load and reports the outcomes.
  *
  * @module
  */
@@ -16,13 +16,13 @@
 import type { LoadPlan, LoadReport } from '../load/mod.js';
 import { formatText, writeReports } from '../load/report/mod.js';
 
-const EXIT_PROMISE_BROKEN = 1;
-const EXIT_USAGE = 2;
+const BROKEN_GUARANTEE_EXIT_CODE = 1;
+const USAGE_EXIT_CODE = 2;
 const DEFAULT_SECONDS = 10;
-const DEFAULT_RATE = 5;
+const DEFAULT_REQUESTS_PER_SECOND = 5;
 const MS_PER_SECOND = 1000;
 
-/** The command line of `monsoonhall load`. */
+/** Offers load as a plan or the flags describe it, and writes the report. */
 export class LoadCommand extends Command {
   static override paths = [['load']];
 
@@ -30,44 +30,52 @@
     description: 'offer open-loop load and report goodput by tier',
     details:
       'Offers seeded arrivals without waiting for answers. Exits with 1 when a request got no ' +
-      'final answer or a wrong one, and, with --runs, when one was doubled or falsely refused as not run.',
+      'final answer or a wrong one, and, with --runs, when one ran twice or despite a refusal.',
     examples: [
       ['A plan against two entry hosts', 'monsoonhall load --url URL --url URL --plan plan.json'],
-      ['The mix that is built in', 'monsoonhall load --url URL --key firm-a=secret --rate 20'],
+      ['The built-in mix', 'monsoonhall load --url URL --key firm-a=secret --rate 20'],
     ],
   });
 
-  urls = Option.Array('--url', { description: 'base URL of an entry host; repeat it' });
+  urls = Option.Array('--url', { description: 'base URL of an entry host; may be repeated' });
 
-  keys = Option.Array('--key', { description: 'account=key; repeat it' });
+  keys = Option.Array('--key', {
+    description: 'API key of an account, as account=key; may be repeated',
+  });
 
   planFile = Option.String('--plan', { description: 'load plan as JSON' });
 
-  model = Option.String('--model', 'monsoon-draft', { description: 'model without a plan' });
+  model = Option.String('--model', 'monsoon-draft', {
+    description: 'model to call when there is no plan',
+  });
 
-  service = Option.String('--service', 'monsoon-llm', { description: 'its service' });
+  service = Option.String('--service', 'monsoon-llm', { description: 'service of that model' });
 
-  rate = Option.String('--rate', { description: 'requests a second without a plan' });
+  rate = Option.String('--rate', { description: 'requests per second when there is no plan' });
 
   seed = Option.String('--seed', '1', { description: 'seed of the arrivals' });
 
-  seconds = Option.String('--seconds', { description: 'length; stretches the phases of a plan' });
+  seconds = Option.String('--seconds', {
+    description: 'duration; the phases of a plan are scaled to it',
+  });
 
-  runs = Option.Array('--runs', { description: "stand-in backend server's URL; repeat it" });
+  runs = Option.Array('--runs', {
+    description: 'URL of a stand-in backend server to read run records from; may be repeated',
+  });
 
-  jsonFile = Option.String('--json', { description: 'write the figures there' });
+  jsonFile = Option.String('--json', { description: 'file to write the results to as JSON' });
 
-  htmlFile = Option.String('--html', { description: 'write a page with plots there' });
+  htmlFile = Option.String('--html', { description: 'file to write a page with plots to' });
 
-  /** @returns exit code */
+  /** @returns the exit code */
   override async execute(): Promise<number> {
     try {
       const report = await this.#run();
       this.context.stdout.write(formatText(report));
-      return hasBrokenPromise(report) ? EXIT_PROMISE_BROKEN : 0;
+      return hasBrokenGuarantee(report) ? BROKEN_GUARANTEE_EXIT_CODE : 0;
     } catch (error) {
       this.context.stderr.write(`${(error as Error).message}\n`);
-      return EXIT_USAGE;
+      return USAGE_EXIT_CODE;
     }
   }
 
@@ -94,16 +102,18 @@
       return buildDefaultPlan({
         model: this.model,
         service: this.service,
-        requestsPerSecond: this.rate ? parsePositive('--rate', this.rate) : DEFAULT_RATE,
+        requestsPerSecond: this.rate
+          ? parsePositive('--rate', this.rate)
+          : DEFAULT_REQUESTS_PER_SECOND,
         seconds: seconds || DEFAULT_SECONDS,
         accounts: [...keys].map(([id, apiKey]) => ({ id, apiKey })),
       });
     }
     const plan = parseLoadPlan(JSON.parse(await readFile(this.planFile, 'utf8')));
-    const factor = seconds ? (seconds * MS_PER_SECOND) / computePlanMs(plan) : 1;
+    const timeScale = seconds ? (seconds * MS_PER_SECOND) / computePlanMs(plan) : 1;
     return {
       ...plan,
-      phases: plan.phases.map((phase) => ({ ...phase, seconds: phase.seconds * factor })),
+      phases: plan.phases.map((phase) => ({ ...phase, seconds: phase.seconds * timeScale })),
       accounts: plan.accounts.map((account) => ({
         ...account,
         apiKey: keys.get(account.id) ?? account.apiKey,
@@ -132,7 +142,7 @@
   return value;
 }
 
-function hasBrokenPromise(report: LoadReport): boolean {
+function hasBrokenGuarantee(report: LoadReport): boolean {
   const { comparison } = report;
   if (report.tiers.some((tier) => tier.lost + tier.wrong > 0)) return true;
   return comparison ? comparison.doubles.length + comparison.falseNotRun.length > 0 : false;
--- a/src/commands/load_test.ts
+++ b/src/commands/load_test.ts
@@ -8,13 +8,13 @@
 import t from 'tap';
 import { LoadCommand } from './load.js';
 
-interface Ran {
+interface CommandResult {
   readonly code: number;
   readonly stdout: string;
   readonly stderr: string;
 }
 
-async function runCommand(args: readonly string[]): Promise<Ran> {
+async function runCommand(args: readonly string[]): Promise<CommandResult> {
   const stdout = new PassThrough();
   const stderr = new PassThrough();
   const code = await Cli.from(LoadCommand).run(['load', ...args], {
@@ -26,7 +26,7 @@
   return { code, stdout: read(stdout), stderr: read(stderr) };
 }
 
-t.test('monsoonhall load refuses what it cannot use, in a line each', async (t) => {
+t.test('monsoonhall load refuses invalid arguments with one line', async (t) => {
   const cases: readonly [string[], RegExp][] = [
     [[], /--url is missing/],
     [['--url', 'http://127.0.0.1:1', '--key', 'firm-a'], /must be account=key/],
@@ -42,7 +42,7 @@
   }
 });
 
-t.test('monsoonhall load runs a plan and writes figures without keys', async (t) => {
+t.test('monsoonhall load runs a plan and writes results without API keys', async (t) => {
   const server = createServer((request, response) => {
     request.resume().on('end', () => response.writeHead(200).end('{}'));
   });
--- a/src/commands/main.ts
+++ b/src/commands/main.ts
@@ -1,11 +1,11 @@
 /**
- * The program `monsoonhall`.
+ * Entry point of the program `monsoonhall`.
  *
  * @module
  */
 import { runCli } from './_cli.js';
 
-// A reader that has gone (EPIPE) must cost the output and not the process.
+// A closed pipe (EPIPE) loses the output, but it must not end the process.
 process.stdout.on('error', () => undefined);
 
 runCli(process.argv.slice(2)).then(
--- a/src/commands/settings.ts
+++ b/src/commands/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Reads and checks the settings of `monsoonhall entry`, all at once.
+ * Reads and checks the settings of `monsoonhall entry` and reports every fault together.
  *
  * ```ts
  * const settings = parseEntrySettings({ listen: '127.0.0.1:8080' }, process.env);
@@ -19,7 +19,7 @@
 
 const ENVIRONMENT_PREFIX = 'MONSOONHALL_';
 
-type Table = typeof ENTRY_SETTING_TABLE;
+type SettingTable = typeof ENTRY_SETTING_TABLE;
 
 type SettingValue<Row> = Row extends { schema: z.ZodType<infer T> }
   ? Row extends { optional: true }
@@ -28,19 +28,21 @@
   : never;
 
 /**
- * Checked settings of an entry host; the names are those of the flags, in camel case.
- * `tlsCertificate` and `tlsKey` hold the files' text.
+ * Checked settings of an entry host. The names are those of the flags, in camel case.
+ * `tlsCertificate` and `tlsKey` hold the text of the files, not their paths.
  */
-export type EntrySettings = { readonly [Name in EntrySettingName]: SettingValue<Table[Name]> };
+export type EntrySettings = {
+  readonly [Name in EntrySettingName]: SettingValue<SettingTable[Name]>;
+};
 
-/** Texts of the flags as they were given. */
+/** Flag values as they were given, before any check. */
 export type EntryFlags = Readonly<Partial<Record<EntrySettingName, string | undefined>>>;
 
 /**
  * Formats a setting's name as its flag.
  *
- * @param name - in camel case, such as `peerListen`
- * @returns such as `--peer-listen`
+ * @param name - name of the setting in camel case, such as `peerListen`
+ * @returns the flag, such as `--peer-listen`
  */
 export function formatFlag(name: string): string {
   return `--${name.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`)}`;
@@ -49,8 +51,8 @@
 /**
  * Formats a setting's name as its environment variable.
  *
- * @param name - in camel case, such as `peerListen`
- * @returns such as `MONSOONHALL_PEER_LISTEN`
+ * @param name - name of the setting in camel case, such as `peerListen`
+ * @returns the environment variable, such as `MONSOONHALL_PEER_LISTEN`
  */
 export function formatVariable(name: string): string {
   return `${ENVIRONMENT_PREFIX}${name.replace(/[A-Z]/g, (letter) => `_${letter}`).toUpperCase()}`;
@@ -60,8 +62,8 @@
   return `${formatFlag(name)} (${formatVariable(name)})`;
 }
 
-/** The flag goes first; an empty environment variable counts as none. */
-function findText(
+/** Prefers the flag to the environment variable, and treats an empty variable as not set. */
+function resolveText(
   name: EntrySettingName,
   flags: EntryFlags,
   env: NodeJS.ProcessEnv,
@@ -71,44 +73,47 @@
   return flags[name] ?? (variable === '' ? undefined : variable) ?? row.fallback;
 }
 
-/** Checks what one setting alone can't tell. */
+/** Lists faults that involve more than one setting. */
 function listConflicts(settings: Partial<EntrySettings>): string[] {
   const conflicts: string[] = [];
-  const note = (name: EntrySettingName, reason: string): void => {
+  const addConflict = (name: EntrySettingName, reason: string): void => {
     conflicts.push(`${formatSource(name)}: ${reason}`);
   };
   const { listen, peerListen, heartbeatMs, suspectAfterMs, keepAddressMs, stopLimitMs } = settings;
   if (settings.tlsCertificate !== undefined && settings.tlsKey === undefined)
-    note('tlsKey', 'it must be given together with --tls-certificate');
+    addConflict('tlsKey', 'it must be given together with --tls-certificate');
   if (settings.tlsKey !== undefined && settings.tlsCertificate === undefined)
-    note('tlsCertificate', 'it must be given together with --tls-key');
+    addConflict('tlsCertificate', 'it must be given together with --tls-key');
   if (settings.tlsCertificate !== undefined && settings.tlsKey !== undefined) {
-    const fault = checkCertificate(settings.tlsCertificate, settings.tlsKey);
-    if (fault !== undefined) note('tlsCertificate', fault);
+    const fault = findCertificateFault(settings.tlsCertificate, settings.tlsKey);
+    if (fault !== undefined) addConflict('tlsCertificate', fault);
   }
   if (listen && isWildcard(listen.host) && settings.advertise === undefined)
-    note('advertise', '--listen names no single address, so this must be given');
+    addConflict('advertise', '--listen names no single address, so this must be given');
   if (peerListen && isWildcard(peerListen.host) && settings.peerAdvertise === undefined)
-    note('peerAdvertise', '--peer-listen names no single address, so this must be given');
-  // A peer that is suspected before two heartbeats could come would flap at each lost one.
+    addConflict('peerAdvertise', '--peer-listen names no single address, so this must be given');
+  // With a timeout below two heartbeats, each lost heartbeat would make a live peer suspected.
   if (heartbeatMs !== undefined && suspectAfterMs !== undefined && suspectAfterMs < 2 * heartbeatMs)
-    note('suspectAfterMs', `expected at least twice --heartbeat-ms (${heartbeatMs})`);
-  // A stop that ends while callers still hold the address would turn them away at a closed port.
+    addConflict('suspectAfterMs', `expected at least twice --heartbeat-ms (${heartbeatMs})`);
+  // If the stop ended while callers keep this address, they would connect to a closed port.
   if (keepAddressMs !== undefined && stopLimitMs !== undefined && stopLimitMs < keepAddressMs)
-    note('stopLimitMs', `expected at least --keep-address-ms (${keepAddressMs})`);
+    addConflict('stopLimitMs', `expected at least --keep-address-ms (${keepAddressMs})`);
   if (
     settings.headerTimeoutMs !== undefined &&
     settings.requestTimeoutMs !== undefined &&
     settings.requestTimeoutMs < settings.headerTimeoutMs
   )
-    note('requestTimeoutMs', `expected at least --header-timeout-ms (${settings.headerTimeoutMs})`);
+    addConflict(
+      'requestTimeoutMs',
+      `expected at least --header-timeout-ms (${settings.headerTimeoutMs})`,
+    );
   return conflicts;
 }
 
-/** A wrong pair would otherwise show only when the first caller connects. */
-function checkCertificate(cert: string, key: string): string | undefined {
+/** Detects a mismatched key pair at the start instead of at the first connection of a caller. */
+function findCertificateFault(certificate: string, key: string): string | undefined {
   try {
-    createSecureContext({ cert, key });
+    createSecureContext({ cert: certificate, key });
     return undefined;
   } catch {
     return 'expected a certificate that fits --tls-key';
@@ -120,18 +125,19 @@
 }
 
 /**
- * Reads every setting, from its flag or else from its environment variable, and checks all of them.
+ * Reads each setting from its flag, its environment variable or its default, and checks all of
+ * them.
  *
- * @param flags - texts of the flags that were given
+ * @param flags - flag values as they were given
  * @param env - environment variables, such as `MONSOONHALL_LISTEN`
- * @returns the settings
- * @throws SettingsError with every fault, one line each
+ * @returns the checked settings
+ * @throws SettingsError with one line for each fault
  */
 export function parseEntrySettings(flags: EntryFlags, env: NodeJS.ProcessEnv): EntrySettings {
   const faults: string[] = [];
   const settings: Record<string, unknown> = {};
   Object.entries<SettingRow<unknown>>(ENTRY_SETTING_TABLE).forEach(([name, row]) => {
-    const text = findText(name as EntrySettingName, flags, env);
+    const text = resolveText(name as EntrySettingName, flags, env);
     if (text === undefined) {
       if (!row.optional) faults.push(`${formatSource(name)}: it must be given`);
       return;
--- a/src/commands/settings_error.ts
+++ b/src/commands/settings_error.ts
@@ -1,17 +1,17 @@
 /**
- * Settings that cannot be used.
+ * Defines the error for invalid settings and the exit code for it.
  *
  * @module
  */
 
-/** Exit code of a command that was given settings it cannot use. */
+/** Exit code of a command whose settings or arguments are invalid. */
 export const SETTINGS_EXIT_CODE = 2;
 
-/** Settings that cannot be used, with every fault that was found. */
+/** Reports invalid settings, with every fault that was found. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 
-  /** @param faults - one line a fault; none of them shows a key */
+  /** @param faults - one line for each fault; no line contains a key */
   constructor(readonly faults: readonly string[]) {
     super(`Cannot use these settings: ${faults.join('; ')}`);
   }
--- a/src/commands/settings_test.ts
+++ b/src/commands/settings_test.ts
@@ -12,7 +12,7 @@
 const ADMIN_KEY = 'operators-only';
 const CLUSTER_KEY = 'ab'.repeat(32);
 
-const GOOD: EntryFlags = {
+const VALID_FLAGS: EntryFlags = {
   id: 'entry-1',
   availabilityZone: 'hall-a',
   listen: '127.0.0.1:8080',
@@ -34,8 +34,8 @@
   }
 }
 
-t.test('parseEntrySettings() fills in what was left out', async (t) => {
-  const settings = parseEntrySettings(GOOD, {});
+t.test('parseEntrySettings() fills in defaults for omitted settings', async (t) => {
+  const settings = parseEntrySettings(VALID_FLAGS, {});
   t.match(settings, {
     id: 'entry-1',
     listen: { host: '127.0.0.1', port: 8080 },
@@ -62,10 +62,10 @@
   t.equal(Buffer.from(settings.clusterKey).toString('hex'), CLUSTER_KEY);
 });
 
-t.test('parseEntrySettings() takes the flag first, then the environment variable', async (t) => {
+t.test('parseEntrySettings() prefers the flag to the environment variable', async (t) => {
   const env = { MONSOONHALL_ID: 'from-env', MONSOONHALL_PEERS: 'ws://10.0.0.2:1, ws://10.0.0.3:1' };
-  t.equal(parseEntrySettings(GOOD, env).id, 'entry-1');
-  const { id, ...rest } = GOOD;
+  t.equal(parseEntrySettings(VALID_FLAGS, env).id, 'entry-1');
+  const { id, ...rest } = VALID_FLAGS;
   const settings = parseEntrySettings(rest, env);
   t.equal(settings.id, 'from-env');
   t.strictSame(settings.peers, ['ws://10.0.0.2:1', 'ws://10.0.0.3:1']);
@@ -75,7 +75,7 @@
   t.ok(id);
 });
 
-/** A faulty flag, and what its line must say. */
+/** Invalid flags and the expected fault line. */
 const FAULTS: readonly (readonly [EntryFlags, RegExp])[] = [
   [{ id: 'a b' }, /^--id \(MONSOONHALL_ID\): expected a name .*, got "a b"$/],
   [{ id: '' }, /^--id .*expected a name/],
@@ -114,41 +114,43 @@
   ],
 ];
 
-t.test('parseEntrySettings() tells each fault in one line', async (t) => {
+t.test('parseEntrySettings() reports each fault in one line', async (t) => {
   FAULTS.forEach(([flags, expected]) => {
-    const faults = listFaults({ ...GOOD, ...flags });
+    const faults = listFaults({ ...VALID_FLAGS, ...flags });
     t.equal(faults.length, 1, JSON.stringify(flags));
     t.match(faults[0], expected);
     t.notMatch(faults[0], /[\r\n]/);
   });
 });
 
-t.test('parseEntrySettings() tells all faults at once', async (t) => {
-  t.equal(listFaults({}).length, Object.keys(GOOD).length);
-  t.equal(listFaults({ ...GOOD, id: '\n', logLevel: 'x\r\ny', heartbeatMs: '' }).length, 3);
+t.test('parseEntrySettings() reports all faults together', async (t) => {
+  t.equal(listFaults({}).length, Object.keys(VALID_FLAGS).length);
+  t.equal(listFaults({ ...VALID_FLAGS, id: '\n', logLevel: 'x\r\ny', heartbeatMs: '' }).length, 3);
 });
 
 t.test('parseEntrySettings() never shows a key', async (t) => {
   const secret = 'sécret';
-  const faults = listFaults({ ...GOOD, adminKey: secret, clusterKey: secret, listen: 'x' });
+  const faults = listFaults({ ...VALID_FLAGS, adminKey: secret, clusterKey: secret, listen: 'x' });
   t.equal(faults.length, 3);
   t.notMatch(faults.join('\n'), secret);
 });
 
 t.test(
-  'parseEntrySettings() refuses half a certificate, and a key that does not fit',
+  'parseEntrySettings() refuses a certificate without its key and a mismatched key pair',
   async (t) => {
     const folder = mkdtempSync(path.join(tmpdir(), 'monsoonhall-'));
     t.teardown(() => rmSync(folder, { recursive: true }));
     const file = path.join(folder, 'a.pem');
     writeFileSync(file, '-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n');
-    t.match(listFaults({ ...GOOD, tlsCertificate: file }), [/^--tls-key .*together/]);
-    t.match(listFaults({ ...GOOD, tlsKey: file }), [/^--tls-certificate .*together/]);
-    t.match(listFaults({ ...GOOD, tlsCertificate: file, tlsKey: file }), [/fits --tls-key$/]);
+    t.match(listFaults({ ...VALID_FLAGS, tlsCertificate: file }), [/^--tls-key .*together/]);
+    t.match(listFaults({ ...VALID_FLAGS, tlsKey: file }), [/^--tls-certificate .*together/]);
+    t.match(listFaults({ ...VALID_FLAGS, tlsCertificate: file, tlsKey: file }), [
+      /fits --tls-key$/,
+    ]);
   },
 );
 
-t.test("the operators' page has every setting with its default", async (t) => {
+t.test("the operators' page lists every setting with its default", async (t) => {
   const page = readFileSync('docs/OPERATIONS.md', 'utf8').replaceAll(/ +/g, ' ');
   Object.entries<SettingRow<unknown>>(ENTRY_SETTING_TABLE).forEach(([name, row]) => {
     const given = row.optional ? 'none' : 'must be given';
--- a/src/commands/status.ts
+++ b/src/commands/status.ts
@@ -1,34 +1,34 @@
 /**
- * `monsoonhall status`: what entry hosts now believe.
+ * Implements `monsoonhall status`, which prints the state that entry hosts report.
  *
  * @module
  */
 import { Command, Option } from 'clipanion';
 import { createSecretSchema, createUrlListSchema } from './_setting_schemas.js';
 import { formatStatus, statusSchema } from './_status_report.js';
-import type { StatusAnswer } from './_status_report.js';
+import type { StatusResult } from './_status_report.js';
 import { SettingsError } from './settings.js';
 
-const TIMEOUT_MS = 5000;
+const RESPONSE_TIMEOUT_MS = 5000;
 const FAILURE_EXIT_CODE = 1;
 
-/** Asks one or more entry hosts. Exit code 0 when each has answered, 1 otherwise. */
+/** Queries one or more entry hosts. Exits with 0 when each has responded, with 1 otherwise. */
 export class StatusCommand extends Command {
   static override paths = [['status']];
 
   static override usage = Command.Usage({
-    description: 'show what entry hosts now believe',
+    description: 'show the state that entry hosts report',
     details:
-      'Shows revision in force, peers, backend servers, queues by tier and refusals by kind. ' +
-      'Exits with 0 when each entry host has answered, with 1 otherwise, with 2 for bad settings.',
+      'Shows the configuration in effect, peers, backend servers, queues by tier and refusals ' +
+      'by kind. Exits with 0 if all entry hosts responded, 1 if not, 2 for bad settings.',
     examples: [
       ['One entry host', 'monsoonhall status --admin-url http://10.0.0.1:9090 --admin-key KEY'],
-      ['Two, as JSON', 'monsoonhall status --admin-url URL --admin-url URL --json'],
+      ['Two entry hosts, as JSON', 'monsoonhall status --admin-url URL --admin-url URL --json'],
     ],
   });
 
   adminUrls = Option.Array('--admin-url', {
-    description: 'base URL of an administration listener; repeat it (MONSOONHALL_ADMIN_URL)',
+    description: 'base URL of an administration listener; may be repeated (MONSOONHALL_ADMIN_URL)',
   });
 
   adminKey = Option.String('--admin-key', {
@@ -41,10 +41,10 @@
   /** @returns the exit code */
   override async execute(): Promise<number> {
     const { urls, key } = this.#readSettings();
-    const answers = await Promise.all(urls.map((url) => readStatus(url, key)));
-    const text = this.json ? `${JSON.stringify(answers, undefined, 2)}\n` : formatStatus(answers);
+    const results = await Promise.all(urls.map((url) => readStatus(url, key)));
+    const text = this.json ? `${JSON.stringify(results, undefined, 2)}\n` : formatStatus(results);
     this.context.stdout.write(text);
-    return answers.every(({ status }) => status) ? 0 : FAILURE_EXIT_CODE;
+    return results.every(({ status }) => status) ? 0 : FAILURE_EXIT_CODE;
   }
 
   #readSettings(): { urls: readonly string[]; key: string } {
@@ -61,21 +61,21 @@
   }
 }
 
-async function readStatus(adminUrl: string, adminKey: string): Promise<StatusAnswer> {
+async function readStatus(adminUrl: string, adminKey: string): Promise<StatusResult> {
   try {
     const response = await fetch(`${adminUrl}/v1/status`, {
       headers: { authorization: `Bearer ${adminKey}` },
-      signal: AbortSignal.timeout(TIMEOUT_MS),
+      signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MS),
     });
     if (!response.ok) return { adminUrl, error: `it answered ${response.status}` };
     return { adminUrl, status: statusSchema.parse(await response.json()) };
   } catch (error) {
-    return { adminUrl, error: formatCause(error) };
+    return { adminUrl, error: formatFetchError(error) };
   }
 }
 
-/** Of a failed fetch, the cause tells what happened. */
-function formatCause(error: unknown): string {
+/** Prefers the cause: the message of a failed fetch itself names no reason. */
+function formatFetchError(error: unknown): string {
   if (!(error instanceof Error)) return String(error);
   return error.cause instanceof Error ? error.cause.message : error.message;
 }
--- a/src/commands/status_test.ts
+++ b/src/commands/status_test.ts
@@ -29,7 +29,7 @@
   return { exitCode, stdout: String(stdout.read() ?? ''), stderr: String(stderr.read() ?? '') };
 }
 
-async function startAdmin(t: { teardown: (end: () => unknown) => void }, body: unknown) {
+async function startAdminServer(t: { teardown: (end: () => unknown) => void }, body: unknown) {
   const host = await FakeEntryHost.start();
   host.handle = ({ path, headers }, response) => {
     const isAllowed = path === '/v1/status' && headers.authorization === 'Bearer operators';
@@ -39,31 +39,34 @@
   return host;
 }
 
-t.test('status shows what each entry host believes, and that they differ', async (t) => {
-  const first = await startAdmin(t, buildStatus('entry-1', 'aaaa'));
-  const second = await startAdmin(t, buildStatus('entry-2', 'bbbb'));
-  const argv = ['--admin-url', first.url, '--admin-url', second.url];
-  const result = await runStatus(argv, { MONSOONHALL_ADMIN_KEY: 'operators' });
-  t.equal(result.exitCode, 0);
-  t.match(result.stdout, /^entry-1 +yes +41 +aaaa +41 +12 +2 +1 +-$/m);
-  t.match(result.stdout, /2 different configurations in force/);
-  t.match(result.stdout, /^monsoonhall\/contracts\/firm-b +40 +line 3: tier +all$/m);
-  t.match(result.stdout, /^queue_full +3 +all$/m);
-  t.match(result.stdout, /^entry-2 +http:\S+ +live +entry-2$/m);
-  t.notMatch(result.stdout, /(?!\n)\p{Cc}/u);
-});
+t.test(
+  'status shows the state of each entry host and that their configurations differ',
+  async (t) => {
+    const first = await startAdminServer(t, buildStatus('entry-1', 'aaaa'));
+    const second = await startAdminServer(t, buildStatus('entry-2', 'bbbb'));
+    const argv = ['--admin-url', first.url, '--admin-url', second.url];
+    const result = await runStatus(argv, { MONSOONHALL_ADMIN_KEY: 'operators' });
+    t.equal(result.exitCode, 0);
+    t.match(result.stdout, /^entry-1 +yes +41 +aaaa +41 +12 +2 +1 +-$/m);
+    t.match(result.stdout, /2 different configurations in force/);
+    t.match(result.stdout, /^monsoonhall\/contracts\/firm-b +40 +line 3: tier +all$/m);
+    t.match(result.stdout, /^queue_full +3 +all$/m);
+    t.match(result.stdout, /^entry-2 +http:\S+ +live +entry-2$/m);
+    t.notMatch(result.stdout, /(?!\n)\p{Cc}/u);
+  },
+);
 
 t.test('status prints JSON', async (t) => {
-  const host = await startAdmin(t, buildStatus('entry-1', 'aaaa'));
+  const host = await startAdminServer(t, buildStatus('entry-1', 'aaaa'));
   const result = await runStatus(['--json', '--admin-url', host.url, '--admin-key', 'operators']);
   t.match(JSON.parse(result.stdout), [
     { adminUrl: host.url, status: { health: { id: 'entry-1' } } },
   ]);
 });
 
-t.test('status says which entry host did not answer, with exit code 1', async (t) => {
-  const good = await startAdmin(t, buildStatus('entry-1', 'aaaa'));
-  const odd = await startAdmin(t, { something: 'else' });
+t.test('status names each entry host that did not respond and exits with 1', async (t) => {
+  const good = await startAdminServer(t, buildStatus('entry-1', 'aaaa'));
+  const odd = await startAdminServer(t, { something: 'else' });
   const gone = await FakeEntryHost.start();
   const goneUrl = gone.url;
   await gone.close();
@@ -77,7 +80,7 @@
   t.match(refused.stdout, /it answered 401/);
 });
 
-t.test('status tells every faulty setting with exit code 2', async (t) => {
+t.test('status reports every invalid setting and exits with 2', async (t) => {
   const result = await runStatus([]);
   t.equal(result.exitCode, 2);
   t.match(result.stderr, /^--admin-url .*must be given\n--admin-key .*must be given\n$/);
