--- a/src/caller/_answer_body.ts
+++ b/src/caller/_answer_body.ts
@@ -5,20 +5,20 @@
  */
 import type { IncomingMessage } from 'node:http';
 import { RunOutcome, formatReason } from '../domain/errors/mod.js';
-import { buildAuthorization, MAX_TRIES, waitBetweenRounds } from './_call_context.js';
+import { buildAuthorization, MAX_ATTEMPTS, waitBeforeRetry } from './_call_context.js';
 import type { CallContext } from './_call_context.js';
-import { ErrorEvent, EventReader } from './_event_reader.js';
+import { ErrorEvent, ErrorEventFilter } from './_event_reader.js';
 import { Exchange, ExchangeError } from './_exchange.js';
-import { isOwnerGone, isPassing, openAnswer } from './_refusal.js';
+import { isOwnerGone, isRetryableElsewhere, openAnswer } from './_refusal.js';
 import type { Refusal } from './_refusal.js';
-import { waitWatching } from './_silence_watch.js';
-import type { Submitted } from './_submission.js';
+import { waitWithSilenceCheck } from './_silence_check.js';
+import type { SubmittedCall } from './_submission.js';
 import { CallerError, LocalErrorCode } from './caller_error.js';
 
 const EVENT_STREAM = 'text/event-stream';
 
 /** Where the answer is being read now. */
-interface Source {
+interface AnswerSource {
   readonly head: IncomingMessage;
   readonly exchange: Exchange;
   readonly url: string;
@@ -37,15 +37,15 @@
 
   readonly #signal: AbortSignal | undefined;
 
-  readonly #first: Submitted;
+  readonly #submitted: SubmittedCall;
 
-  #source: Source;
+  #source: AnswerSource;
 
   #offset = 0;
 
   #resumes = 0;
 
-  #fruitlessTries = 0;
+  #attemptsWithoutProgress = 0;
 
   /**
    * @param context - shared by the client's calls
@@ -56,13 +56,13 @@
   constructor(
     context: CallContext,
     requestId: string,
-    submitted: Submitted,
+    submitted: SubmittedCall,
     signal: AbortSignal | undefined,
   ) {
     this.#context = context;
     this.#requestId = requestId;
     this.#signal = signal;
-    this.#first = submitted;
+    this.#submitted = submitted;
     const { answer, exchange, url } = submitted;
     this.#source = { head: answer.head, exchange, url };
   }
@@ -77,7 +77,7 @@
    * @throws CallerError when it breaks off and can't be read on
    */
   async *read(): AsyncGenerator<Uint8Array> {
-    const { body } = this.#first.answer;
+    const { body } = this.#submitted.answer;
     if (body) {
       yield body;
       return;
@@ -101,36 +101,37 @@
   async *#readSource(): AsyncGenerator<Uint8Array> {
     const { head } = this.#source;
     const events = getHeader(head, 'content-type')?.startsWith(EVENT_STREAM)
-      ? new EventReader()
+      ? new ErrorEventFilter()
       : undefined;
     const chunks = (head as AsyncIterable<Buffer>)[Symbol.asyncIterator]();
     for (;;) {
-      const watched = { requestId: this.#requestId, offset: this.#offset, signal: this.#signal };
-      const next = await waitWatching(this.#context, chunks.next(), watched);
+      const progress = { requestId: this.#requestId, offset: this.#offset, signal: this.#signal };
+      const next = await waitWithSilenceCheck(this.#context, chunks.next(), progress);
       if (next.done) break;
-      for (const part of events ? events.split(next.value) : [next.value]) yield this.#note(part);
+      for (const chunk of events ? events.split(next.value) : [next.value])
+        yield this.#recordProgress(chunk);
     }
     if (!head.complete) throw new ExchangeError(true, 'The answer broke off');
     const rest = events?.takeRest();
-    if (rest && rest.length > 0) yield this.#note(rest);
+    if (rest && rest.length > 0) yield this.#recordProgress(rest);
   }
 
-  #note(part: Uint8Array): Uint8Array {
-    this.#offset += part.length;
-    this.#fruitlessTries = 0;
-    return part;
+  #recordProgress(chunk: Uint8Array): Uint8Array {
+    this.#offset += chunk.length;
+    this.#attemptsWithoutProgress = 0;
+    return chunk;
   }
 
   /** Finds an entry host that reads on at the offset; starts nothing. */
   async #resume(cause: unknown): Promise<void> {
     this.#source.exchange.close();
-    if (cause instanceof ErrorEvent) this.#checkMayResume(cause.refusal, cause);
+    if (cause instanceof ErrorEvent) this.#throwIfFinal(cause.refusal, cause);
     let lastError = cause;
-    this.#context.addresses.noteFailure(this.#source.url);
-    while (this.#fruitlessTries < MAX_TRIES) {
-      if (this.#fruitlessTries > 0)
-        await waitBetweenRounds(this.#context.clock, this.#fruitlessTries - 1);
-      this.#fruitlessTries += 1;
+    this.#context.addresses.recordFailure(this.#source.url);
+    while (this.#attemptsWithoutProgress < MAX_ATTEMPTS) {
+      if (this.#attemptsWithoutProgress > 0)
+        await waitBeforeRetry(this.#context.clock, this.#attemptsWithoutProgress - 1);
+      this.#attemptsWithoutProgress += 1;
       const url = this.#context.addresses.list()[0] ?? this.#source.url;
       try {
         this.#source = await this.#openAt(url);
@@ -139,14 +140,14 @@
       } catch (error) {
         this.#signal?.throwIfAborted();
         if (error instanceof CallerError) throw error;
-        this.#context.addresses.noteFailure(url);
+        this.#context.addresses.recordFailure(url);
         lastError = error;
       }
     }
-    throw this.#buildLost(lastError);
+    throw this.#buildLostError(lastError);
   }
 
-  async #openAt(url: string): Promise<Source> {
+  async #openAt(url: string): Promise<AnswerSource> {
     const exchange = new Exchange(
       {
         url: `${url}${this.#buildPath()}`,
@@ -158,10 +159,10 @@
       this.#context.clock,
     );
     try {
-      const watched = { requestId: this.#requestId, offset: this.#offset, signal: this.#signal };
-      const head = await waitWatching(this.#context, exchange.head, watched);
+      const progress = { requestId: this.#requestId, offset: this.#offset, signal: this.#signal };
+      const head = await waitWithSilenceCheck(this.#context, exchange.head, progress);
       const { refusal } = await openAnswer(head);
-      if (refusal) this.#checkMayResume(refusal);
+      if (refusal) this.#throwIfFinal(refusal);
       if (refusal) throw new Error(refusal.message);
       return { head, exchange, url };
     } catch (error) {
@@ -172,7 +173,7 @@
 
   #buildPath(): string {
     const query = new URLSearchParams({ offset: String(this.#offset) });
-    const { head } = this.#first.answer;
+    const { head } = this.#submitted.answer;
     const backendServer = getHeader(head, 'backend-server');
     const streamId = getHeader(head, 'stream-id');
     if (backendServer !== undefined) query.set('backendServer', backendServer);
@@ -181,12 +182,12 @@
   }
 
   /** Other entry hosts may still reach what this one could not; a cut that its owner tells is final. */
-  #checkMayResume(refusal: Refusal, cause?: unknown): void {
-    if (isPassing(refusal.code) || isOwnerGone(refusal.code)) return;
+  #throwIfFinal(refusal: Refusal, cause?: unknown): void {
+    if (isRetryableElsewhere(refusal.code) || isOwnerGone(refusal.code)) return;
     const { code, message, retryAfterMs, run } = refusal;
     // The head was a backend server's: whatever is lost now, the call ran.
-    const known = run === RunOutcome.NotRun || this.#hasRun() ? RunOutcome.Ran : run;
-    throw new CallerError(known, message, {
+    const knownRun = run === RunOutcome.NotRun || this.#hasRun() ? RunOutcome.Ran : run;
+    throw new CallerError(knownRun, message, {
       code,
       retryAfterMs,
       requestId: this.#requestId,
@@ -195,10 +196,10 @@
   }
 
   #hasRun(): boolean {
-    return getHeader(this.#first.answer.head, 'backend-server') !== undefined;
+    return getHeader(this.#submitted.answer.head, 'backend-server') !== undefined;
   }
 
-  #buildLost(cause: unknown): CallerError {
+  #buildLostError(cause: unknown): CallerError {
     const reason = formatReason(cause);
     return new CallerError(
       this.#hasRun() ? RunOutcome.Ran : RunOutcome.MayHaveRun,
--- a/src/caller/_call_context.ts
+++ b/src/caller/_call_context.ts
@@ -14,14 +14,14 @@
   readonly addresses: AddressBook;
   readonly apiKey: string;
   /** Silence after which the caller asks whether it misses something, in milliseconds. */
-  readonly silenceMs: number;
+  readonly silenceTimeoutMs: number;
 }
 
 /** Most tries in a row that bring nothing. */
-export const MAX_TRIES = 6;
+export const MAX_ATTEMPTS = 6;
 
-const FIRST_PAUSE_MS = 100;
-const MAX_PAUSE_MS = 2000;
+const FIRST_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 2000;
 
 /** @param apiKey - the caller's key. @returns the header that carries it */
 export function buildAuthorization(apiKey: string): Readonly<Record<string, string>> {
@@ -32,11 +32,11 @@
  * Waits between two rounds over the addresses.
  *
  * @param clock - the clock
- * @param round - rounds before, from 0 on; the pause doubles with each
+ * @param retry - rounds before, from 0 on; the pause doubles with each
  */
-export function waitBetweenRounds(clock: Clock, round: number): Promise<void> {
-  const pauseMs = Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** round);
+export function waitBeforeRetry(clock: Clock, retry: number): Promise<void> {
+  const backoffMs = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** retry);
   return new Promise((resolve) => {
-    clock.setTimer(pauseMs, resolve);
+    clock.setTimer(backoffMs, resolve);
   });
 }
--- a/src/caller/_control_call.ts
+++ b/src/caller/_control_call.ts
@@ -7,8 +7,8 @@
 import { buildAuthorization } from './_call_context.js';
 import type { CallContext } from './_call_context.js';
 import { closeIdleConnections, Exchange } from './_exchange.js';
-import { isPassing, openAnswer, readBody } from './_refusal.js';
-import { SilenceError, waitWithin } from './_wait_within.js';
+import { isRetryableElsewhere, openAnswer, readBody } from './_refusal.js';
+import { WaitTimeoutError, waitWithin } from './_wait_within.js';
 import { CallerError, LocalErrorCode } from './caller_error.js';
 
 const CONTROL_TIMEOUT_MS = 5000;
@@ -36,7 +36,7 @@
     return await waitWithin(readAnswer(exchange), context.clock, CONTROL_TIMEOUT_MS);
   } catch (error) {
     exchange.close();
-    if (!(error instanceof SilenceError) || !exchange.isOnKeptConnection) throw error;
+    if (!(error instanceof WaitTimeoutError) || !exchange.isOnReusedConnection) throw error;
     // The far end may have lost track of a kept connection. A caller that knows
     // one address would be told that nobody answers, while a new connection to
     // that address works.
@@ -58,7 +58,7 @@
 }
 
 function isFinal(error: unknown): error is CallerError {
-  return error instanceof CallerError && !isPassing(error.code);
+  return error instanceof CallerError && !isRetryableElsewhere(error.code);
 }
 
 /**
@@ -78,7 +78,7 @@
     } catch (error) {
       call.signal?.throwIfAborted();
       if (isFinal(error)) throw error;
-      context.addresses.noteFailure(url);
+      context.addresses.recordFailure(url);
       lastError = error;
     }
   }
--- a/src/caller/_event_reader.ts
+++ b/src/caller/_event_reader.ts
@@ -25,8 +25,8 @@
  * into it, the offset from which another entry host reads on would be wrong
  * and bytes would be missing. So each event is looked at before it is passed.
  */
-export class EventReader {
-  #held: Buffer = Buffer.alloc(0);
+export class ErrorEventFilter {
+  #buffered: Buffer = Buffer.alloc(0);
 
   /**
    * @param bytes - the next bytes of the body
@@ -34,24 +34,25 @@
    * @throws ErrorEvent after the last event before it
    */
   *split(bytes: Uint8Array): Generator<Buffer> {
-    this.#held = this.#held.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.#held, bytes]);
+    this.#buffered =
+      this.#buffered.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.#buffered, bytes]);
     for (let end = this.#findEnd(); end >= 0; end = this.#findEnd()) {
-      const event = this.#held.subarray(0, end);
-      checkEvent(event);
-      this.#held = this.#held.subarray(end);
+      const event = this.#buffered.subarray(0, end);
+      throwIfErrorEvent(event);
+      this.#buffered = this.#buffered.subarray(end);
       yield event;
     }
   }
 
   /** @returns what stands behind the last whole event */
   takeRest(): Buffer {
-    const rest = this.#held;
-    this.#held = Buffer.alloc(0);
+    const rest = this.#buffered;
+    this.#buffered = Buffer.alloc(0);
     return rest;
   }
 
   #findEnd(): number {
-    const at = this.#held.indexOf(EVENT_END);
+    const at = this.#buffered.indexOf(EVENT_END);
     return at < 0 ? -1 : at + EVENT_END.length;
   }
 }
@@ -61,7 +62,7 @@
  * entry hosts pass on in pieces. Quotes inside JSON text are escaped, so no
  * answer's own text can look like its start.
  */
-function checkEvent(event: Buffer): void {
+function throwIfErrorEvent(event: Buffer): void {
   const start = event.lastIndexOf(ERROR_EVENT_START);
   if (start < 0) return;
   const refusal = parseRefusal(event.toString('utf8', start + DATA_FIELD.length));
--- a/src/caller/_exchange.ts
+++ b/src/caller/_exchange.ts
@@ -45,12 +45,12 @@
   override readonly name = 'ExchangeError';
 
   /**
-   * @param mayHaveLeft - whether the entry host may have the request
+   * @param mayHaveBeenSent - whether the entry host may have the request
    * @param message - what could not be done, and why
    * @param options - the error underneath
    */
   constructor(
-    readonly mayHaveLeft: boolean,
+    readonly mayHaveBeenSent: boolean,
     message: string,
     options?: ErrorOptions,
   ) {
@@ -87,12 +87,12 @@
     this.head = this.#waitForHead(call.url);
     // Nobody may be waiting any more when it fails.
     this.head.catch(() => undefined);
-    this.#watchConnecting(clock, isSecure ? 'secureConnect' : 'connect');
+    this.#limitConnectTime(clock, isSecure ? 'secureConnect' : 'connect');
     this.#request.end(call.body);
   }
 
   /** Whether its connection had been used before. */
-  get isOnKeptConnection(): boolean {
+  get isOnReusedConnection(): boolean {
     return this.#request.reusedSocket;
   }
 
@@ -113,18 +113,18 @@
   }
 
   /** Before the connection is ready, TLS included, not a byte of the request can have left. */
-  #watchConnecting(clock: Clock, readyEvent: 'connect' | 'secureConnect'): void {
+  #limitConnectTime(clock: Clock, readyEvent: 'connect' | 'secureConnect'): void {
     const timer = clock.setTimer(CONNECT_TIMEOUT_MS, () => {
       if (!this.#hasConnected)
         this.#request.destroy(new Error(`no connection within ${CONNECT_TIMEOUT_MS} ms`));
     });
-    const noteConnected = (): void => {
+    const markConnected = (): void => {
       this.#hasConnected = true;
       timer.cancel();
     };
     this.#request.once('socket', (socket) => {
-      if (socket.connecting) socket.once(readyEvent, noteConnected);
-      else noteConnected();
+      if (socket.connecting) socket.once(readyEvent, markConnected);
+      else markConnected();
     });
     this.#request.once('close', () => timer.cancel());
   }
--- a/src/caller/_refusal.ts
+++ b/src/caller/_refusal.ts
@@ -26,7 +26,7 @@
  * Kinds that the entry host in between may answer without having asked the
  * owner: another entry host may know more.
  */
-const PASSING_CODES: ReadonlySet<string> = new Set([
+const RETRYABLE_ELSEWHERE_CODES: ReadonlySet<string> = new Set([
   ErrorKind.EntryHostStopping,
   ErrorKind.TooManyConnections,
   ErrorKind.ConfigurationMissing,
@@ -61,8 +61,8 @@
 ]);
 
 /** @param code - of an error answer. @returns whether another entry host may answer better */
-export function isPassing(code: string): boolean {
-  return PASSING_CODES.has(code);
+export function isRetryableElsewhere(code: string): boolean {
+  return RETRYABLE_ELSEWHERE_CODES.has(code);
 }
 
 /** @param code - of an error answer. @returns whether it comes from the request's owner */
@@ -107,15 +107,15 @@
  * @throws Error when it is too long or breaks off
  */
 export async function readBody(answer: IncomingMessage): Promise<Buffer> {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let length = 0;
-  for await (const part of answer as AsyncIterable<Buffer>) {
-    length += part.length;
+  for await (const chunk of answer as AsyncIterable<Buffer>) {
+    length += chunk.length;
     if (length > MAX_ERROR_BYTES)
       throw new Error(`the body is longer than ${MAX_ERROR_BYTES} bytes`);
-    parts.push(part);
+    chunks.push(chunk);
   }
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 }
 
 /** An answer's head, and its body where that had to be read to know what the answer is. */
--- a/src/caller/_silence_watch.ts
+++ b/src/caller/_silence_check.ts
@@ -8,7 +8,7 @@
 import type { CallContext } from './_call_context.js';
 import { sendControlCall } from './_control_call.js';
 import { closeIdleConnections, ExchangeError } from './_exchange.js';
-import { SilenceError, waitWithin } from './_wait_within.js';
+import { WaitTimeoutError, waitWithin } from './_wait_within.js';
 
 const FINAL_STATES: readonly RequestState[] = [
   RequestState.Answered,
@@ -16,10 +16,10 @@
   RequestState.Failed,
 ];
 
-const reportSchema = z.object({ state: z.enum(RequestState), answerBytes: z.number() });
+const stateReportSchema = z.object({ state: z.enum(RequestState), answerBytes: z.number() });
 
 /** What is being waited for. */
-export interface WatchedStep {
+export interface AnswerProgress {
   readonly requestId: string;
   /** Bytes of the answer that have come. */
   readonly offset: number;
@@ -27,14 +27,17 @@
 }
 
 /** Whether the owner has something that has not come here. */
-async function isBehind(context: CallContext, watched: WatchedStep): Promise<boolean> {
-  const path = `/v1/requests/${encodeURIComponent(watched.requestId)}`;
+async function hasUnreceivedAnswer(
+  context: CallContext,
+  progress: AnswerProgress,
+): Promise<boolean> {
+  const path = `/v1/requests/${encodeURIComponent(progress.requestId)}`;
   try {
-    const answer = await sendControlCall(context, { method: 'GET', path, signal: watched.signal });
-    const { state, answerBytes } = reportSchema.parse(answer);
-    return FINAL_STATES.includes(state) || answerBytes > watched.offset;
+    const answer = await sendControlCall(context, { method: 'GET', path, signal: progress.signal });
+    const { state, answerBytes } = stateReportSchema.parse(answer);
+    return FINAL_STATES.includes(state) || answerBytes > progress.offset;
   } catch {
-    watched.signal?.throwIfAborted();
+    progress.signal?.throwIfAborted();
     // Nobody knows the request: reading on elsewhere is all that is left to try.
     return true;
   }
@@ -48,23 +51,23 @@
  *
  * @param context - shared by the client's calls
  * @param step - what to wait for
- * @param watched - whose step it is
+ * @param progress - whose step it is
  * @returns the step's value
  * @throws ExchangeError when the connection has gone silent for good
  */
-export async function waitWatching<T>(
+export async function waitWithSilenceCheck<T>(
   context: CallContext,
   step: Promise<T>,
-  watched: WatchedStep,
+  progress: AnswerProgress,
 ): Promise<T> {
   for (;;) {
     try {
-      return await waitWithin(step, context.clock, context.silenceMs);
+      return await waitWithin(step, context.clock, context.silenceTimeoutMs);
     } catch (error) {
-      if (!(error instanceof SilenceError)) throw error;
+      if (!(error instanceof WaitTimeoutError)) throw error;
       // A kept connection may be as silent as this one and would hold the question up.
       closeIdleConnections(context.agents);
-      if (await isBehind(context, watched))
+      if (await hasUnreceivedAnswer(context, progress))
         throw new ExchangeError(true, `The connection went silent: ${error.message}`);
     }
   }
--- a/src/caller/_submission.ts
+++ b/src/caller/_submission.ts
@@ -5,23 +5,23 @@
  */
 import type { Assignment } from '../application/views/mod.js';
 import { RunOutcome } from '../domain/errors/mod.js';
-import { buildAuthorization, MAX_TRIES, waitBetweenRounds } from './_call_context.js';
+import { buildAuthorization, MAX_ATTEMPTS, waitBeforeRetry } from './_call_context.js';
 import type { CallContext } from './_call_context.js';
 import { Exchange, ExchangeError } from './_exchange.js';
 import {
   isFromListener,
   isFromOwner,
   isOwnerUnreachable,
-  isPassing,
+  isRetryableElsewhere,
   openAnswer,
 } from './_refusal.js';
 import type { OpenedAnswer, Refusal } from './_refusal.js';
-import { waitWatching } from './_silence_watch.js';
+import { waitWithSilenceCheck } from './_silence_check.js';
 import { CallerError, LocalErrorCode } from './caller_error.js';
 import type { CallerRequest } from './caller_request.js';
 
 /** An answer whose head has come. */
-export interface Submitted {
+export interface SubmittedCall {
   readonly answer: OpenedAnswer;
   readonly exchange: Exchange;
   readonly url: string;
@@ -64,7 +64,7 @@
 
   readonly #body: Uint8Array | undefined;
 
-  #mayHaveLeft = false;
+  #mayHaveBeenSent = false;
 
   /**
    * @param context - shared by the client's calls
@@ -83,28 +83,28 @@
    * @throws NeverSentError when nothing left this process
    * @throws CallerError when the call is refused, or nobody can tell what became of it
    */
-  async run(): Promise<Submitted> {
+  async run(): Promise<SubmittedCall> {
     let lastError: Error = new NeverSentError('there is no address');
-    for (let attempt = 0; attempt < MAX_TRIES; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       const urls = this.#context.addresses.list(this.#assignment.entryHost.url);
       const url = urls[0] ?? this.#assignment.entryHost.url;
-      if (attempt > 0) await waitBetweenRounds(this.#context.clock, attempt - 1);
+      if (attempt > 0) await waitBeforeRetry(this.#context.clock, attempt - 1);
       try {
         return await this.#sendTo(url);
       } catch (error) {
         this.#request.signal?.throwIfAborted();
-        if (!(error instanceof ExchangeError) && !isWorthAnotherTry(error)) throw error;
-        if (error instanceof ExchangeError && error.mayHaveLeft) this.#mayHaveLeft = true;
-        this.#context.addresses.noteFailure(url);
+        if (!(error instanceof ExchangeError) && !isRetryable(error)) throw error;
+        if (error instanceof ExchangeError && error.mayHaveBeenSent) this.#mayHaveBeenSent = true;
+        this.#context.addresses.recordFailure(url);
         lastError = error;
-        if (!this.#mayHaveLeft && error instanceof ExchangeError)
+        if (!this.#mayHaveBeenSent && error instanceof ExchangeError)
           throw new NeverSentError(error.message, { cause: error });
       }
     }
-    throw this.#buildLost(lastError);
+    throw this.#buildLostError(lastError);
   }
 
-  async #sendTo(url: string): Promise<Submitted> {
+  async #sendTo(url: string): Promise<SubmittedCall> {
     const { id } = this.#assignment;
     const { method, path, signal } = this.#request;
     const exchange = new Exchange(
@@ -119,12 +119,12 @@
       this.#context.clock,
     );
     try {
-      const watched = { requestId: id, offset: 0, signal };
-      const head = await waitWatching(this.#context, exchange.head, watched);
+      const progress = { requestId: id, offset: 0, signal };
+      const head = await waitWithSilenceCheck(this.#context, exchange.head, progress);
       const answer = await openAnswer(head).catch((error: unknown) => {
         throw new ExchangeError(true, `The answer broke off: ${String(error)}`, { cause: error });
       });
-      if (answer.refusal) throw this.#buildRefused(answer.refusal, head.statusCode);
+      if (answer.refusal) throw this.#buildRefusalError(answer.refusal, head.statusCode);
       return { answer, exchange, url };
     } catch (error) {
       exchange.close();
@@ -132,10 +132,10 @@
     }
   }
 
-  #buildRefused(refusal: Refusal, status: number | undefined): CallerError {
+  #buildRefusalError(refusal: Refusal, status: number | undefined): CallerError {
     const { code, message, retryAfterMs } = refusal;
-    const run = this.#computeRun(refusal);
-    if (isOwnerUnreachable(code)) this.#mayHaveLeft = true;
+    const run = this.#computeRunOutcome(refusal);
+    if (isOwnerUnreachable(code)) this.#mayHaveBeenSent = true;
     return new CallerError(run, message, {
       code,
       retryAfterMs,
@@ -152,16 +152,16 @@
    * rules can't know of other copies, while this caller knows that it was the
    * first and only one.
    */
-  #computeRun({ code, run }: Refusal): RunOutcome {
-    if (this.#mayHaveLeft && run === RunOutcome.NotRun && !isFromOwner(code))
+  #computeRunOutcome({ code, run }: Refusal): RunOutcome {
+    if (this.#mayHaveBeenSent && run === RunOutcome.NotRun && !isFromOwner(code))
       return RunOutcome.MayHaveRun;
-    const isOnlyCopy = !this.#mayHaveLeft && this.#request.idempotencyKey === undefined;
+    const isOnlyCopy = !this.#mayHaveBeenSent && this.#request.idempotencyKey === undefined;
     if (isOnlyCopy && run === RunOutcome.MayHaveRun && isFromListener(code))
       return RunOutcome.NotRun;
     return run;
   }
 
-  #buildLost(lastError: Error): CallerError {
+  #buildLostError(lastError: Error): CallerError {
     if (lastError instanceof CallerError) return lastError;
     return new CallerError(
       RunOutcome.MayHaveRun,
@@ -171,6 +171,6 @@
   }
 }
 
-function isWorthAnotherTry(error: unknown): error is CallerError {
-  return error instanceof CallerError && isPassing(error.code);
+function isRetryable(error: unknown): error is CallerError {
+  return error instanceof CallerError && isRetryableElsewhere(error.code);
 }
--- a/src/caller/_wait_within.ts
+++ b/src/caller/_wait_within.ts
@@ -6,12 +6,12 @@
 import type { Clock } from '../ports/mod.js';
 
 /** Nothing came within the limit. */
-export class SilenceError extends Error {
+export class WaitTimeoutError extends Error {
   override readonly name = 'SilenceError';
 
-  /** @param limitMs - the limit in milliseconds */
-  constructor(limitMs: number) {
-    super(`nothing came within ${limitMs} ms`);
+  /** @param timeoutMs - the limit in milliseconds */
+  constructor(timeoutMs: number) {
+    super(`nothing came within ${timeoutMs} ms`);
   }
 }
 
@@ -20,13 +20,13 @@
  *
  * @param step - what to wait for
  * @param clock - the clock
- * @param limitMs - the limit in milliseconds
+ * @param timeoutMs - the limit in milliseconds
  * @returns the step's value
  * @throws SilenceError after the limit
  */
-export function waitWithin<T>(step: Promise<T>, clock: Clock, limitMs: number): Promise<T> {
+export function waitWithin<T>(step: Promise<T>, clock: Clock, timeoutMs: number): Promise<T> {
   return new Promise((resolve, reject) => {
-    const timer = clock.setTimer(limitMs, () => reject(new SilenceError(limitMs)));
+    const timer = clock.setTimer(timeoutMs, () => reject(new WaitTimeoutError(timeoutMs)));
     step.then(resolve, reject).finally(() => timer.cancel());
   });
 }
--- a/src/caller/caller_client.ts
+++ b/src/caller/caller_client.ts
@@ -18,8 +18,8 @@
 import { CallerError, LocalErrorCode } from './caller_error.js';
 import type { CallerReply, CallerRequest } from './caller_request.js';
 
-const DEFAULT_SILENCE_MS = 10_000;
-const MAX_IDS = 4;
+const DEFAULT_SILENCE_TIMEOUT_MS = 10_000;
+const MAX_REQUEST_IDS = 4;
 
 const addressSchema = z.object({ id: z.string(), url: z.string() });
 
@@ -58,7 +58,7 @@
       },
       addresses: new AddressBook(options.urls, clock),
       apiKey: options.apiKey,
-      silenceMs: options.silenceMs ?? DEFAULT_SILENCE_MS,
+      silenceTimeoutMs: options.silenceMs ?? DEFAULT_SILENCE_TIMEOUT_MS,
     };
   }
 
@@ -96,7 +96,7 @@
    */
   async send(request: CallerRequest): Promise<CallerReply> {
     let lastError: Error | undefined;
-    for (let ids = 0; ids < MAX_IDS; ids += 1) {
+    for (let usedIds = 0; usedIds < MAX_REQUEST_IDS; usedIds += 1) {
       const assignment = await this.assign(request.idempotencyKey, request.signal);
       try {
         return await this.#sendAs(assignment, request);
--- a/src/load/_answer_scan.ts
+++ b/src/load/_answer_scan.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-const MAX_KEPT_CHARACTERS = 1_048_576;
+const MAX_BUFFERED_CHARACTERS = 1_048_576;
 
 /** What an error answer says. */
 export interface ErrorAnswerBody {
@@ -16,7 +16,7 @@
  * came: a connection that merely ended in good order may have been cut by a
  * host that died, and the caller would take half an answer for all of it.
  */
-export class AnswerScan {
+export class AnswerScanner {
   /** Bytes of the answer's body so far. */
   bytes = 0;
 
@@ -27,11 +27,11 @@
   streamError: ErrorAnswerBody | undefined;
 
   /** Whether each marked token so far bore the wanted mark, in order. */
-  #isOwn = true;
+  #hasExpectedMarks = true;
 
   #text = '';
 
-  #done = false;
+  #isDone = false;
 
   /**
    * @param isStream - whether the answer is an event stream
@@ -47,17 +47,17 @@
     this.bytes += chunk.length;
     this.#text += chunk.toString('latin1');
     if (this.isStream) this.#readLines();
-    else if (this.#text.length > MAX_KEPT_CHARACTERS)
-      this.#text = this.#text.slice(-MAX_KEPT_CHARACTERS);
+    else if (this.#text.length > MAX_BUFFERED_CHARACTERS)
+      this.#text = this.#text.slice(-MAX_BUFFERED_CHARACTERS);
   }
 
   /** @returns whether the answer is whole, once its body has ended in good order */
-  isWhole(): boolean {
-    return this.isStream ? this.#done : true;
+  isComplete(): boolean {
+    return this.isStream ? this.#isDone : true;
   }
 
   /** Counts the output of an answer that came in one piece. */
-  settle(): void {
+  finish(): void {
     if (this.isStream) return;
     const content = /"content"\s*:\s*"([^"]*)"/.exec(this.#text)?.[1];
     if (this.mark !== undefined && content !== undefined) {
@@ -75,8 +75,10 @@
    * @param outputTokens - how many tokens the whole answer has
    * @returns whether it is the answer to this very request, untorn
    */
-  isOwnAnswer(outputTokens: number): boolean {
-    return this.mark === undefined || (this.#isOwn && this.outputTokens === outputTokens);
+  isExpectedAnswer(outputTokens: number): boolean {
+    return (
+      this.mark === undefined || (this.#hasExpectedMarks && this.outputTokens === outputTokens)
+    );
   }
 
   #readLines(): void {
@@ -88,7 +90,7 @@
   #readLine(line: string): void {
     if (!line.startsWith('data:')) return;
     const data = line.slice('data:'.length).trim();
-    if (data === '[DONE]') this.#done = true;
+    if (data === '[DONE]') this.#isDone = true;
     else if (data.startsWith('{"error"')) this.streamError = parseErrorBody(data);
     else {
       const content = /"content"\s*:\s*"([^"]+)"/.exec(data)?.[1];
@@ -97,7 +99,7 @@
   }
 
   #readToken(token: string): void {
-    if (token !== `${this.mark}.${this.outputTokens}`) this.#isOwn = false;
+    if (token !== `${this.mark}.${this.outputTokens}`) this.#hasExpectedMarks = false;
     this.outputTokens += 1;
   }
 }
--- a/src/load/_client.ts
+++ b/src/load/_client.ts
@@ -10,13 +10,13 @@
 import type { Arrival } from './arrivals.js';
 import { sendExchange } from './_exchange.js';
 import type { ExchangeCall, ExchangeResult } from './_exchange.js';
-import { Journey } from './_journey.js';
+import { RequestProgress } from './_request_progress.js';
 import type { RequestOutcome } from './outcome.js';
 
 const MAX_ATTEMPTS = 6;
-const RETRY_PAUSE_MS = 50;
+const RETRY_BACKOFF_MS = 50;
 /** Refusals that tell a caller to go to another entry host at once; nothing ran. */
-const ELSEWHERE_CODES = new Set(['entry_host_stopping', 'too_many_connections']);
+const RETRY_ELSEWHERE_CODES = new Set(['entry_host_stopping', 'too_many_connections']);
 
 const addressSchema = z.object({ url: z.string().min(1) });
 
@@ -31,7 +31,7 @@
 export interface LoadClientOptions {
   readonly urls: readonly string[];
   /** Index of the address to begin with; spreads callers over the entry hosts. */
-  readonly firstUrl: number;
+  readonly firstUrlIndex: number;
   readonly agent: http.Agent;
   /** How long after its deadline a caller still waits, in milliseconds. */
   readonly graceMs: number;
@@ -43,13 +43,13 @@
 export class LoadClient {
   readonly #seedUrls: readonly string[];
 
-  #keptUrls: readonly string[] = [];
+  #assignedUrls: readonly string[] = [];
 
-  #keptUntilMs = 0;
+  #assignedUntilMs = 0;
 
   /** @param options - where to start and how long to wait */
   constructor(private readonly options: LoadClientOptions) {
-    const { urls, firstUrl } = options;
+    const { urls, firstUrlIndex: firstUrl } = options;
     this.#seedUrls = urls.map((_, index) => urls[(index + firstUrl) % urls.length] as string);
   }
 
@@ -61,76 +61,81 @@
    * @returns what became of it; never rejects
    */
   async run(arrival: Arrival, startedAtMs: number): Promise<RequestOutcome> {
-    const giveUp = new AbortController();
-    const timer = setTimeout(() => giveUp.abort(), arrival.work.deadlineMs + this.options.graceMs);
-    const journey = new Journey({
+    const abort = new AbortController();
+    const timer = setTimeout(() => abort.abort(), arrival.work.deadlineMs + this.options.graceMs);
+    const progress = new RequestProgress({
       arrival,
       startedAtMs,
-      signal: giveUp.signal,
+      signal: abort.signal,
       urls: this.#listUrls(),
       checksAnswers: this.options.checksAnswers,
     });
     try {
-      const early = arrival.work.withId ? await this.#assign(journey) : undefined;
-      return early ?? (await this.#follow(journey));
+      const failure = arrival.work.withId ? await this.#assign(progress) : undefined;
+      return failure ?? (await this.#sendUntilDone(progress));
     } finally {
       clearTimeout(timer);
     }
   }
 
   #listUrls(): readonly string[] {
-    if (this.#keptUntilMs < performance.now()) return this.#seedUrls;
-    return [...new Set([...this.#keptUrls, ...this.#seedUrls])];
+    if (this.#assignedUntilMs < performance.now()) return this.#seedUrls;
+    return [...new Set([...this.#assignedUrls, ...this.#seedUrls])];
   }
 
   /** Asks which entry host to use and for an ID. Nothing can have run meanwhile. */
-  async #assign(journey: Journey): Promise<RequestOutcome | undefined> {
+  async #assign(progress: RequestProgress): Promise<RequestOutcome | undefined> {
     for (let attempt = 0; ; attempt += 1) {
-      const url = pickUrl(journey.urls, attempt);
-      const result = await this.#send(journey, {
+      const url = pickUrl(progress.urls, attempt);
+      const result = await this.#send(progress, {
         url: `${url}/v1/requests`,
         method: 'POST',
-        headers: { ...journey.buildHeaders(), 'content-type': 'application/json' },
+        headers: { ...progress.buildHeaders(), 'content-type': 'application/json' },
         body: '{}',
       });
-      if (result.error && !mustGoElsewhere(result)) return journey.buildRefused(result, url);
-      if (result.ended && !result.error) return this.#takeAssignment(journey, result, url);
-      if (attempt + 1 >= MAX_ATTEMPTS || journey.signal.aborted) {
-        if (result.error) return journey.buildRefused(result, url);
-        return journey.buildLost(`assign_${result.cause ?? 'broken'}`, url);
+      if (result.error && !mustRetryElsewhere(result))
+        return progress.buildRefusedOutcome(result, url);
+      if (result.isBodyComplete && !result.error)
+        return this.#applyAssignment(progress, result, url);
+      if (attempt + 1 >= MAX_ATTEMPTS || progress.signal.aborted) {
+        if (result.error) return progress.buildRefusedOutcome(result, url);
+        return progress.buildLostOutcome(`assign_${result.cause ?? 'broken'}`, url);
       }
       await waitBeforeRetry(attempt);
     }
   }
 
-  #takeAssignment(
-    journey: Journey,
+  #applyAssignment(
+    progress: RequestProgress,
     result: ExchangeResult,
     url: string,
   ): RequestOutcome | undefined {
     const parsed = assignmentSchema.safeParse(parseJson(result.text));
-    if (!parsed.success) return journey.buildLost('assign_unreadable', url);
+    if (!parsed.success) return progress.buildLostOutcome('assign_unreadable', url);
     const { id, entryHost, entryHosts, keepMs } = parsed.data;
-    this.#keptUrls = [entryHost.url, ...entryHosts.map((address) => address.url)];
-    this.#keptUntilMs = performance.now() + keepMs;
-    journey.setAssignment(id, [...new Set([...this.#keptUrls, ...this.#seedUrls])]);
+    this.#assignedUrls = [entryHost.url, ...entryHosts.map((address) => address.url)];
+    this.#assignedUntilMs = performance.now() + keepMs;
+    progress.setAssignment(id, [...new Set([...this.#assignedUrls, ...this.#seedUrls])]);
     return undefined;
   }
 
   /** Sends the call, and takes its answer up elsewhere as often as the way breaks. */
-  async #follow(journey: Journey): Promise<RequestOutcome> {
+  async #sendUntilDone(progress: RequestProgress): Promise<RequestOutcome> {
     for (let attempt = 0; ; attempt += 1) {
-      const url = pickUrl(journey.urls, attempt);
-      const result = await this.#sendOrResume(journey, url);
-      const isLast = attempt + 1 >= MAX_ATTEMPTS || journey.signal.aborted;
-      if (result.scan?.streamError) return journey.buildRefused(result, url);
-      if (result.error && (isLast || !mustGoElsewhere(result))) {
-        return journey.buildRefused(result, url);
+      const url = pickUrl(progress.urls, attempt);
+      const result = await this.#sendOrResume(progress, url);
+      const isLast = attempt + 1 >= MAX_ATTEMPTS || progress.signal.aborted;
+      if (result.scan?.streamError) return progress.buildRefusedOutcome(result, url);
+      if (result.error && (isLast || !mustRetryElsewhere(result))) {
+        return progress.buildRefusedOutcome(result, url);
       }
-      if (!result.error && result.ended && result.scan?.isWhole())
-        return journey.buildAnswered(url);
+      if (!result.error && result.isBodyComplete && result.scan?.isComplete())
+        return progress.buildAnsweredOutcome(url);
       if (isLast) {
-        return journey.buildLost(journey.signal.aborted ? 'gave_up' : (result.cause ?? 'cut'), url);
+        return progress.buildLostOutcome(
+          progress.signal.aborted ? 'gave_up' : (result.cause ?? 'cut'),
+          url,
+        );
       }
       await waitBeforeRetry(attempt);
     }
@@ -141,33 +146,36 @@
    * head was there, only the rest of the answer is asked for. A bare request
    * is one that may be repeated: it starts over.
    */
-  #sendOrResume(journey: Journey, url: string): Promise<ExchangeResult> {
-    journey.noteAttempt();
-    if (!journey.arrival.work.withId) journey.startOver();
-    if (journey.scan !== undefined) {
-      journey.noteResumption();
-      return this.#send(journey, {
-        url: `${url}${journey.buildResumePath()}`,
+  #sendOrResume(progress: RequestProgress, url: string): Promise<ExchangeResult> {
+    progress.recordAttempt();
+    if (!progress.arrival.work.withId) progress.reset();
+    if (progress.scan !== undefined) {
+      progress.recordResumption();
+      return this.#send(progress, {
+        url: `${url}${progress.buildResumePath()}`,
         method: 'GET',
-        headers: { authorization: `Bearer ${journey.arrival.account.apiKey}` },
+        headers: { authorization: `Bearer ${progress.arrival.account.apiKey}` },
         body: undefined,
-        scan: journey.scan,
-        onFirstByte: () => journey.noteFirstByte(),
+        scan: progress.scan,
+        onFirstByte: () => progress.recordFirstByte(),
       });
     }
-    return this.#send(journey, {
-      url: `${url}${journey.buildPath()}`,
-      method: journey.getMethod(),
-      headers: journey.buildHeaders(),
-      body: journey.buildBody(),
-      mark: journey.getMark(),
-      onHead: (headers, scan) => journey.noteHead(headers, scan),
-      onFirstByte: () => journey.noteFirstByte(),
+    return this.#send(progress, {
+      url: `${url}${progress.buildPath()}`,
+      method: progress.getMethod(),
+      headers: progress.buildHeaders(),
+      body: progress.buildBody(),
+      mark: progress.getMark(),
+      onHead: (headers, scan) => progress.recordHead(headers, scan),
+      onFirstByte: () => progress.recordFirstByte(),
     });
   }
 
-  #send(journey: Journey, call: Omit<ExchangeCall, 'agent' | 'signal'>): Promise<ExchangeResult> {
-    return sendExchange({ ...call, agent: this.options.agent, signal: journey.signal });
+  #send(
+    progress: RequestProgress,
+    call: Omit<ExchangeCall, 'agent' | 'signal'>,
+  ): Promise<ExchangeResult> {
+    return sendExchange({ ...call, agent: this.options.agent, signal: progress.signal });
   }
 }
 
@@ -175,8 +183,8 @@
   return urls[attempt % urls.length] as string;
 }
 
-function mustGoElsewhere(result: ExchangeResult): boolean {
-  return ELSEWHERE_CODES.has(result.error?.code ?? '');
+function mustRetryElsewhere(result: ExchangeResult): boolean {
+  return RETRY_ELSEWHERE_CODES.has(result.error?.code ?? '');
 }
 
 function parseJson(text: string): unknown {
@@ -189,6 +197,6 @@
 
 function waitBeforeRetry(attempt: number): Promise<void> {
   return new Promise((resolve) => {
-    setTimeout(resolve, RETRY_PAUSE_MS * attempt);
+    setTimeout(resolve, RETRY_BACKOFF_MS * attempt);
   });
 }
--- a/src/load/_exchange.ts
+++ b/src/load/_exchange.ts
@@ -5,10 +5,10 @@
  */
 import http from 'node:http';
 import type { IncomingHttpHeaders } from 'node:http';
-import { AnswerScan, parseErrorBody } from './_answer_scan.js';
+import { AnswerScanner, parseErrorBody } from './_answer_scan.js';
 import type { ErrorAnswerBody } from './_answer_scan.js';
 
-const HTTP_OK_END = 300;
+const FIRST_NON_SUCCESS_STATUS = 300;
 
 /** What to send. */
 export interface ExchangeCall {
@@ -22,9 +22,9 @@
   /** What each token of the answer must name; undefined takes any answer. */
   readonly mark?: string;
   /** A scan to go on with, when an answer is resumed. */
-  readonly scan?: AnswerScan;
+  readonly scan?: AnswerScanner;
   /** Called with the head of a successful answer. */
-  readonly onHead?: (headers: IncomingHttpHeaders, scan: AnswerScan) => void;
+  readonly onHead?: (headers: IncomingHttpHeaders, scan: AnswerScanner) => void;
   /** Called at the first byte of a successful answer's body. */
   readonly onFirstByte?: () => void;
 }
@@ -34,13 +34,13 @@
   /** 0 when no head came. */
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
-  readonly scan: AnswerScan | undefined;
+  readonly scan: AnswerScanner | undefined;
   /** The body of an error answer. */
   readonly error: ErrorAnswerBody | undefined;
   /** Small bodies that are no answers of a backend server. */
   readonly text: string;
   /** Whether the body ended in good order. */
-  readonly ended: boolean;
+  readonly isBodyComplete: boolean;
   /** Why the connection broke, such as ECONNREFUSED. */
   readonly cause: string | undefined;
 }
@@ -61,7 +61,7 @@
     });
     request.on('response', (response) => readResponse(call, response, resolve));
     request.on('error', (error: NodeJS.ErrnoException) => {
-      resolve(buildBroken(error.code ?? error.name));
+      resolve(buildBrokenResult(error.code ?? error.name));
     });
     request.end(call.body);
   });
@@ -73,12 +73,12 @@
 function readResponse(
   call: ExchangeCall,
   response: http.IncomingMessage,
-  done: ExchangeDone,
+  onDone: ExchangeDone,
 ): void {
   const status = response.statusCode ?? 0;
-  const isSuccess = status < HTTP_OK_END;
+  const isSuccess = status < FIRST_NON_SUCCESS_STATUS;
   const scan = isSuccess
-    ? (call.scan ?? new AnswerScan(isEventStream(response.headers), call.mark))
+    ? (call.scan ?? new AnswerScanner(isEventStream(response.headers), call.mark))
     : undefined;
   if (scan) call.onHead?.(response.headers, scan);
   let text = '';
@@ -87,13 +87,21 @@
     scan?.add(chunk);
     if (!scan || !isEventStream(response.headers)) text += chunk.toString('latin1');
   });
-  let finished = false;
-  const finish = (ended: boolean, cause?: string): void => {
-    if (finished) return;
-    finished = true;
-    if (ended) scan?.settle();
+  let isFinished = false;
+  const finish = (isBodyComplete: boolean, cause?: string): void => {
+    if (isFinished) return;
+    isFinished = true;
+    if (isBodyComplete) scan?.finish();
     const error = isSuccess ? undefined : parseErrorBody(text);
-    done({ status, headers: response.headers, scan, error, text, ended, cause });
+    onDone({
+      status,
+      headers: response.headers,
+      scan,
+      error,
+      text,
+      isBodyComplete: isBodyComplete,
+      cause,
+    });
   };
   response.on('end', () => finish(response.complete));
   response.on('error', (error: NodeJS.ErrnoException) => finish(false, error.code ?? error.name));
@@ -104,14 +112,14 @@
   return (headers['content-type'] ?? '').startsWith('text/event-stream');
 }
 
-function buildBroken(cause: string): ExchangeResult {
+function buildBrokenResult(cause: string): ExchangeResult {
   return {
     status: 0,
     headers: {},
     scan: undefined,
     error: undefined,
     text: '',
-    ended: false,
+    isBodyComplete: false,
     cause,
   };
 }
--- a/src/load/_journey.ts
+++ b/src/load/_request_progress.ts
@@ -5,7 +5,7 @@
  */
 import { performance } from 'node:perf_hooks';
 import type { IncomingHttpHeaders } from 'node:http';
-import type { AnswerScan } from './_answer_scan.js';
+import type { AnswerScanner } from './_answer_scan.js';
 import type { Arrival } from './arrivals.js';
 import type { ExchangeResult } from './_exchange.js';
 import { buildPrompt, deriveMark } from './_prompt.js';
@@ -13,7 +13,7 @@
 import type { RequestOutcome } from './outcome.js';
 
 /** What of a journey does not change. */
-export interface JourneyOptions {
+export interface RequestProgressOptions {
   readonly arrival: Arrival;
   /** When it arrived, on the monotonic clock, in milliseconds. */
   readonly startedAtMs: number;
@@ -26,7 +26,7 @@
 }
 
 /** The state of one request on its way. */
-export class Journey {
+export class RequestProgress {
   readonly arrival: Arrival;
 
   readonly signal: AbortSignal;
@@ -43,7 +43,7 @@
   resumptions = 0;
 
   /** What has come of the answer, once its head was there. */
-  scan: AnswerScan | undefined;
+  scan: AnswerScanner | undefined;
 
   readonly #startedAtMs: number;
 
@@ -51,10 +51,10 @@
 
   readonly #mark: string | undefined;
 
-  #hints: Record<string, string> = {};
+  #resumeHints: Record<string, string> = {};
 
   /** @param options - what does not change */
-  constructor(options: JourneyOptions) {
+  constructor(options: RequestProgressOptions) {
     this.arrival = options.arrival;
     this.signal = options.signal;
     this.urls = options.urls;
@@ -69,17 +69,17 @@
   }
 
   /** Notes the first byte of the answer, once. */
-  noteFirstByte(): void {
+  recordFirstByte(): void {
     this.#firstByteMs ??= this.getElapsedMs();
   }
 
   /** Counts one call for this request. */
-  noteAttempt(): void {
+  recordAttempt(): void {
     this.attempts += 1;
   }
 
   /** Counts one resumption of the answer. */
-  noteResumption(): void {
+  recordResumption(): void {
     this.resumptions += 1;
   }
 
@@ -94,27 +94,30 @@
    * @param headers - head of the answer, with the ID and the hints for a resumption
    * @param scan - looks through the answer's body
    */
-  noteHead(headers: IncomingHttpHeaders, scan: AnswerScan): void {
+  recordHead(headers: IncomingHttpHeaders, scan: AnswerScanner): void {
     this.scan = scan;
     const id = headers['request-id'];
     if (typeof id === 'string' && !this.requestIds.includes(id)) this.requestIds.push(id);
     if (typeof id === 'string') this.requestId = id;
     const backendServer = headers['backend-server'];
-    if (typeof backendServer === 'string') this.#hints.backendServer = backendServer;
+    if (typeof backendServer === 'string') this.#resumeHints.backendServer = backendServer;
     const streamId = headers['stream-id'];
-    if (typeof streamId === 'string') this.#hints.streamId = streamId;
+    if (typeof streamId === 'string') this.#resumeHints.streamId = streamId;
   }
 
   /** Starts again under no ID: only for a bare request, which may be repeated. */
-  startOver(): void {
+  reset(): void {
     this.requestId = undefined;
     this.scan = undefined;
-    this.#hints = {};
+    this.#resumeHints = {};
   }
 
   /** @returns path and query that take the answer up where it broke off */
   buildResumePath(): string {
-    const query = new URLSearchParams({ offset: String(this.scan?.bytes ?? 0), ...this.#hints });
+    const query = new URLSearchParams({
+      offset: String(this.scan?.bytes ?? 0),
+      ...this.#resumeHints,
+    });
     return `/v1/requests/${encodeURIComponent(this.requestId ?? '')}?${query.toString()}`;
   }
 
@@ -150,10 +153,10 @@
   /** @returns headers of the call itself */
   buildHeaders(): Record<string, string> {
     const { work, account } = this.arrival;
-    const leftMs = Math.max(1, Math.floor(work.deadlineMs - this.getElapsedMs()));
+    const remainingMs = Math.max(1, Math.floor(work.deadlineMs - this.getElapsedMs()));
     return {
       authorization: `Bearer ${account.apiKey}`,
-      'request-deadline-ms': String(leftMs),
+      'request-deadline-ms': String(remainingMs),
       ...(work.workKind === undefined ? {} : { 'work-kind': work.workKind }),
       ...(this.requestId === undefined ? {} : { 'request-id': this.requestId }),
       ...(this.getMethod() === 'GET' ? {} : { 'content-type': 'application/json' }),
@@ -166,17 +169,17 @@
   }
 
   /** @param url - who answered. @returns the outcome of an answer that came to its end */
-  buildAnswered(url: string): RequestOutcome {
-    const isOwn = this.scan?.isOwnAnswer(this.arrival.outputTokens) ?? true;
-    const kind = isOwn ? OutcomeKind.Answered : OutcomeKind.Wrong;
-    return this.#build({ kind, url, status: 200 });
+  buildAnsweredOutcome(url: string): RequestOutcome {
+    const isExpected = this.scan?.isExpectedAnswer(this.arrival.outputTokens) ?? true;
+    const kind = isExpected ? OutcomeKind.Answered : OutcomeKind.Wrong;
+    return this.#buildOutcome({ kind, url, status: 200 });
   }
 
   /** @param result - the refusal. @param url - who refused. @returns the outcome */
-  buildRefused(result: ExchangeResult, url: string): RequestOutcome {
+  buildRefusedOutcome(result: ExchangeResult, url: string): RequestOutcome {
     const error = result.error ?? result.scan?.streamError;
     const { status } = result;
-    return this.#build({
+    return this.#buildOutcome({
       kind: OutcomeKind.Refused,
       url,
       status,
@@ -186,11 +189,11 @@
   }
 
   /** @param code - why nothing final came. @param url - who was tried last. @returns the outcome */
-  buildLost(code: string, url: string): RequestOutcome {
-    return this.#build({ kind: OutcomeKind.Lost, url, status: 0, code });
+  buildLostOutcome(code: string, url: string): RequestOutcome {
+    return this.#buildOutcome({ kind: OutcomeKind.Lost, url, status: 0, code });
   }
 
-  #build(end: {
+  #buildOutcome(end: {
     readonly kind: OutcomeKind;
     readonly url: string;
     readonly status: number;
--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -72,8 +72,8 @@
   base: Pick<Arrival, 'index' | 'atMs' | 'phase'>,
   random: RandomSource,
 ): Arrival {
-  const account = pickByShare(plan.accounts, random);
-  const work = pickByShare(plan.work, random);
+  const account = drawByShare(plan.accounts, random);
+  const work = drawByShare(plan.work, random);
   const prefixIndex = Math.floor(random.nextFraction() * work.prefixCount);
   return {
     ...base,
@@ -81,27 +81,27 @@
     work,
     tier: work.tier,
     caller: Math.floor(random.nextFraction() * plan.callersPerAccount),
-    promptTokens: pickLength(work.promptTokens, random),
-    outputTokens: pickLength(work.outputTokens, random),
+    promptTokens: drawLength(work.promptTokens, random),
+    outputTokens: drawLength(work.outputTokens, random),
     prefix: work.prefixCount > 0 ? `${account.id}/${work.name}/${prefixIndex}` : undefined,
   };
 }
 
-function pickByShare<T extends { readonly share: number }>(
+function drawByShare<T extends { readonly share: number }>(
   choices: readonly T[],
   random: RandomSource,
 ): T {
   const total = choices.reduce((sum, choice) => sum + choice.share, 0);
-  let left = random.nextFraction() * total;
+  let remaining = random.nextFraction() * total;
   const found = choices.find((choice) => {
-    left -= choice.share;
-    return left < 0;
+    remaining -= choice.share;
+    return remaining < 0;
   });
   return found ?? (choices.at(-1) as T);
 }
 
 /** Draws log-uniformly, so that each tenfold stretch of lengths is as likely. */
-function pickLength([low, high]: readonly [number, number], random: RandomSource): number {
+function drawLength([low, high]: readonly [number, number], random: RandomSource): number {
   const exponent = Math.log(low) + random.nextFraction() * (Math.log(high) - Math.log(low));
   return Math.min(high, Math.max(low, Math.round(Math.exp(exponent))));
 }
--- a/src/load/compare_runs.ts
+++ b/src/load/compare_runs.ts
@@ -9,7 +9,7 @@
 import type { RunRecord } from './run_record.js';
 
 /** How long a cache is taken to hold a prefix after a run that had it, in milliseconds. */
-export const CACHE_HELD_MS = 30_000;
+export const ASSUMED_CACHE_LIFETIME_MS = 30_000;
 
 const BLOCK_TOKENS = 64;
 
@@ -25,7 +25,7 @@
   /**
    * Tokens of shared prefixes computed in a run whose answer was received,
    * although another run with that prefix had begun on some backend server in
-   * the {@link CACHE_HELD_MS} before. A cache may have dropped them since, and
+   * the {@link ASSUMED_CACHE_LIFETIME_MS} before. A cache may have dropped them since, and
    * spreading load has its price too, so this is an upper bound; strategies
    * are compared by it under the same load. Whole blocks only.
    */
@@ -119,7 +119,8 @@
   const { prefix, work } = outcome.arrival;
   if (prefix === undefined) return 0;
   const lastStart = lastStartByPrefix.get(prefix);
-  if (lastStart === undefined || record.startedWallMs - lastStart > CACHE_HELD_MS) return 0;
+  if (lastStart === undefined || record.startedWallMs - lastStart > ASSUMED_CACHE_LIFETIME_MS)
+    return 0;
   const prefixTokens = Math.floor(work.prefixTokens / BLOCK_TOKENS) * BLOCK_TOKENS;
   return Math.min(record.prefillTokens, Math.max(0, prefixTokens - record.cachedTokens));
 }
--- a/src/load/inversions.ts
+++ b/src/load/inversions.ts
@@ -9,12 +9,12 @@
 import type { RunRecord } from './run_record.js';
 
 /** Time that a refusal takes to its caller, and a grant to its backend server, in milliseconds. */
-export const SETTLE_MS = 50;
+export const INVERSION_SETTLE_MS = 50;
 
 /** How long after a shedding a lower tier must stay closed, in milliseconds. */
 export const INVERSION_WINDOW_MS = 500;
 
-const NO_ROOM_CODES = new Set(['tier_closed', 'queue_full', 'deadline_unreachable']);
+const NO_CAPACITY_CODES = new Set(['tier_closed', 'queue_full', 'deadline_unreachable']);
 
 /** What was counted. */
 export interface InversionCount {
@@ -27,7 +27,7 @@
 }
 
 /** A start of a run, in wall-clock milliseconds. */
-interface Start {
+interface RunStart {
   readonly service: string;
   readonly tier: Tier;
   readonly atMs: number;
@@ -37,7 +37,7 @@
  * Counts inversions. A refusal for lack of room (`tier_closed`, `queue_full`,
  * `deadline_unreachable`) that its caller had at time r is one when a backend
  * server started a request of a lower tier for the same service in
- * (r + {@link SETTLE_MS}, r + {@link SETTLE_MS} + {@link INVERSION_WINDOW_MS}].
+ * (r + {@link INVERSION_SETTLE_MS}, r + {@link INVERSION_SETTLE_MS} + {@link INVERSION_WINDOW_MS}].
  * What ran before r is no inversion: engines can't take work back. A long
  * prompt whose own deadline no empty fleet could meet counts here as well, so
  * the count is an upper bound.
@@ -57,7 +57,7 @@
   const byCode: Record<string, number> = {};
   shed.forEach((outcome) => {
     const refusedAtMs = startedWallMs + outcome.arrival.atMs + outcome.totalMs;
-    if (!hasLowerStart(starts, outcome, refusedAtMs + SETTLE_MS)) return;
+    if (!hasLowerTierStart(starts, outcome, refusedAtMs + INVERSION_SETTLE_MS)) return;
     const code = outcome.code ?? '';
     byCode[code] = (byCode[code] ?? 0) + 1;
   });
@@ -70,13 +70,13 @@
  * @returns whether it was refused for lack of room
  */
 export function isShed(outcome: RequestOutcome): boolean {
-  return outcome.kind === OutcomeKind.Refused && NO_ROOM_CODES.has(outcome.code ?? '');
+  return outcome.kind === OutcomeKind.Refused && NO_CAPACITY_CODES.has(outcome.code ?? '');
 }
 
 function listStarts(
   outcomes: readonly RequestOutcome[],
   records: readonly RunRecord[],
-): readonly Start[] {
+): readonly RunStart[] {
   const outcomeById = new Map(
     outcomes.flatMap((outcome) => outcome.requestIds.map((id) => [id, outcome] as const)),
   );
@@ -90,9 +90,13 @@
     .sort((a, b) => a.atMs - b.atMs);
 }
 
-function hasLowerStart(starts: readonly Start[], shed: RequestOutcome, fromMs: number): boolean {
+function hasLowerTierStart(
+  starts: readonly RunStart[],
+  shed: RequestOutcome,
+  fromMs: number,
+): boolean {
   for (let index = findFirstAfter(starts, fromMs); index < starts.length; index += 1) {
-    const start = starts[index] as Start;
+    const start = starts[index] as RunStart;
     if (start.atMs > fromMs + INVERSION_WINDOW_MS) return false;
     if (start.tier > shed.arrival.tier && start.service === shed.arrival.work.service) return true;
   }
@@ -100,12 +104,12 @@
 }
 
 /** Binary search: the first start later than the time. */
-function findFirstAfter(starts: readonly Start[], atMs: number): number {
+function findFirstAfter(starts: readonly RunStart[], atMs: number): number {
   let low = 0;
   let high = starts.length;
   while (low < high) {
     const middle = Math.floor((low + high) / 2);
-    if ((starts[middle] as Start).atMs > atMs) high = middle;
+    if ((starts[middle] as RunStart).atMs > atMs) high = middle;
     else low = middle + 1;
   }
   return low;
--- a/src/load/mod.ts
+++ b/src/load/mod.ts
@@ -8,9 +8,9 @@
  */
 export { computePlanMs, listArrivals } from './arrivals.js';
 export type { Arrival } from './arrivals.js';
-export { CACHE_HELD_MS, compareRuns, computeWastedPrefill } from './compare_runs.js';
+export { ASSUMED_CACHE_LIFETIME_MS, compareRuns, computeWastedPrefill } from './compare_runs.js';
 export type { RunComparison, WastedPrefill } from './compare_runs.js';
-export { countInversions, INVERSION_WINDOW_MS, isShed, SETTLE_MS } from './inversions.js';
+export { countInversions, INVERSION_WINDOW_MS, isShed, INVERSION_SETTLE_MS } from './inversions.js';
 export type { InversionCount } from './inversions.js';
 export { buildDefaultPlan } from './default_plan.js';
 export type { DefaultPlanOptions } from './default_plan.js';
--- a/src/load/report/_svg.ts
+++ b/src/load/report/_svg.ts
@@ -75,14 +75,14 @@
  * @returns an SVG element
  */
 export function formatBars(title: string, bars: readonly PlotBar[]): string {
-  const room = WIDTH_PX - BAR_LABEL_PX - RIGHT_PX;
+  const maxBarWidthPx = WIDTH_PX - BAR_LABEL_PX - RIGHT_PX;
   const rows = bars.map((bar, index) => {
     const y = TOP_PX + index * BAR_HEIGHT_PX;
-    const width = Math.max(0, Math.min(1, bar.share)) * room;
+    const width = Math.max(0, Math.min(1, bar.share)) * maxBarWidthPx;
     return (
-      `<text x="${BAR_LABEL_PX - 6}" y="${y + 11}" text-anchor="end">${formatEscaped(bar.label)}</text>` +
+      `<text x="${BAR_LABEL_PX - 6}" y="${y + 11}" text-anchor="end">${escapeMarkup(bar.label)}</text>` +
       `<rect x="${BAR_LABEL_PX}" y="${y + 2}" width="${width.toFixed(1)}" height="${BAR_HEIGHT_PX - 4}" fill="${bar.colour}"/>` +
-      `<text x="${BAR_LABEL_PX + 6}" y="${y + 11}">${formatEscaped(bar.text)}</text>`
+      `<text x="${BAR_LABEL_PX + 6}" y="${y + 11}">${escapeMarkup(bar.text)}</text>`
     );
   });
   return formatSvg(title, TOP_PX * 2 + bars.length * BAR_HEIGHT_PX, rows);
@@ -94,7 +94,7 @@
  * @param text - any text
  * @returns the text without markup
  */
-export function formatEscaped(text: string): string {
+export function escapeMarkup(text: string): string {
   return text
     .replaceAll('&', '&amp;')
     .replaceAll('<', '&lt;')
@@ -105,6 +105,6 @@
 function formatSvg(title: string, heightPx: number, parts: readonly string[]): string {
   return (
     `<svg viewBox="0 0 ${WIDTH_PX} ${heightPx}" width="${WIDTH_PX}" role="img" font-size="11">` +
-    `<title>${formatEscaped(title)}</title>${parts.join('')}</svg>`
+    `<title>${escapeMarkup(title)}</title>${parts.join('')}</svg>`
   );
 }
--- a/src/load/report/html_report.ts
+++ b/src/load/report/html_report.ts
@@ -5,7 +5,7 @@
  */
 import type { LoadReport } from '../load_report.js';
 import type { TierSummary } from '../tally.js';
-import { formatBars, formatEscaped, formatLines, TIER_COLOURS } from './_svg.js';
+import { formatBars, escapeMarkup, formatLines, TIER_COLOURS } from './_svg.js';
 import type { PlotBar } from './_svg.js';
 import { formatText } from './text_report.js';
 
@@ -29,14 +29,14 @@
  * @returns the page
  */
 export function formatHtml(reports: readonly LoadReport[], options: HtmlReportOptions): string {
-  const title = formatEscaped(options.title);
+  const title = escapeMarkup(options.title);
   return [
     '<!doctype html>',
     `<html lang="en"><head><meta charset="utf-8"><title>${title}</title><style>${STYLE}</style></head>`,
     `<body><h1>${title}</h1>`,
     '<p>Goodput: whole answers within their deadline. Dashed: offered.</p>',
     formatBars('Goodput by tier and case', reports.flatMap(listBars)),
-    ...reports.map(formatCase),
+    ...reports.map(formatReportSection),
     '</body></html>',
     '',
   ].join('\n');
@@ -53,7 +53,7 @@
     }));
 }
 
-function formatCase(report: LoadReport): string {
+function formatReportSection(report: LoadReport): string {
   const lines = report.tiers.flatMap((tier) => {
     const colour = pickColour(report, tier);
     return [
@@ -75,10 +75,10 @@
     .map((tier) => `<span style="color:${pickColour(report, tier)}">■ ${tier.tier}</span>`)
     .join(' ');
   return [
-    `<h2>${formatEscaped(report.name)}</h2>`,
+    `<h2>${escapeMarkup(report.name)}</h2>`,
     `<p>Requests a second by second of arrival. ${legend}</p>`,
     formatLines(`${report.name}: goodput by tier over time`, lines),
-    `<pre>${formatEscaped(formatText(report))}</pre>`,
+    `<pre>${escapeMarkup(formatText(report))}</pre>`,
   ].join('\n');
 }
 
--- a/src/load/run_load.ts
+++ b/src/load/run_load.ts
@@ -52,15 +52,17 @@
   const startMs = performance.now();
   const pending: Promise<RequestOutcome>[] = [];
   let worstLagMs = 0;
-  let next = 0;
-  while (next < arrivals.length) {
+  let nextIndex = 0;
+  while (nextIndex < arrivals.length) {
     const elapsedMs = performance.now() - startMs;
-    while (next < arrivals.length && (arrivals[next] as Arrival).atMs <= elapsedMs) {
-      const arrival = arrivals[next] as Arrival;
+    while (nextIndex < arrivals.length && (arrivals[nextIndex] as Arrival).atMs <= elapsedMs) {
+      const arrival = arrivals[nextIndex] as Arrival;
       worstLagMs = Math.max(worstLagMs, elapsedMs - arrival.atMs);
       const client = clients.get(buildClientKey(arrival.account.id, arrival.caller)) as LoadClient;
-      pending.push(client.run(arrival, startMs + arrival.atMs).then(noteOutcome(options)));
-      next += 1;
+      pending.push(
+        client.run(arrival, startMs + arrival.atMs).then(createOutcomeReporter(options)),
+      );
+      nextIndex += 1;
     }
     await waitMs(TICK_MS);
   }
@@ -86,7 +88,7 @@
     for (let caller = 0; caller < plan.callersPerAccount; caller += 1) {
       clients.set(
         buildClientKey(account.id, caller),
-        new LoadClient({ urls, firstUrl: clients.size, agent, graceMs, checksAnswers }),
+        new LoadClient({ urls, firstUrlIndex: clients.size, agent, graceMs, checksAnswers }),
       );
     }
   });
@@ -97,7 +99,9 @@
   return `${accountId}/${caller}`;
 }
 
-function noteOutcome(options: RunLoadOptions): (outcome: RequestOutcome) => RequestOutcome {
+function createOutcomeReporter(
+  options: RunLoadOptions,
+): (outcome: RequestOutcome) => RequestOutcome {
   return (outcome) => {
     options.onOutcome?.(outcome);
     return outcome;
--- a/src/load/run_load_test.ts
+++ b/src/load/run_load_test.ts
@@ -43,15 +43,15 @@
 
 let lastId = 0;
 
-function answerAssignment(response: ServerResponse, urls: readonly string[]): void {
+function sendAssignment(response: ServerResponse, urls: readonly string[]): void {
   lastId += 1;
   const entryHosts = urls.slice(1).map((url) => ({ id: url, url }));
   const entryHost = { id: urls[0], url: urls[0] };
   response.end(JSON.stringify({ id: `id-${lastId}`, entryHost, entryHosts, keepMs: 60_000 }));
 }
 
-async function runAgainst(t: Test, plan: LoadPlan, handles: readonly Handler[]): Promise<LoadRun> {
-  const hosts = await Promise.all(handles.map((handle) => startHost(handle)));
+async function runAgainst(t: Test, plan: LoadPlan, handlers: readonly Handler[]): Promise<LoadRun> {
+  const hosts = await Promise.all(handlers.map((handle) => startHost(handle)));
   t.teardown(() => hosts.forEach(({ server }) => server.close()));
   hosts.forEach(({ server }) => t.teardown(() => server.closeAllConnections()));
   return runLoad(plan, { urls: hosts.map(({ url }) => url), seed: 1 });
@@ -86,7 +86,7 @@
   const hosts: string[] = [];
   const cut: Handler = (request, response) => {
     hosts[0] = `http://${request.headers.host}`;
-    if (request.url === '/v1/requests') answerAssignment(response, hosts);
+    if (request.url === '/v1/requests') sendAssignment(response, hosts);
     else {
       response.writeHead(200, SSE).write(WHOLE.slice(0, 30), () => response.destroy());
     }
@@ -139,7 +139,7 @@
   const run = await runAgainst(t, buildPlan(2), [
     (request, response) => {
       hosts[0] = `http://${request.headers.host}`;
-      if (request.url === '/v1/requests') answerAssignment(response, hosts);
+      if (request.url === '/v1/requests') sendAssignment(response, hosts);
       else response.writeHead(503).end('{"error":{"code":"queue_full","run":"not_run"}}');
     },
   ]);
--- a/src/load/run_record.ts
+++ b/src/load/run_record.ts
@@ -42,7 +42,7 @@
  * @throws Error when one can't be read: a comparison with a part of the runs would miss doubles
  */
 export async function readRunRecords(urls: readonly string[]): Promise<readonly RunRecord[]> {
-  const lists = await Promise.all(urls.map(readOne));
+  const lists = await Promise.all(urls.map(readServerRecords));
   return lists.flat();
 }
 
@@ -70,7 +70,7 @@
     }));
 }
 
-async function readOne(url: string): Promise<readonly RunRecord[]> {
+async function readServerRecords(url: string): Promise<readonly RunRecord[]> {
   const response = await fetch(`${url}/_standin/runs`);
   if (!response.ok) throw new Error(`Cannot read the runs of ${url}: status ${response.status}`);
   return parseRunRecords(url, await response.json());
--- a/src/load/tally.ts
+++ b/src/load/tally.ts
@@ -10,7 +10,7 @@
 import { isInDeadline, OutcomeKind } from './outcome.js';
 import type { RequestOutcome } from './outcome.js';
 
-const HIGHEST_MS = 3_600_000;
+const MAX_TRACKED_MS = 3_600_000;
 const SIGNIFICANT_DIGITS = 3;
 const MS_PER_SECOND = 1000;
 
@@ -84,8 +84,8 @@
     counts.resumptions += outcome.resumptions;
     if (outcome.firstByteMs !== undefined) recordMs(counts.firstByte, outcome.firstByteMs);
     if (outcome.kind === OutcomeKind.Answered) recordMs(counts.total, outcome.totalMs);
-    recordEnd(counts, outcome);
-    recordSecond(counts, outcome);
+    countOutcome(counts, outcome);
+    countInTimeline(counts, outcome);
   }
 
   /** @returns one summary a tier, highest first */
@@ -121,7 +121,7 @@
 export function createHistogram(): Histogram {
   return build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HIGHEST_MS * MS_PER_SECOND,
+    highestTrackableValue: MAX_TRACKED_MS * MS_PER_SECOND,
     numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
   });
 }
@@ -133,7 +133,7 @@
  * @param valueMs - the time in milliseconds
  */
 export function recordMs(histogram: Histogram, valueMs: number): void {
-  const microseconds = Math.round(Math.min(HIGHEST_MS, Math.max(0, valueMs)) * MS_PER_SECOND);
+  const microseconds = Math.round(Math.min(MAX_TRACKED_MS, Math.max(0, valueMs)) * MS_PER_SECOND);
   histogram.recordValue(microseconds);
 }
 
@@ -156,12 +156,12 @@
 }
 
 /* eslint-disable no-param-reassign -- the counts are a private accumulator */
-function recordEnd(counts: TierCounts, outcome: RequestOutcome): void {
+function countOutcome(counts: TierCounts, outcome: RequestOutcome): void {
   if (outcome.kind === OutcomeKind.Refused) {
-    addOne(counts.refusedByCode, outcome.code ?? 'unreadable');
+    incrementCount(counts.refusedByCode, outcome.code ?? 'unreadable');
   } else if (outcome.kind === OutcomeKind.Lost) {
     counts.lost += 1;
-    addOne(counts.lostByCode, outcome.code ?? 'unknown');
+    incrementCount(counts.lostByCode, outcome.code ?? 'unknown');
   } else if (outcome.kind === OutcomeKind.Wrong) {
     counts.wrong += 1;
   } else if (isInDeadline(outcome)) {
@@ -172,7 +172,7 @@
   }
 }
 
-function recordSecond(counts: TierCounts, outcome: RequestOutcome): void {
+function countInTimeline(counts: TierCounts, outcome: RequestOutcome): void {
   const second = Math.floor(outcome.arrival.atMs / MS_PER_SECOND);
   while (counts.timeline.length <= second) counts.timeline.push({ offered: 0, inDeadline: 0 });
   const point = counts.timeline[second] as { offered: number; inDeadline: number };
@@ -180,7 +180,7 @@
   if (isInDeadline(outcome)) point.inDeadline += 1;
 }
 
-function addOne(counts: Record<string, number>, key: string): void {
+function incrementCount(counts: Record<string, number>, key: string): void {
   counts[key] = (counts[key] ?? 0) + 1;
 }
 /* eslint-enable no-param-reassign */
