--- a/src/caller/_address_book.ts
+++ b/src/caller/_address_book.ts
@@ -1,14 +1,15 @@
 /**
- * The entry hosts that a caller may use.
+ * Orders the entry host URLs that a caller client tries.
  *
  * @module
  */
 import type { Assignment } from '../application/views/mod.js';
 import type { Clock } from '../ports/mod.js';
 
+/** Time for which a URL is tried last after a failure, in milliseconds. */
 const FAILED_URL_COOLDOWN_MS = 5000;
 
-/** Addresses in the order in which they are to be tried. */
+/** Keeps the configured and the assigned entry host URLs and lists them in the order of trial. */
 export class AddressBook {
   readonly #configuredUrls: readonly string[];
 
@@ -21,28 +22,33 @@
   #assignedUntilMs = 0;
 
   /**
-   * @param configuredUrls - addresses from the settings, asked first and when nothing else is known
-   * @param clock - tells how long an answer may be kept
+   * @param configuredUrls - base URLs of entry hosts from the settings; they come first while no assignment
+   *   is valid, and after the assigned URLs otherwise
+   * @param clock - measures how long an assignment stays valid and how long ago a URL failed
    */
   constructor(configuredUrls: readonly string[], clock: Clock) {
     this.#configuredUrls = configuredUrls.map((url) => url.replace(/\/+$/, ''));
     this.#clock = clock;
   }
 
-  /** @param assignment - an entry host's answer, kept as long as it says */
+  /**
+   * Replaces the assigned URLs.
+   *
+   * @param assignment - an entry host's answer; it is valid for its `keepMs`
+   */
   apply({ entryHost, entryHosts, keepMs }: Assignment): void {
     this.#assignedUrls = [entryHost, ...entryHosts].map(({ url }) => url.replace(/\/+$/, ''));
     this.#assignedUntilMs = this.#clock.nowMs() + keepMs;
   }
 
-  /** @param url - an address that did not answer; it is tried last for a while */
+  /** @param url - a URL that failed; it moves to the end of the list for a while */
   recordFailure(url: string): void {
     this.#failedAtMs.set(url, this.#clock.nowMs());
   }
 
   /**
-   * @param preferredUrl - an address to put first, unless it failed
-   * @returns every known address, best first
+   * @param preferredUrl - a URL to put first, unless it failed recently
+   * @returns every known URL, without duplicates; those that failed recently come last
    */
   list(preferredUrl?: string): readonly string[] {
     const isAssignmentValid = this.#clock.nowMs() < this.#assignedUntilMs;
--- a/src/caller/_answer_body.ts
+++ b/src/caller/_answer_body.ts
@@ -1,5 +1,5 @@
 /**
- * Reads an answer's body to its end, over as many connections as it takes.
+ * Reads the body of an answer and resumes it over a new connection when one breaks.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 
 const EVENT_STREAM = 'text/event-stream';
 
-/** Where the answer is being read now. */
+/** The connection from which the body is currently read. */
 interface AnswerSource {
   readonly head: IncomingMessage;
   readonly exchange: Exchange;
@@ -29,7 +29,7 @@
   return typeof value === 'string' ? value : undefined;
 }
 
-/** The body of one answer. */
+/** Reads the body of one answer, over one connection or several. */
 export class AnswerBody {
   readonly #context: CallContext;
 
@@ -49,9 +49,9 @@
 
   /**
    * @param context - shared by the client's calls
-   * @param requestId - the call's ID
-   * @param submitted - the answer whose head has come
-   * @param signal - ends the reading
+   * @param requestId - ID of the request, under which the answer is resumed
+   * @param submitted - the call whose answer's head has arrived
+   * @param signal - aborts reading
    */
   constructor(
     context: CallContext,
@@ -67,14 +67,14 @@
     this.#source = { head: answer.head, exchange, url };
   }
 
-  /** How often it was read on through a new connection. */
+  /** Number of times that the body was resumed over a new connection. */
   get resumes(): number {
     return this.#resumes;
   }
 
   /**
-   * @returns the body, in order, each byte once
-   * @throws CallerError when it breaks off and can't be read on
+   * @returns the body's chunks in order, each byte exactly once
+   * @throws CallerError when the body breaks off and can't be resumed
    */
   async *read(): AsyncGenerator<Uint8Array> {
     const { body } = this.#submitted.answer;
@@ -93,7 +93,7 @@
         }
       }
     } finally {
-      // A whole answer's connection is kept for the next call; any other is of no more use.
+      // The connection is reused after a complete answer and closed after an incomplete one.
       if (!this.#source.head.readableEnded) this.#source.exchange.close();
     }
   }
@@ -111,7 +111,7 @@
       for (const chunk of events ? events.split(next.value) : [next.value])
         yield this.#recordProgress(chunk);
     }
-    if (!head.complete) throw new ExchangeError(true, 'The answer broke off');
+    if (!head.complete) throw new ExchangeError(true, 'The answer ended before it was complete');
     const rest = events?.takeRest();
     if (rest && rest.length > 0) yield this.#recordProgress(rest);
   }
@@ -122,7 +122,7 @@
     return chunk;
   }
 
-  /** Finds an entry host that reads on at the offset; starts nothing. */
+  /** Resumes the body at the offset through some entry host. Never starts the work again. */
   async #resume(cause: unknown): Promise<void> {
     this.#source.exchange.close();
     if (cause instanceof ErrorEvent) this.#throwIfFinal(cause.refusal, cause);
@@ -181,11 +181,14 @@
     return `/v1/requests/${encodeURIComponent(this.#requestId)}?${query}`;
   }
 
-  /** Other entry hosts may still reach what this one could not; a cut that its owner tells is final. */
+  /**
+   * Throws unless another entry host may still have the rest of the answer. An owner that reports
+   * the answer as cut is final; an entry host that can't reach the owner is not.
+   */
   #throwIfFinal(refusal: Refusal, cause?: unknown): void {
     if (isRetryableElsewhere(refusal.code) || isOwnerGone(refusal.code)) return;
     const { code, message, retryAfterMs, run } = refusal;
-    // The head was a backend server's: whatever is lost now, the call ran.
+    // A head from a backend server proves that the call ran, whatever the refusal says.
     const knownRun = run === RunOutcome.NotRun || this.#hasRun() ? RunOutcome.Ran : run;
     throw new CallerError(knownRun, message, {
       code,
@@ -203,7 +206,7 @@
     const reason = formatReason(cause);
     return new CallerError(
       this.#hasRun() ? RunOutcome.Ran : RunOutcome.MayHaveRun,
-      `The answer broke off after ${this.#offset} bytes and can't be read on: ${reason}`,
+      `The answer broke off after ${this.#offset} bytes and can't be resumed: ${reason}`,
       { code: LocalErrorCode.AnswerLost, requestId: this.#requestId, cause },
     );
   }
--- a/src/caller/_call_context.ts
+++ b/src/caller/_call_context.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of the caller share.
+ * Context, authorization and backoff shared by all calls of a caller client.
  *
  * @module
  */
@@ -7,32 +7,35 @@
 import type { AddressBook } from './_address_book.js';
 import type { Agents } from './_exchange.js';
 
-/** Shared by all calls of one client. */
+/** Dependencies and settings shared by all calls of one caller client. */
 export interface CallContext {
   readonly clock: Clock;
   readonly agents: Agents;
   readonly addresses: AddressBook;
   readonly apiKey: string;
-  /** Silence after which the caller asks whether it misses something, in milliseconds. */
+  /**
+   * Time without data, in milliseconds, after which the client asks an entry host for the state
+   * of the request.
+   */
   readonly silenceTimeoutMs: number;
 }
 
-/** Most tries in a row that bring nothing. */
+/** Maximum number of consecutive attempts without progress. */
 export const MAX_ATTEMPTS = 6;
 
 const FIRST_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 2000;
 
-/** @param apiKey - the caller's key. @returns the header that carries it */
+/** @param apiKey - API key of the client account. @returns the header that carries the key */
 export function buildAuthorization(apiKey: string): Readonly<Record<string, string>> {
   return { authorization: `Bearer ${apiKey}` };
 }
 
 /**
- * Waits between two rounds over the addresses.
+ * Waits before an attempt is repeated, with exponential backoff.
  *
- * @param clock - the clock
- * @param retry - rounds before, from 0 on; the pause doubles with each
+ * @param clock - sets the timer
+ * @param retry - number of earlier retries, from 0 on; each doubles the wait, up to the maximum
  */
 export function waitBeforeRetry(clock: Clock, retry: number): Promise<void> {
   const backoffMs = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** retry);
--- a/src/caller/_control_call.ts
+++ b/src/caller/_control_call.ts
@@ -1,5 +1,5 @@
 /**
- * Short calls to whichever entry host answers: an ID, a state, a cancellation.
+ * Sends short calls that any entry host can answer: request an ID, read a state, cancel.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 
 const CONTROL_TIMEOUT_MS = 5000;
 
-/** What is asked. */
+/** A control call; `path` is relative to an entry host's base URL. */
 export interface ControlCall {
   readonly method: string;
   readonly path: string;
@@ -37,9 +37,9 @@
   } catch (error) {
     exchange.close();
     if (!(error instanceof WaitTimeoutError) || !exchange.isOnReusedConnection) throw error;
-    // The far end may have lost track of a kept connection. A caller that knows
-    // one address would be told that nobody answers, while a new connection to
-    // that address works.
+    // The remote end, or a device on the way, may have dropped the reused connection without
+    // closing it. A client with a single URL would then fail as unreachable although a new
+    // connection to that URL works, so the call is repeated over a new connection.
     closeIdleConnections(context.agents);
     return sendTo(context, url, call);
   }
@@ -53,7 +53,8 @@
     throw new CallerError(run, message, { code, retryAfterMs, status });
   }
   const text = (body ?? (await readBody(head))).toString('utf8');
-  if (head.statusCode !== 200) throw new Error(`it answered ${head.statusCode}`);
+  if (head.statusCode !== 200)
+    throw new Error(`the entry host answered with status ${head.statusCode}`);
   return JSON.parse(text) as unknown;
 }
 
@@ -62,13 +63,13 @@
 }
 
 /**
- * Asks one entry host after the other until one answers. Such calls change
- * nothing that asking twice would spoil.
+ * Sends the call to one entry host after the other until one answers. Control calls are
+ * idempotent, so sending one several times is safe.
  *
  * @param context - shared by the client's calls
- * @param call - what to ask
- * @returns the answer's JSON
- * @throws CallerError when it is refused, or nobody answers
+ * @param call - the call to send
+ * @returns the decoded JSON of the answer
+ * @throws CallerError when the call is refused or no entry host answers
  */
 export async function sendControlCall(context: CallContext, call: ControlCall): Promise<unknown> {
   let lastError: unknown;
@@ -83,7 +84,7 @@
     }
   }
   if (lastError instanceof CallerError) throw lastError;
-  const reason = lastError instanceof Error ? lastError.message : 'there is no address';
+  const reason = lastError instanceof Error ? lastError.message : 'no URL is known';
   throw new CallerError(RunOutcome.NotRun, `No entry host answered: ${reason}`, {
     code: LocalErrorCode.Unreachable,
     cause: lastError,
--- a/src/caller/_event_reader.ts
+++ b/src/caller/_event_reader.ts
@@ -1,5 +1,5 @@
 /**
- * Finds an entry host's error event in a stream of server-sent events.
+ * Filters the error event of an entry host out of a stream of server-sent events.
  *
  * @module
  */
@@ -10,28 +10,29 @@
 const DATA_FIELD = 'data: ';
 const ERROR_EVENT_START = `${DATA_FIELD}{"error":`;
 
-/** An entry host broke the answer off and says why. */
+/** An entry host ended the stream early with an error event that gives the reason. */
 export class ErrorEvent extends Error {
   override readonly name = 'ErrorEvent';
 
-  /** @param refusal - what the event says */
+  /** @param refusal - the error that the event carries */
   constructor(readonly refusal: Refusal) {
     super(refusal.message);
   }
 }
 
 /**
- * Passes whole events on. An error event is no part of the answer: counted
- * into it, the offset from which another entry host reads on would be wrong
- * and bytes would be missing. So each event is looked at before it is passed.
+ * Splits a stream into complete events and stops at an error event. An entry host adds the error
+ * event; it is not part of the answer. If its bytes counted towards the offset at which another
+ * entry host resumes the answer, the caller would miss as many bytes of the answer. So each event
+ * is checked before it is passed on.
  */
 export class ErrorEventFilter {
   #buffered: Buffer = Buffer.alloc(0);
 
   /**
-   * @param bytes - the next bytes of the body
-   * @returns whole events
-   * @throws ErrorEvent after the last event before it
+   * @param bytes - the next chunk of the body
+   * @returns the complete events up to here
+   * @throws ErrorEvent at an error event, after all events before it were returned
    */
   *split(bytes: Uint8Array): Generator<Buffer> {
     this.#buffered =
@@ -44,7 +45,7 @@
     }
   }
 
-  /** @returns what stands behind the last whole event */
+  /** @returns the bytes after the last complete event */
   takeRest(): Buffer {
     const rest = this.#buffered;
     this.#buffered = Buffer.alloc(0);
@@ -58,9 +59,9 @@
 }
 
 /**
- * The error event may stand behind the first half of a very long event, which
- * entry hosts pass on in pieces. Quotes inside JSON text are escaped, so no
- * answer's own text can look like its start.
+ * Throws when the event contains an error event. Entry hosts forward a very long event in pieces,
+ * so the error event may follow the first part of one; hence the search from the end. JSON escapes
+ * quotes inside strings, so the text of an answer can't contain the start of an error event.
  */
 function throwIfErrorEvent(event: Buffer): void {
   const start = event.lastIndexOf(ERROR_EVENT_START);
--- a/src/caller/_exchange.ts
+++ b/src/caller/_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One HTTP request of a caller and the head of its answer.
+ * Sends one HTTP request of a caller client and provides the head of its answer.
  *
  * @module
  */
@@ -10,18 +10,17 @@
 
 const CONNECT_TIMEOUT_MS = 2000;
 
-/** Connections that are kept for the next request. */
+/** Pools of keep-alive connections, by protocol. */
 export interface Agents {
   readonly http: http.Agent;
   readonly https: https.Agent;
 }
 
 /**
- * Closes the connections that wait for their next use. When one connection has
- * gone silent, the others are as old: whatever is sent on them may vanish too,
- * while new ones work.
+ * Closes all idle connections. After one connection has gone silent, the idle ones may have been
+ * lost in the same way: requests sent over them may vanish while new connections work.
  *
- * @param agents - whose connections
+ * @param agents - the pools to clear
  */
 export function closeIdleConnections(agents: Agents): void {
   [agents.http, agents.https].forEach(({ freeSockets }) => {
@@ -31,7 +30,7 @@
   });
 }
 
-/** What is sent. */
+/** The request to send. */
 export interface ExchangeCall {
   readonly url: string;
   readonly method: string;
@@ -40,14 +39,14 @@
   readonly signal?: AbortSignal | undefined;
 }
 
-/** An exchange that broke before its answer was whole. */
+/** An exchange that failed before its answer was complete. */
 export class ExchangeError extends Error {
   override readonly name = 'ExchangeError';
 
   /**
-   * @param mayHaveBeenSent - whether the entry host may have the request
-   * @param message - what could not be done, and why
-   * @param options - the error underneath
+   * @param mayHaveBeenSent - whether the entry host may have received the request
+   * @param message - what failed and why
+   * @param options - the underlying error as `cause`
    */
   constructor(
     readonly mayHaveBeenSent: boolean,
@@ -58,9 +57,9 @@
   }
 }
 
-/** Sends one request. */
+/** Sends one request and waits for the head of its answer. */
 export class Exchange {
-  /** The answer's head. Fails with {@link ExchangeError}. */
+  /** The head of the answer. Rejects with {@link ExchangeError}. */
   readonly head: Promise<IncomingMessage>;
 
   readonly #request: ClientRequest;
@@ -68,9 +67,9 @@
   #hasConnected = false;
 
   /**
-   * @param call - what to send
-   * @param agents - where to take connections from
-   * @param clock - bounds the time to connect
+   * @param call - the request to send
+   * @param agents - the connection pools
+   * @param clock - limits the time to connect
    */
   constructor(call: ExchangeCall, agents: Agents, clock: Clock) {
     const isSecure = call.url.startsWith('https:');
@@ -85,18 +84,18 @@
       signal: call.signal,
     });
     this.head = this.#waitForHead(call.url);
-    // Nobody may be waiting any more when it fails.
+    // The caller may no longer await the head; this avoids an unhandled rejection.
     this.head.catch(() => undefined);
     this.#limitConnectTime(clock, isSecure ? 'secureConnect' : 'connect');
     this.#request.end(call.body);
   }
 
-  /** Whether its connection had been used before. */
+  /** Whether the request went over a connection that had been used before. */
   get isOnReusedConnection(): boolean {
     return this.#request.reusedSocket;
   }
 
-  /** Ends the exchange and its connection. */
+  /** Aborts the exchange and closes its connection. */
   close(): void {
     this.#request.destroy();
   }
@@ -104,7 +103,8 @@
   #waitForHead(url: string): Promise<IncomingMessage> {
     return new Promise((resolve, reject) => {
       this.#request.once('response', resolve);
-      // Stays for the life of the request: later errors reach the reader through the answer.
+      // The listener stays for the lifetime of the request: it handles errors after the head,
+      // which the reader receives through the answer itself.
       this.#request.on('error', (error) => {
         const message = `Cannot reach ${new URL(url).origin}: ${error.message}`;
         reject(new ExchangeError(this.#hasConnected, message, { cause: error }));
@@ -112,7 +112,10 @@
     });
   }
 
-  /** Before the connection is ready, TLS included, not a byte of the request can have left. */
+  /**
+   * Limits the time to connect and records when the connection is ready. No byte of the request
+   * is sent before that, TLS handshake included.
+   */
   #limitConnectTime(clock: Clock, readyEvent: 'connect' | 'secureConnect'): void {
     const timer = clock.setTimer(CONNECT_TIMEOUT_MS, () => {
       if (!this.#hasConnected)
--- a/src/caller/_refusal.ts
+++ b/src/caller/_refusal.ts
@@ -1,5 +1,5 @@
 /**
- * Error answers of entry hosts.
+ * Parses the error answers of entry hosts and classifies their codes.
  *
  * @module
  */
@@ -19,12 +19,12 @@
   }),
 });
 
-/** What an entry host's error says. */
+/** The error object in an entry host's error answer. */
 export type Refusal = z.infer<typeof refusalSchema>['error'];
 
 /**
- * Kinds that the entry host in between may answer without having asked the
- * owner: another entry host may know more.
+ * Codes that an entry host may return without an answer from the request's owner. Another entry
+ * host may still reach the owner.
  */
 const RETRYABLE_ELSEWHERE_CODES: ReadonlySet<string> = new Set([
   ErrorKind.EntryHostStopping,
@@ -33,7 +33,7 @@
   ErrorKind.OwnerUnreachable,
 ]);
 
-/** Refusals that only the owner gives, about the request itself. */
+/** Codes that only the request's owner returns. */
 const OWNER_CODES: ReadonlySet<string> = new Set([
   ErrorKind.RateLimited,
   ErrorKind.TokensLimited,
@@ -47,7 +47,7 @@
   ErrorKind.Cancelled,
 ]);
 
-/** Refusals by a listener's own rules, made before it passes a call on. */
+/** Codes of checks that the listening entry host makes before it forwards a call. */
 const LISTENER_CODES: ReadonlySet<string> = new Set([
   ErrorKind.MalformedRequest,
   ErrorKind.BodyTooLarge,
@@ -60,36 +60,36 @@
   ErrorKind.TooManyConnections,
 ]);
 
-/** @param code - of an error answer. @returns whether another entry host may answer better */
+/** @param code - code of an error. @returns whether another entry host may still have an answer */
 export function isRetryableElsewhere(code: string): boolean {
   return RETRYABLE_ELSEWHERE_CODES.has(code);
 }
 
-/** @param code - of an error answer. @returns whether it comes from the request's owner */
+/** @param code - code of an error. @returns whether only the request's owner returns the code */
 export function isFromOwner(code: string): boolean {
   return OWNER_CODES.has(code);
 }
 
-/** @param code - of an error answer. @returns whether the listener passed nothing on */
+/** @param code - code of an error. @returns whether the listener refused before forwarding */
 export function isFromListener(code: string): boolean {
   return LISTENER_CODES.has(code);
 }
 
-/** @param code - of an error answer. @returns whether the owner was asked and did not answer */
+/** @param code - code of an error. @returns whether the owner did not reply to the entry host */
 export function isOwnerUnreachable(code: string): boolean {
   return code === String(ErrorKind.OwnerUnreachable);
 }
 
-/** @param code - of an error answer. @returns whether the owner's process has ended */
+/** @param code - code of an error. @returns whether the owner's process has ended */
 export function isOwnerGone(code: string): boolean {
   return code === String(ErrorKind.OwnerGone);
 }
 
 /**
- * Parses an error as entry hosts write it.
+ * Parses the error format of entry hosts.
  *
- * @param text - a body, or the data of an event
- * @returns the error; undefined when the text is something else, such as a backend server's own error
+ * @param text - the body of an answer, or the data of an event
+ * @returns the error; undefined for any other text, such as a backend server's own error
  */
 export function parseRefusal(text: string): Refusal | undefined {
   try {
@@ -100,11 +100,11 @@
 }
 
 /**
- * Reads a whole body.
+ * Reads a body into memory.
  *
- * @param answer - the answer
- * @returns its body
- * @throws Error when it is too long or breaks off
+ * @param answer - the answer to read
+ * @returns the complete body
+ * @throws Error when the body is too long or breaks off
  */
 export async function readBody(answer: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
@@ -118,19 +118,20 @@
   return Buffer.concat(chunks);
 }
 
-/** An answer's head, and its body where that had to be read to know what the answer is. */
+/** An answer whose head has arrived and whose error body, if any, has been read. */
 export interface OpenedAnswer {
   readonly head: IncomingMessage;
-  /** Set for error statuses: the body, read whole. */
+  /** The complete body for an error status; undefined for any other status. */
   readonly body: Buffer | undefined;
+  /** The entry host's error; undefined when a backend server answered. */
   readonly refusal: Refusal | undefined;
 }
 
 /**
- * Tells an entry host's refusal from a backend server's answer.
+ * Distinguishes an entry host's refusal from a backend server's answer.
  *
- * @param head - the answer's head
- * @returns what it is
+ * @param head - the head of the answer
+ * @returns the answer, with the refusal if it is one
  */
 export async function openAnswer(head: IncomingMessage): Promise<OpenedAnswer> {
   if ((head.statusCode ?? 0) < FIRST_ERROR_STATUS)
--- a/src/caller/_silence_check.ts
+++ b/src/caller/_silence_check.ts
@@ -1,5 +1,5 @@
 /**
- * Connections that have gone silent.
+ * Detects connections that were lost without an error.
  *
  * @module
  */
@@ -18,15 +18,15 @@
 
 const stateReportSchema = z.object({ state: z.enum(RequestState), answerBytes: z.number() });
 
-/** What is being waited for. */
+/** How much of the answer to a request has arrived. */
 export interface AnswerProgress {
   readonly requestId: string;
-  /** Bytes of the answer that have come. */
+  /** Number of bytes of the answer's body received so far. */
   readonly offset: number;
   readonly signal: AbortSignal | undefined;
 }
 
-/** Whether the owner has something that has not come here. */
+/** Asks for the request's state and returns whether there is more than this client has received. */
 async function hasUnreceivedAnswer(
   context: CallContext,
   progress: AnswerProgress,
@@ -38,22 +38,22 @@
     return FINAL_STATES.includes(state) || answerBytes > progress.offset;
   } catch {
     progress.signal?.throwIfAborted();
-    // Nobody knows the request: reading on elsewhere is all that is left to try.
+    // No entry host reports a state. The only option left is to retry over a new connection.
     return true;
   }
 }
 
 /**
- * Waits for the next step of an exchange. A connection whose far end has
- * forgotten it gives neither bytes nor an error, and the caller would wait for
- * good; a queue may be as silent for minutes. So at each silence the caller
- * asks, over another connection, whether there is anything that it lacks.
+ * Waits for the next step of an exchange. A connection whose remote end has dropped it without
+ * closing yields neither bytes nor an error, and the caller would wait forever. A queued request
+ * may be just as silent for minutes. So after each silence timeout the client asks over another
+ * connection whether the answer has progressed beyond what has arrived.
  *
  * @param context - shared by the client's calls
- * @param step - what to wait for
- * @param progress - whose step it is
- * @returns the step's value
- * @throws ExchangeError when the connection has gone silent for good
+ * @param step - the step to wait for
+ * @param progress - the request and what has arrived of its answer
+ * @returns the value of the step
+ * @throws ExchangeError when the connection is considered lost
  */
 export async function waitWithSilenceCheck<T>(
   context: CallContext,
@@ -65,7 +65,7 @@
       return await waitWithin(step, context.clock, context.silenceTimeoutMs);
     } catch (error) {
       if (!(error instanceof WaitTimeoutError)) throw error;
-      // A kept connection may be as silent as this one and would hold the question up.
+      // Another idle connection may be lost as well and would delay the state request.
       closeIdleConnections(context.agents);
       if (await hasUnreceivedAnswer(context, progress))
         throw new ExchangeError(true, `The connection went silent: ${error.message}`);
--- a/src/caller/_submission.ts
+++ b/src/caller/_submission.ts
@@ -1,5 +1,5 @@
 /**
- * Sends a call until the head of its answer is there.
+ * Sends a call, with retries, until the head of its answer arrives.
  *
  * @module
  */
@@ -20,19 +20,19 @@
 import { CallerError, LocalErrorCode } from './caller_error.js';
 import type { CallerRequest } from './caller_request.js';
 
-/** An answer whose head has come. */
+/** A call whose answer's head has arrived, with the connection that carries the answer. */
 export interface SubmittedCall {
   readonly answer: OpenedAnswer;
   readonly exchange: Exchange;
   readonly url: string;
 }
 
-/** Nothing has left this process, so the ID may be dropped and the call sent under another one. */
+/** No byte of the call was sent, so the call may be sent under a new ID without running twice. */
 export class NeverSentError extends Error {
   override readonly name = 'NeverSentError';
 }
 
-/** @param request - the call. @returns its body in bytes */
+/** @param request - the call. @returns the body of the call as bytes */
 function encodeBody({ body }: CallerRequest): Uint8Array | undefined {
   return typeof body === 'string' ? Buffer.from(body) : body;
 }
@@ -51,9 +51,9 @@
 }
 
 /**
- * Sends one call under one ID. Its copies, sent through other entry hosts when
- * a connection breaks, all reach the one owner that the ID names, which runs
- * the first and gives each the same answer.
+ * Sends one call under one request ID. When a connection breaks, copies of the call go through
+ * other entry hosts. All copies reach the one owner that the ID names; the owner runs the first
+ * copy and gives every copy the same answer.
  */
 export class Submission {
   readonly #context: CallContext;
@@ -68,7 +68,7 @@
 
   /**
    * @param context - shared by the client's calls
-   * @param assignment - the ID and the addresses
+   * @param assignment - the request ID and the entry hosts to use
    * @param request - the call
    */
   constructor(context: CallContext, assignment: Assignment, request: CallerRequest) {
@@ -79,12 +79,14 @@
   }
 
   /**
+   * Sends the call until an answer's head arrives or the attempts are used up.
+   *
    * @returns the answer's head
-   * @throws NeverSentError when nothing left this process
-   * @throws CallerError when the call is refused, or nobody can tell what became of it
+   * @throws NeverSentError when no byte of the call was sent
+   * @throws CallerError when the call is refused or its outcome is unknown
    */
   async run(): Promise<SubmittedCall> {
-    let lastError: Error = new NeverSentError('there is no address');
+    let lastError: Error = new NeverSentError('no URL is known');
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       const urls = this.#context.addresses.list(this.#assignment.entryHost.url);
       const url = urls[0] ?? this.#assignment.entryHost.url;
@@ -145,12 +147,12 @@
   }
 
   /**
-   * When an earlier copy of the call may have reached the owner, "not run" from
-   * an entry host in between only says that *it* passed nothing on. Taken for
-   * the whole truth, the caller would send the work again under a new ID and
-   * double it. The other way round, a listener that refuses a call by its own
-   * rules can't know of other copies, while this caller knows that it was the
-   * first and only one.
+   * Corrects the run outcome in a refusal by what this client knows of other copies of the call.
+   * When an earlier copy may have reached the owner, "not run" from another entry host only means
+   * that this entry host forwarded nothing; a caller that relied on it would send the work again
+   * under a new ID and run it twice. Conversely, a listener that refuses a call by its own checks
+   * answers "may have run" because it can't know of other copies; when the client knows that this
+   * was the only copy, the call has not run.
    */
   #computeRunOutcome({ code, run }: Refusal): RunOutcome {
     if (this.#mayHaveBeenSent && run === RunOutcome.NotRun && !isFromOwner(code))
@@ -165,7 +167,7 @@
     if (lastError instanceof CallerError) return lastError;
     return new CallerError(
       RunOutcome.MayHaveRun,
-      `Cannot tell what became of the call: ${lastError.message}`,
+      `The outcome of the call is unknown: ${lastError.message}`,
       { code: LocalErrorCode.ConnectionLost, requestId: this.#assignment.id, cause: lastError },
     );
   }
--- a/src/caller/_wait_within.ts
+++ b/src/caller/_wait_within.ts
@@ -1,28 +1,28 @@
 /**
- * Waits with a limit.
+ * Limits the wait for a promise.
  *
  * @module
  */
 import type { Clock } from '../ports/mod.js';
 
-/** Nothing came within the limit. */
+/** A step did not complete within its timeout. */
 export class WaitTimeoutError extends Error {
-  override readonly name = 'SilenceError';
+  override readonly name = 'WaitTimeoutError';
 
-  /** @param timeoutMs - the limit in milliseconds */
+  /** @param timeoutMs - the timeout in milliseconds */
   constructor(timeoutMs: number) {
-    super(`nothing came within ${timeoutMs} ms`);
+    super(`nothing arrived within ${timeoutMs} ms`);
   }
 }
 
 /**
- * Waits for a step, but not longer than a limit. The step itself goes on.
+ * Waits for a step until a timeout. The step itself is not cancelled.
  *
- * @param step - what to wait for
- * @param clock - the clock
- * @param timeoutMs - the limit in milliseconds
- * @returns the step's value
- * @throws SilenceError after the limit
+ * @param step - the step to wait for
+ * @param clock - sets the timer
+ * @param timeoutMs - the timeout in milliseconds
+ * @returns the value of the step
+ * @throws WaitTimeoutError after the timeout
  */
 export function waitWithin<T>(step: Promise<T>, clock: Clock, timeoutMs: number): Promise<T> {
   return new Promise((resolve, reject) => {
--- a/src/caller/caller_client.ts
+++ b/src/caller/caller_client.ts
@@ -1,5 +1,5 @@
 /**
- * The caller's side of the protocol.
+ * Client that sends calls through the entry hosts.
  *
  * @module
  */
@@ -32,22 +32,25 @@
 
 /** Options of {@link CallerClient}. */
 export interface CallerClientOptions {
-  /** Base URLs of entry hosts to ask first; one is enough while it lives. */
+  /** Base URLs of entry hosts to ask first; one suffices as long as it is reachable. */
   readonly urls: readonly string[];
   readonly apiKey: string;
-  /** Certificates of authorities to trust besides the usual ones, in PEM. */
+  /** CA certificates in PEM to trust instead of the default ones. */
   readonly certificateAuthority?: string;
-  /** Silence after which it asks whether it misses something, in milliseconds. Default: 10,000. */
+  /**
+   * Time without data, in milliseconds, after which the client asks an entry host for the state of
+   * the request. Default: 10,000.
+   */
   readonly silenceMs?: number;
-  /** Default: the machine's clock. */
+  /** Default: the system clock. */
   readonly clock?: Clock;
 }
 
-/** Calls through the entry hosts, each call at most once, its answer whole. */
+/** Sends calls through the entry hosts: each runs at most once, and its answer is complete. */
 export class CallerClient {
   readonly #context: CallContext;
 
-  /** @param options - where to ask first, and the key */
+  /** @param options - the entry hosts, the API key and the timeouts */
   constructor(options: CallerClientOptions) {
     const clock = options.clock ?? new SystemClock();
     this.#context = {
@@ -63,12 +66,12 @@
   }
 
   /**
-   * Asks which entry host to use, and for a request ID.
+   * Requests an ID for a call and the entry hosts to use.
    *
-   * @param idempotencyKey - gives the same ID to a repeated call, while the ID lives
-   * @param signal - ends the call
-   * @returns the ID and the addresses
-   * @throws CallerError that says `not_run`
+   * @param idempotencyKey - a repeated call with the same key gets the same ID until the ID expires
+   * @param signal - aborts the call
+   * @returns the request ID and the URLs of the entry hosts
+   * @throws CallerError when no ID can be obtained
    */
   async assign(idempotencyKey?: string, signal?: AbortSignal): Promise<Assignment> {
     const answer = await sendControlCall(this.#context, {
@@ -87,12 +90,12 @@
   }
 
   /**
-   * Sends one call. An entry host that can't be reached before anything was
-   * sent costs an ID and no more; after that the call stays with its ID.
+   * Sends one call. While no byte of the call has been sent, an unreachable entry host makes the
+   * client request a new ID. Once anything may have been sent, the call keeps its ID.
    *
    * @param request - the call
-   * @returns its answer, head first
-   * @throws CallerError when it is refused or fails; `run` says what is known
+   * @returns the answer: its head, and its body to be read
+   * @throws CallerError when the call is refused or fails; its `run` tells whether the call ran
    */
   async send(request: CallerRequest): Promise<CallerReply> {
     let lastError: Error | undefined;
@@ -114,16 +117,16 @@
   /**
    * Cancels a request.
    *
-   * @param requestId - its ID
-   * @returns when an entry host has taken the cancellation
-   * @throws CallerError when nobody took it
+   * @param requestId - ID of the request
+   * @returns when an entry host has accepted the cancellation
+   * @throws CallerError when no entry host accepts it
    */
   async cancel(requestId: string): Promise<void> {
     const path = `/v1/requests/${encodeURIComponent(requestId)}`;
     await sendControlCall(this.#context, { method: 'DELETE', path });
   }
 
-  /** Closes the connections that are kept. */
+  /** Closes all connections of the client. */
   close(): void {
     this.#context.agents.http.destroy();
     this.#context.agents.https.destroy();
--- a/src/caller/caller_error.ts
+++ b/src/caller/caller_error.ts
@@ -1,35 +1,35 @@
 /**
- * Why a call was not answered, and what is known of its run.
+ * Error of a call without a complete answer: its code, and whether the call ran.
  *
  * @module
  */
 import type { RunOutcome } from '../domain/errors/mod.js';
 
-/** Codes of failures that no entry host told, besides the error kinds of the system. */
+/** Codes of failures that the client itself detects. Entry hosts report `ErrorKind` codes. */
 export enum LocalErrorCode {
-  /** No entry host could be reached before anything was sent. */
+  /** No entry host was reachable, and nothing was sent. */
   Unreachable = 'unreachable',
-  /** The connection broke after the call was sent, and nobody can tell what became of it. */
+  /** The connection broke after the call was sent; its outcome is unknown. */
   ConnectionLost = 'connection_lost',
-  /** The answer broke off and could not be read on. */
+  /** The answer broke off and could not be resumed. */
   AnswerLost = 'answer_lost',
-  /** An entry host answered in a form that the protocol doesn't know. */
+  /** An entry host's answer does not follow the protocol. */
   MalformedAnswer = 'malformed_answer',
 }
 
-/** What is known besides the outcome. */
+/** Details of a {@link CallerError}. */
 export interface CallerErrorOptions {
-  /** Error kind of the system, or a {@link LocalErrorCode}. */
+  /** An `ErrorKind` that an entry host reported, or a {@link LocalErrorCode}. */
   readonly code: string;
-  /** When to come back, in milliseconds; 0: not as it stands. Default: 0. */
+  /** Time after which to retry, in milliseconds; 0: don't retry the same call. Default: 0. */
   readonly retryAfterMs?: number;
-  /** HTTP status, where an entry host answered. */
+  /** HTTP status, if an entry host answered. */
   readonly status?: number;
   readonly requestId?: string;
   readonly cause?: unknown;
 }
 
-/** A call that was not answered whole. */
+/** A call that got no complete answer. */
 export class CallerError extends Error {
   override readonly name = 'CallerError';
 
@@ -42,9 +42,9 @@
   readonly requestId: string | undefined;
 
   /**
-   * @param run - what is known of the run
-   * @param message - what could not be done, and why
-   * @param options - the rest
+   * @param run - whether the call ran, as far as is known
+   * @param message - what failed and why
+   * @param options - code, retry-after time and other details
    */
   constructor(
     readonly run: RunOutcome,
--- a/src/caller/caller_request.ts
+++ b/src/caller/caller_request.ts
@@ -1,37 +1,37 @@
 /**
- * A caller's call and its answer.
+ * The call that a caller sends and the reply to it.
  *
  * @module
  */
 
-/** One call. */
+/** One call to a model or a service. */
 export interface CallerRequest {
-  /** Such as `POST`. */
+  /** HTTP method, such as `POST`. */
   readonly method: string;
   /** Path and query: `/v1/chat/completions` or `/v1/services/{service}/…`. */
   readonly path: string;
-  /** Headers for the backend server; `content-type` is JSON where there is a body and none is named. */
+  /** Headers for the backend server. With a body, `content-type` defaults to JSON. */
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: Uint8Array | string;
-  /** Kind of work in the contract; by default the first that fits. */
+  /** Kind of work in the contract. Default: the first one that matches. */
   readonly workKind?: string;
-  /** Deadline in milliseconds; by default the contract's. */
+  /** Deadline in milliseconds after the call. Default: the contract's deadline. */
   readonly deadlineMs?: number;
-  /** Gives the same ID to a repeated call, while the ID lives. */
+  /** A repeated call with the same key gets the same request ID until the ID expires. */
   readonly idempotencyKey?: string;
   /** W3C trace context of the caller. */
   readonly traceparent?: string;
-  /** Ends the call and its answer. */
+  /** Aborts the call and the reading of its answer. */
   readonly signal?: AbortSignal;
 }
 
-/** An answer, head first. */
+/** The head of an answer, and its body to be read. */
 export interface CallerReply {
   readonly requestId: string;
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
-  /** The whole body. Fails with CallerError when it breaks off and can't be read on. */
+  /** The complete body. Rejects with `CallerError` when it breaks off and can't be resumed. */
   readonly body: AsyncIterable<Uint8Array>;
-  /** How often the body was read on through a new connection so far. */
+  /** Number of times that the body has been resumed over a new connection so far. */
   readonly resumes: number;
 }
--- a/src/caller/mod.ts
+++ b/src/caller/mod.ts
@@ -1,7 +1,7 @@
 /**
- * A caller's side of the protocol: which entry host to use, a request ID, one
- * call, and its whole answer, read on through another entry host when the
- * connection breaks. Nothing is ever sent under a second ID once it may have run.
+ * Client for callers: requests an ID and an entry host, sends one call, and returns its complete
+ * answer, resumed through another entry host when the connection breaks. Once a call may have run,
+ * it is never sent under a second ID.
  *
  * ```ts
  * const client = new CallerClient({ urls: ['http://10.0.0.1:8080'], apiKey });
--- a/src/load/_answer_scan.ts
+++ b/src/load/_answer_scan.ts
@@ -1,48 +1,50 @@
 /**
- * Looks through an answer as it comes, keeping counts and not the text.
+ * Scans an answer while it arrives and keeps counts instead of the text.
  *
  * @module
  */
 const MAX_BUFFERED_CHARACTERS = 1_048_576;
 
-/** What an error answer says. */
+/** Code and run outcome from an error answer. */
 export interface ErrorAnswerBody {
   readonly code: string;
   readonly run: string | undefined;
 }
 
 /**
- * Scans one answer over all its parts. A stream is whole only when `[DONE]`
- * came: a connection that merely ended in good order may have been cut by a
- * host that died, and the caller would take half an answer for all of it.
+ * Scans one answer, also across resumptions. A stream is complete only after `[DONE]`: a connection
+ * that ended cleanly may have been closed by a dying host, and the caller would take a truncated
+ * answer for a complete one.
  */
 export class AnswerScanner {
-  /** Bytes of the answer's body so far. */
+  /** Number of bytes of the answer's body received so far. */
   bytes = 0;
 
-  /** Events of a stream that carried output. */
+  /** Number of output tokens: events with content, or the tokens of a non-streamed answer. */
   outputTokens = 0;
 
-  /** The error event inside a stream, if one came. */
+  /** The error event of the stream, if there was one. */
   streamError: ErrorAnswerBody | undefined;
 
-  /** Whether each marked token so far bore the wanted mark, in order. */
-  #hasExpectedMarks = true;
+  /** Whether every token so far carried the expected mark and position. */
+  #hasValidMarks = true;
 
+  /** The incomplete last line of a stream, or the end of a non-streamed body. */
   #text = '';
 
+  /** Whether `[DONE]` has arrived. */
   #isDone = false;
 
   /**
    * @param isStream - whether the answer is an event stream
-   * @param mark - what each token must name, as `mark.0 mark.1 …`; undefined takes any answer
+   * @param mark - mark that each token must carry, as `mark.0 mark.1 …`; undefined: any answer is valid
    */
   constructor(
     private readonly isStream: boolean,
     private readonly mark?: string,
   ) {}
 
-  /** @param chunk - the next bytes of the body */
+  /** @param chunk - the next chunk of the body */
   add(chunk: Buffer): void {
     this.bytes += chunk.length;
     this.#text += chunk.toString('latin1');
@@ -51,12 +53,12 @@
       this.#text = this.#text.slice(-MAX_BUFFERED_CHARACTERS);
   }
 
-  /** @returns whether the answer is whole, once its body has ended in good order */
+  /** @returns whether the answer is complete, given that its body ended cleanly */
   isComplete(): boolean {
     return this.isStream ? this.#isDone : true;
   }
 
-  /** Counts the output of an answer that came in one piece. */
+  /** Counts the output tokens of a non-streamed answer. Call at the end of its body. */
   finish(): void {
     if (this.isStream) return;
     const content = /"content"\s*:\s*"([^"]*)"/.exec(this.#text)?.[1];
@@ -72,13 +74,11 @@
   }
 
   /**
-   * @param outputTokens - how many tokens the whole answer has
-   * @returns whether it is the answer to this very request, untorn
+   * @param outputTokens - number of tokens of the complete answer
+   * @returns whether the answer belongs to this request and has all its tokens in order
    */
   isExpectedAnswer(outputTokens: number): boolean {
-    return (
-      this.mark === undefined || (this.#hasExpectedMarks && this.outputTokens === outputTokens)
-    );
+    return this.mark === undefined || (this.#hasValidMarks && this.outputTokens === outputTokens);
   }
 
   #readLines(): void {
@@ -99,16 +99,16 @@
   }
 
   #readToken(token: string): void {
-    if (token !== `${this.mark}.${this.outputTokens}`) this.#hasExpectedMarks = false;
+    if (token !== `${this.mark}.${this.outputTokens}`) this.#hasValidMarks = false;
     this.outputTokens += 1;
   }
 }
 
 /**
- * Reads the code and the word on the run from an error's body.
+ * Parses the code and the run outcome from an error body.
  *
- * @param text - the body
- * @returns what it says; code `unreadable` when it is no error of the table
+ * @param text - the error body
+ * @returns code and run outcome; the code is `unreadable` when the body has none
  */
 export function parseErrorBody(text: string): ErrorAnswerBody {
   try {
--- a/src/load/_client.ts
+++ b/src/load/_client.ts
@@ -1,6 +1,5 @@
 /**
- * A caller of the load tool: asks for an ID, sends, resumes, and tells what
- * became of the request.
+ * A simulated caller: requests an ID, sends the call, resumes its answer, and returns the outcome.
  *
  * @module
  */
@@ -15,7 +14,7 @@
 
 const MAX_ATTEMPTS = 6;
 const RETRY_BACKOFF_MS = 50;
-/** Refusals that tell a caller to go to another entry host at once; nothing ran. */
+/** Codes of refusals after which the call is retried at another entry host; nothing ran. */
 const RETRY_ELSEWHERE_CODES = new Set(['entry_host_stopping', 'too_many_connections']);
 
 const addressSchema = z.object({ url: z.string().min(1) });
@@ -30,16 +29,16 @@
 /** Options of a {@link LoadClient}. */
 export interface LoadClientOptions {
   readonly urls: readonly string[];
-  /** Index of the address to begin with; spreads callers over the entry hosts. */
+  /** Index of the URL to try first; spreads the callers over the entry hosts. */
   readonly firstUrlIndex: number;
   readonly agent: http.Agent;
-  /** How long after its deadline a caller still waits, in milliseconds. */
+  /** Time that the caller still waits after the deadline, in milliseconds. */
   readonly graceMs: number;
-  /** Whether answers must bear their prompts' marks. */
+  /** Whether each token of an answer must carry the mark of its prompt. */
   readonly checksAnswers: boolean;
 }
 
-/** One caller: keeps the addresses that it was told for as long as it was told. */
+/** One simulated caller; keeps the assigned entry host URLs for as long as they are valid. */
 export class LoadClient {
   readonly #seedUrls: readonly string[];
 
@@ -47,18 +46,18 @@
 
   #assignedUntilMs = 0;
 
-  /** @param options - where to start and how long to wait */
+  /** @param options - URLs, connections and limits of the caller */
   constructor(private readonly options: LoadClientOptions) {
     const { urls, firstUrlIndex: firstUrl } = options;
     this.#seedUrls = urls.map((_, index) => urls[(index + firstUrl) % urls.length] as string);
   }
 
   /**
-   * Sends one request and follows it to its end.
+   * Sends one request, with retries and resumptions, until its outcome is known.
    *
-   * @param arrival - what to send
-   * @param startedAtMs - when it arrived, on the monotonic clock
-   * @returns what became of it; never rejects
+   * @param arrival - the request to send
+   * @param startedAtMs - scheduled time of the arrival on the monotonic clock, in milliseconds
+   * @returns the outcome; never rejects
    */
   async run(arrival: Arrival, startedAtMs: number): Promise<RequestOutcome> {
     const abort = new AbortController();
@@ -83,7 +82,10 @@
     return [...new Set([...this.#assignedUrls, ...this.#seedUrls])];
   }
 
-  /** Asks which entry host to use and for an ID. Nothing can have run meanwhile. */
+  /**
+   * Requests an ID and the entry hosts to use, with retries; nothing can run meanwhile. Returns the
+   * outcome if that fails, and undefined after success.
+   */
   async #assign(progress: RequestProgress): Promise<RequestOutcome | undefined> {
     for (let attempt = 0; ; attempt += 1) {
       const url = pickUrl(progress.urls, attempt);
@@ -95,8 +97,7 @@
       });
       if (result.error && !mustRetryElsewhere(result))
         return progress.buildRefusedOutcome(result, url);
-      if (result.isBodyComplete && !result.error)
-        return this.#applyAssignment(progress, result, url);
+      if (result.ended && !result.error) return this.#applyAssignment(progress, result, url);
       if (attempt + 1 >= MAX_ATTEMPTS || progress.signal.aborted) {
         if (result.error) return progress.buildRefusedOutcome(result, url);
         return progress.buildLostOutcome(`assign_${result.cause ?? 'broken'}`, url);
@@ -119,7 +120,7 @@
     return undefined;
   }
 
-  /** Sends the call, and takes its answer up elsewhere as often as the way breaks. */
+  /** Sends the call, and retries or resumes it at the next entry host when a connection breaks. */
   async #sendUntilDone(progress: RequestProgress): Promise<RequestOutcome> {
     for (let attempt = 0; ; attempt += 1) {
       const url = pickUrl(progress.urls, attempt);
@@ -129,7 +130,7 @@
       if (result.error && (isLast || !mustRetryElsewhere(result))) {
         return progress.buildRefusedOutcome(result, url);
       }
-      if (!result.error && result.isBodyComplete && result.scan?.isComplete())
+      if (!result.error && result.ended && result.scan?.isComplete())
         return progress.buildAnsweredOutcome(url);
       if (isLast) {
         return progress.buildLostOutcome(
@@ -142,9 +143,9 @@
   }
 
   /**
-   * Sends the call under its ID, which is safe to repeat; once the answer's
-   * head was there, only the rest of the answer is asked for. A bare request
-   * is one that may be repeated: it starts over.
+   * Sends the call under its ID, which makes it safe to repeat. After the head of the answer has
+   * arrived, requests only the rest of the answer. A request that the plan sends without an ID may
+   * run again, so it starts over.
    */
   #sendOrResume(progress: RequestProgress, url: string): Promise<ExchangeResult> {
     progress.recordAttempt();
--- a/src/load/_exchange.ts
+++ b/src/load/_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One HTTP exchange of the load tool.
+ * Performs one HTTP exchange of the load tool.
  *
  * @module
  */
@@ -10,18 +10,18 @@
 
 const FIRST_NON_SUCCESS_STATUS = 300;
 
-/** What to send. */
+/** The request to send, and callbacks for its answer. */
 export interface ExchangeCall {
   readonly url: string;
   readonly method: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string | undefined;
   readonly agent: http.Agent;
-  /** Ends the exchange when the caller gives up. */
+  /** Aborts the exchange when the caller stops waiting. */
   readonly signal: AbortSignal;
-  /** What each token of the answer must name; undefined takes any answer. */
+  /** Mark that each token of the answer must carry; undefined: any answer is valid. */
   readonly mark?: string;
-  /** A scan to go on with, when an answer is resumed. */
+  /** The scanner to continue with when an answer is resumed. */
   readonly scan?: AnswerScanner;
   /** Called with the head of a successful answer. */
   readonly onHead?: (headers: IncomingHttpHeaders, scan: AnswerScanner) => void;
@@ -29,27 +29,27 @@
   readonly onFirstByte?: () => void;
 }
 
-/** What came back. */
+/** The answer, or as much of it as arrived. */
 export interface ExchangeResult {
-  /** 0 when no head came. */
+  /** HTTP status; 0 when no head arrived. */
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly scan: AnswerScanner | undefined;
-  /** The body of an error answer. */
+  /** The error of an unsuccessful answer. */
   readonly error: ErrorAnswerBody | undefined;
-  /** Small bodies that are no answers of a backend server. */
+  /** The body, unless it is a successful event stream. */
   readonly text: string;
-  /** Whether the body ended in good order. */
-  readonly isBodyComplete: boolean;
-  /** Why the connection broke, such as ECONNREFUSED. */
+  /** Whether the body ended cleanly. */
+  readonly ended: boolean;
+  /** Why the connection broke, such as `ECONNREFUSED`. */
   readonly cause: string | undefined;
 }
 
 /**
- * Sends one call and reads its answer to the end, or to where it breaks off.
+ * Sends one call and reads its answer until it ends or breaks off.
  *
- * @param call - what to send
- * @returns what came back; never rejects
+ * @param call - the request to send
+ * @returns the result; never rejects
  */
 export function sendExchange(call: ExchangeCall): Promise<ExchangeResult> {
   return new Promise((resolve) => {
@@ -67,7 +67,7 @@
   });
 }
 
-/** Called when an exchange is over. */
+/** Receives the result of an exchange. */
 type ExchangeDone = (result: ExchangeResult) => void;
 
 function readResponse(
@@ -99,7 +99,7 @@
       scan,
       error,
       text,
-      isBodyComplete: isBodyComplete,
+      ended: isBodyComplete,
       cause,
     });
   };
@@ -119,7 +119,7 @@
     scan: undefined,
     error: undefined,
     text: '',
-    isBodyComplete: false,
+    ended: false,
     cause,
   };
 }
--- a/src/load/_prompt.ts
+++ b/src/load/_prompt.ts
@@ -1,5 +1,5 @@
 /**
- * Prompts of a wanted length, with shared beginnings.
+ * Builds prompts of a given length with shared prefixes.
  *
  * @module
  */
@@ -10,10 +10,10 @@
 const MARK_CHARACTERS = 8;
 
 /**
- * Builds a prompt: the shared prefix, then text that no other prompt has.
+ * Builds a prompt: the shared prefix, then text that is unique to the prompt.
  *
- * @param arrival - whose prompt
- * @returns text of about `promptTokens` tokens
+ * @param arrival - the request that the prompt is for
+ * @returns text of `promptTokens` tokens at four characters each
  */
 export function buildPrompt(arrival: Arrival): string {
   const length = arrival.promptTokens * CHARACTERS_PER_TOKEN;
@@ -27,7 +27,7 @@
  * Derives the mark that the stand-in engines put into each token of an answer.
  *
  * @param prompt - the prompt
- * @returns first digits of its SHA-256
+ * @returns the first eight hex digits of the prompt's SHA-256 hash
  */
 export function deriveMark(prompt: string): string {
   return createHash('sha256').update(prompt).digest('hex').slice(0, MARK_CHARACTERS);
--- a/src/load/_request_progress.ts
+++ b/src/load/_request_progress.ts
@@ -1,5 +1,5 @@
 /**
- * One request of the load tool on its way from arrival to its end.
+ * Tracks one request of the load tool from its arrival to its outcome.
  *
  * @module
  */
@@ -12,20 +12,20 @@
 import { OutcomeKind } from './outcome.js';
 import type { RequestOutcome } from './outcome.js';
 
-/** What of a journey does not change. */
+/** Options of {@link RequestProgress}. */
 export interface RequestProgressOptions {
   readonly arrival: Arrival;
-  /** When it arrived, on the monotonic clock, in milliseconds. */
+  /** Scheduled time of the arrival on the monotonic clock, in milliseconds. */
   readonly startedAtMs: number;
-  /** Aborted when the caller gives up. */
+  /** Aborted when the caller stops waiting. */
   readonly signal: AbortSignal;
-  /** Addresses to try, in order. */
+  /** Entry host URLs in the order of trial. */
   readonly urls: readonly string[];
-  /** Whether answers must bear their prompts' marks. */
+  /** Whether each token of an answer must carry the mark of its prompt. */
   readonly checksAnswers: boolean;
 }
 
-/** The state of one request on its way. */
+/** State of one request: its IDs, attempts and answer so far; builds its calls and its outcome. */
 export class RequestProgress {
   readonly arrival: Arrival;
 
@@ -33,7 +33,7 @@
 
   readonly requestIds: string[] = [];
 
-  /** The ID to send under; undefined for a bare request. */
+  /** The ID to send under; undefined as long as none is known. */
   requestId: string | undefined;
 
   urls: readonly string[];
@@ -42,7 +42,7 @@
 
   resumptions = 0;
 
-  /** What has come of the answer, once its head was there. */
+  /** Scanner of the answer; undefined until the head arrives. */
   scan: AnswerScanner | undefined;
 
   readonly #startedAtMs: number;
@@ -53,7 +53,7 @@
 
   #resumeHints: Record<string, string> = {};
 
-  /** @param options - what does not change */
+  /** @param options - the request and the limits of its caller */
   constructor(options: RequestProgressOptions) {
     this.arrival = options.arrival;
     this.signal = options.signal;
@@ -68,12 +68,12 @@
     return performance.now() - this.#startedAtMs;
   }
 
-  /** Notes the first byte of the answer, once. */
+  /** Records the time of the answer's first byte; later calls have no effect. */
   recordFirstByte(): void {
     this.#firstByteMs ??= this.getElapsedMs();
   }
 
-  /** Counts one call for this request. */
+  /** Counts one attempt, which may be a resumption. */
   recordAttempt(): void {
     this.attempts += 1;
   }
@@ -83,7 +83,7 @@
     this.resumptions += 1;
   }
 
-  /** @param id - the ID to send under. @param urls - the addresses that take it, in order */
+  /** @param id - the ID to send under. @param urls - entry host URLs in the order of trial */
   setAssignment(id: string, urls: readonly string[]): void {
     this.requestId = id;
     this.requestIds.push(id);
@@ -91,8 +91,10 @@
   }
 
   /**
-   * @param headers - head of the answer, with the ID and the hints for a resumption
-   * @param scan - looks through the answer's body
+   * Records the head of the answer.
+   *
+   * @param headers - headers with the request ID and the hints for a resumption
+   * @param scan - scanner of the answer's body
    */
   recordHead(headers: IncomingHttpHeaders, scan: AnswerScanner): void {
     this.scan = scan;
@@ -105,14 +107,14 @@
     if (typeof streamId === 'string') this.#resumeHints.streamId = streamId;
   }
 
-  /** Starts again under no ID: only for a bare request, which may be repeated. */
+  /** Discards the ID and the answer. Only for requests without an ID, which may run again. */
   reset(): void {
     this.requestId = undefined;
     this.scan = undefined;
     this.#resumeHints = {};
   }
 
-  /** @returns path and query that take the answer up where it broke off */
+  /** @returns path and query that resume the answer where it broke off */
   buildResumePath(): string {
     const query = new URLSearchParams({
       offset: String(this.scan?.bytes ?? 0),
@@ -121,7 +123,7 @@
     return `/v1/requests/${encodeURIComponent(this.requestId ?? '')}?${query.toString()}`;
   }
 
-  /** @returns path of the call itself */
+  /** @returns the path of the call */
   buildPath(): string {
     const { work } = this.arrival;
     return work.model === undefined
@@ -129,12 +131,12 @@
       : '/v1/chat/completions';
   }
 
-  /** @returns method of the call itself */
+  /** @returns the HTTP method of the call */
   getMethod(): string {
     return this.arrival.work.model === undefined ? this.arrival.work.method : 'POST';
   }
 
-  /** @returns body of the call; undefined for a method that carries none */
+  /** @returns the body of the call; undefined for a GET call */
   buildBody(): string | undefined {
     const { work } = this.arrival;
     if (work.model === undefined) {
@@ -144,13 +146,13 @@
       model: work.model,
       stream: work.stream,
       max_tokens: work.outputTokens[1],
-      // Read by the stand-in engines alone: no scheduler may know a length before it comes.
+      // Only stand-in engines read this: a scheduler can't know the output length in advance.
       metadata: { output_tokens: String(this.arrival.outputTokens) },
       messages: [{ role: 'user', content: buildPrompt(this.arrival) }],
     });
   }
 
-  /** @returns headers of the call itself */
+  /** @returns the headers of the call */
   buildHeaders(): Record<string, string> {
     const { work, account } = this.arrival;
     const remainingMs = Math.max(1, Math.floor(work.deadlineMs - this.getElapsedMs()));
@@ -163,19 +165,19 @@
     };
   }
 
-  /** @returns what each token of the answer must name, where answers are checked */
+  /** @returns the mark that each token must carry; undefined when answers are not checked */
   getMark(): string | undefined {
     return this.#mark;
   }
 
-  /** @param url - who answered. @returns the outcome of an answer that came to its end */
+  /** @param url - entry host that answered. @returns the outcome of a complete answer */
   buildAnsweredOutcome(url: string): RequestOutcome {
     const isExpected = this.scan?.isExpectedAnswer(this.arrival.outputTokens) ?? true;
     const kind = isExpected ? OutcomeKind.Answered : OutcomeKind.Wrong;
     return this.#buildOutcome({ kind, url, status: 200 });
   }
 
-  /** @param result - the refusal. @param url - who refused. @returns the outcome */
+  /** @param result - the refusal. @param url - entry host that refused. @returns the outcome */
   buildRefusedOutcome(result: ExchangeResult, url: string): RequestOutcome {
     const error = result.error ?? result.scan?.streamError;
     const { status } = result;
@@ -188,7 +190,7 @@
     });
   }
 
-  /** @param code - why nothing final came. @param url - who was tried last. @returns the outcome */
+  /** @param code - why it was lost. @param url - last entry host tried. @returns the outcome */
   buildLostOutcome(code: string, url: string): RequestOutcome {
     return this.#buildOutcome({ kind: OutcomeKind.Lost, url, status: 0, code });
   }
--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -1,5 +1,5 @@
 /**
- * The arrivals of a load run, drawn before it starts.
+ * Draws the arrivals of a load run before it starts.
  *
  * @module
  */
@@ -10,29 +10,29 @@
 
 const MS_PER_SECOND = 1000;
 
-/** One request that will be offered at its time, whatever became of those before it. */
+/** One request, sent at its scheduled time regardless of the outcome of earlier requests. */
 export interface Arrival {
   readonly index: number;
-  /** Time after the start of the run, in milliseconds. */
+  /** Scheduled time after the start of the run, in milliseconds. */
   readonly atMs: number;
   readonly phase: string;
   readonly account: LoadAccount;
-  /** Which of the account's callers sends it. */
+  /** Index of the account's caller that sends the request. */
   readonly caller: number;
   readonly work: LoadWork;
   readonly tier: Tier;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Names the shared prompt prefix; undefined when the prompt has none. */
+  /** Key of the shared prompt prefix; undefined when the prompt has none. */
   readonly prefix: string | undefined;
 }
 
 /**
- * Draws all arrivals of a plan: a Poisson process with the rate of each phase.
+ * Draws all arrivals of a plan as a Poisson process with the rate of each phase.
  *
- * @param plan - what to offer
+ * @param plan - the load plan
  * @param random - a seeded generator
- * @returns the arrivals by time
+ * @returns the arrivals in the order of time
  */
 export function listArrivals(plan: LoadPlan, random: RandomSource): readonly Arrival[] {
   const arrivals: Arrival[] = [];
@@ -53,10 +53,10 @@
 }
 
 /**
- * Computes how long the arrivals of a plan last.
+ * Computes the total duration of a plan's phases.
  *
  * @param plan - the plan
- * @returns the time in milliseconds
+ * @returns the duration in milliseconds
  */
 export function computePlanMs(plan: LoadPlan): number {
   return plan.phases.reduce((sum, phase) => sum + phase.seconds * MS_PER_SECOND, 0);
@@ -100,7 +100,7 @@
   return found ?? (choices.at(-1) as T);
 }
 
-/** Draws log-uniformly, so that each tenfold stretch of lengths is as likely. */
+/** Draws log-uniformly: each order of magnitude within the range is equally likely. */
 function drawLength([low, high]: readonly [number, number], random: RandomSource): number {
   const exponent = Math.log(low) + random.nextFraction() * (Math.log(high) - Math.log(low));
   return Math.min(high, Math.max(low, Math.round(Math.exp(exponent))));
--- a/src/load/compare_runs.ts
+++ b/src/load/compare_runs.ts
@@ -1,5 +1,5 @@
 /**
- * Compares what callers saw with what backend servers recorded.
+ * Compares the outcomes that callers saw with the runs that backend servers recorded.
  *
  * @module
  */
@@ -8,51 +8,53 @@
 import type { RequestOutcome } from './outcome.js';
 import type { RunRecord } from './run_record.js';
 
-/** How long a cache is taken to hold a prefix after a run that had it, in milliseconds. */
+/** Assumed time that a cache keeps a prefix after the start of a run with it, in milliseconds. */
 export const ASSUMED_CACHE_LIFETIME_MS = 30_000;
 
+/** Size of a prefix cache block, in tokens. */
 const BLOCK_TOKENS = 64;
 
-/** Prefill that served nobody, in tokens. */
+/** Prefill work without use, in tokens. */
 export interface WastedPrefill {
-  /** Tokens computed, over all runs. */
+  /** Prompt tokens computed, over all runs. */
   readonly computedTokens: number;
   /**
-   * Tokens computed for runs whose answer no caller got in whole: refused or
-   * lost after it had started, cancelled, or a double.
+   * Prompt tokens computed by runs whose complete answer no caller received: the request was
+   * refused, lost or cancelled after the run started, or the run was a duplicate.
    */
   readonly unreceivedTokens: number;
   /**
-   * Tokens of shared prefixes computed in a run whose answer was received,
-   * although another run with that prefix had begun on some backend server in
-   * the {@link ASSUMED_CACHE_LIFETIME_MS} before. A cache may have dropped them since, and
-   * spreading load has its price too, so this is an upper bound; strategies
-   * are compared by it under the same load. Whole blocks only.
+   * Shared prefix tokens computed by runs whose answer was received, although another run with
+   * the same prefix had started on some backend server within the preceding
+   * {@link ASSUMED_CACHE_LIFETIME_MS}. Counts whole blocks only. This is an upper bound, since a
+   * cache may have evicted the prefix and since spreading load over backend servers has a cost of
+   * its own; it serves to compare strategies under the same load.
    */
   readonly recomputedTokens: number;
-  /** Both together as a part of all tokens computed; 0 when nothing was. */
+  /** Unreceived and recomputed tokens as a fraction of `computedTokens`; 0 when that is 0. */
   readonly share: number;
 }
 
-/** What the comparison found. */
+/** Result of {@link compareRuns}. */
 export interface RunComparison {
+  /** Number of recorded runs. */
   readonly runs: number;
-  /** Request IDs that were run more than once. */
+  /** Request IDs with more than one run. */
   readonly doubles: readonly string[];
-  /** Requests whose caller got no final answer at all. */
+  /** Number of requests whose caller got neither an answer nor a refusal. */
   readonly lost: number;
-  /** Request IDs that were refused as `not_run`, and ran. */
+  /** Request IDs that were refused as `not_run` although they ran. */
   readonly falseNotRun: readonly string[];
   readonly wastedPrefill: WastedPrefill;
 }
 
 /**
- * Compares outcomes with recorded runs. Runs of requests that are not among
- * the outcomes count in `runs` and as doubles, but not as waste.
+ * Compares outcomes with recorded runs. Runs of requests without an outcome count in `runs` and
+ * `doubles` but not as wasted prefill.
  *
- * @param outcomes - what callers saw
- * @param records - what backend servers recorded
- * @returns doubles, losses, false refusals and wasted prefill
+ * @param outcomes - outcomes that callers saw
+ * @param records - runs that backend servers recorded
+ * @returns duplicate runs, losses, false refusals and wasted prefill
  */
 export function compareRuns(
   outcomes: readonly RequestOutcome[],
@@ -72,11 +74,11 @@
 }
 
 /**
- * Computes wasted prefill; see {@link WastedPrefill} for what counts.
+ * Computes wasted prefill as {@link WastedPrefill} defines it.
  *
- * @param outcomes - what callers saw
- * @param records - what backend servers recorded
- * @returns the tokens
+ * @param outcomes - outcomes that callers saw
+ * @param records - runs that backend servers recorded
+ * @returns the token counts
  */
 export function computeWastedPrefill(
   outcomes: readonly RequestOutcome[],
@@ -106,7 +108,7 @@
   return { ...sums, share: sums.computedTokens === 0 ? 0 : wasted / sums.computedTokens };
 }
 
-/** The last ID is the one whose answer came; a bare request may have had others before. */
+/** Returns whether the run gave the answer that the caller received: the run of the last ID. */
 function isReceived(outcome: RequestOutcome, record: RunRecord): boolean {
   return outcome.kind === OutcomeKind.Answered && outcome.requestIds.at(-1) === record.requestId;
 }
--- a/src/load/default_plan.ts
+++ b/src/load/default_plan.ts
@@ -1,5 +1,5 @@
 /**
- * A plan for those who bring none: the mix of both users' shapes.
+ * Builds the default load plan: a mix of tiers and prompt lengths.
  *
  * @module
  */
@@ -16,10 +16,10 @@
 }
 
 /**
- * Builds a plan of short urgent, ordinary standard and long batch work, with
- * lengths a hundredfold apart and shared beginnings.
+ * Builds a plan with short urgent, medium standard and long batch work. Prompt lengths differ up to
+ * a hundredfold, and prompts share prefixes.
  *
- * @param options - where to and how much
+ * @param options - target, accounts, rate and duration
  * @returns the plan
  */
 export function buildDefaultPlan(options: DefaultPlanOptions): LoadPlan {
--- a/src/load/inversions.ts
+++ b/src/load/inversions.ts
@@ -1,5 +1,5 @@
 /**
- * Counts higher tiers that were shed while lower ones were admitted.
+ * Counts priority inversions: requests shed while requests of a lower tier were started.
  *
  * @module
  */
@@ -8,25 +8,25 @@
 import { OutcomeKind } from './outcome.js';
 import type { RunRecord } from './run_record.js';
 
-/** Time that a refusal takes to its caller, and a grant to its backend server, in milliseconds. */
+/** Allowance for a refusal in transit to its caller and a grant to its server, in milliseconds. */
 export const INVERSION_SETTLE_MS = 50;
 
-/** How long after a shedding a lower tier must stay closed, in milliseconds. */
+/** Time after a shed request in which no lower tier may start, in milliseconds. */
 export const INVERSION_WINDOW_MS = 500;
 
 const NO_CAPACITY_CODES = new Set(['tier_closed', 'queue_full', 'deadline_unreachable']);
 
-/** What was counted. */
+/** Result of {@link countInversions}. */
 export interface InversionCount {
-  /** Requests that were refused for lack of room. */
+  /** Number of requests that were refused for lack of capacity. */
   readonly shed: number;
-  /** Those of them that a lower tier's start followed within the window. */
+  /** Number of shed requests that were followed by the start of a lower tier in the window. */
   readonly inversions: number;
-  /** The inversions by the code of the refusal. */
+  /** Inversions by error code of the refusal. */
   readonly byCode: Readonly<Record<string, number>>;
 }
 
-/** A start of a run, in wall-clock milliseconds. */
+/** Start of a run; `atMs` is wall-clock time. */
 interface RunStart {
   readonly service: string;
   readonly tier: Tier;
@@ -34,18 +34,17 @@
 }
 
 /**
- * Counts inversions. A refusal for lack of room (`tier_closed`, `queue_full`,
- * `deadline_unreachable`) that its caller had at time r is one when a backend
- * server started a request of a lower tier for the same service in
+ * Counts priority inversions. A refusal for lack of capacity (`tier_closed`, `queue_full`,
+ * `deadline_unreachable`) that reached its caller at time r is an inversion when a backend server
+ * started a request of a lower tier for the same service in the interval
  * (r + {@link INVERSION_SETTLE_MS}, r + {@link INVERSION_SETTLE_MS} + {@link INVERSION_WINDOW_MS}].
- * What ran before r is no inversion: engines can't take work back. A long
- * prompt whose own deadline no empty fleet could meet counts here as well, so
- * the count is an upper bound.
+ * Requests started before r don't count, since engines can't preempt work. A long prompt whose
+ * deadline even an idle fleet could not meet counts too, so the result is an upper bound.
  *
- * @param startedWallMs - wall-clock time of the run's start, in milliseconds
- * @param outcomes - what callers saw
- * @param records - what backend servers recorded
- * @returns the count
+ * @param startedWallMs - wall-clock time of the load run's start, in milliseconds
+ * @param outcomes - outcomes that callers saw
+ * @param records - runs that backend servers recorded
+ * @returns the counts
  */
 export function countInversions(
   startedWallMs: number,
@@ -66,8 +65,8 @@
 }
 
 /**
- * @param outcome - what became of a request
- * @returns whether it was refused for lack of room
+ * @param outcome - outcome of a request
+ * @returns whether the request was refused for lack of capacity
  */
 export function isShed(outcome: RequestOutcome): boolean {
   return outcome.kind === OutcomeKind.Refused && NO_CAPACITY_CODES.has(outcome.code ?? '');
@@ -103,7 +102,7 @@
   return false;
 }
 
-/** Binary search: the first start later than the time. */
+/** Returns the index of the first start after the given time, by binary search. */
 function findFirstAfter(starts: readonly RunStart[], atMs: number): number {
   let low = 0;
   let high = starts.length;
--- a/src/load/load_random.ts
+++ b/src/load/load_random.ts
@@ -1,5 +1,5 @@
 /**
- * A seeded generator, so that a load run can be repeated.
+ * Seeded random numbers that make load runs repeatable.
  *
  * @module
  */
@@ -9,15 +9,15 @@
 const MULTIPLIER = 48271;
 const WARM_UP_ROUNDS = 8;
 
-/** The minimal standard generator of Park and Miller: repeatable, not secret. */
+/** Park and Miller's minimal standard generator: deterministic, not cryptographically secure. */
 export class LoadRandom extends RandomSource {
   #state: number;
 
-  /** @param seed - any whole number; the same seed gives the same numbers */
+  /** @param seed - any integer; the same seed gives the same sequence */
   constructor(seed: number) {
     super();
     this.#state = (Math.abs(Math.trunc(seed)) % (MODULUS - 1)) + 1;
-    // Small seeds give small first numbers; a few rounds part them.
+    // Small seeds yield small first numbers; discarding a few rounds decorrelates the sequences.
     for (let round = 0; round < WARM_UP_ROUNDS; round += 1) this.nextFraction();
   }
 
--- a/src/load/load_report.ts
+++ b/src/load/load_report.ts
@@ -1,5 +1,5 @@
 /**
- * The figures of one load run, ready to be written.
+ * Builds the report of a load run.
  *
  * @module
  */
@@ -12,16 +12,19 @@
 import { LoadTally } from './tally.js';
 import type { TierSummary } from './tally.js';
 
-/** One run's figures under a name. */
+/** Named statistics of one load run. */
 export interface LoadReport {
   readonly name: string;
   readonly seed: number;
   readonly elapsedMs: number;
+  /** Longest delay of an arrival caused by the load tool itself, in milliseconds. */
   readonly worstLagMs: number;
+  /** Number of requests sent, without those of the warm-up phase. */
   readonly offered: number;
   readonly tiers: readonly TierSummary[];
-  /** Absent when the backend servers' runs were not read. */
+  /** Absent when the runs recorded by backend servers are not available. */
   readonly comparison?: RunComparison;
+  /** Absent when `comparison` is. */
   readonly inversions?: InversionCount;
 }
 
@@ -29,16 +32,16 @@
 export interface LoadReportOptions {
   readonly name: string;
   readonly records?: readonly RunRecord[];
-  /** Phase whose requests count for doubles and losses, but not by tier. Default: none. */
+  /** Phase whose requests count in `comparison` and `inversions` but not by tier. Default: none. */
   readonly warmUpPhase?: string;
 }
 
 /**
- * Builds a run's report.
+ * Builds the report of a load run.
  *
- * @param run - the run
- * @param options - its name, and the runs that backend servers recorded
- * @returns the figures
+ * @param run - the load run
+ * @param options - name of the report, recorded runs and warm-up phase
+ * @returns the report
  */
 export function buildLoadReport(run: LoadRun, options: LoadReportOptions): LoadReport {
   const tally = new LoadTally();
--- a/src/load/mod.ts
+++ b/src/load/mod.ts
@@ -1,7 +1,7 @@
 /**
- * Open-loop load: seeded arrivals in phases, a mix of tiers and lengths, and
- * the figures of what became of them. It knows the callers' protocol alone;
- * runs that backend servers recorded may be compared with it afterwards:
+ * Open-loop load generator: seeded arrivals in phases with a mix of tiers and lengths, and a report
+ * of their outcomes. It uses only the callers' protocol; a report can also compare the outcomes with
+ * the runs that backend servers recorded:
  * `buildLoadReport(await runLoad(plan, { urls, seed: 1 }), { name: 'steady' })`.
  *
  * @module
--- a/src/load/outcome.ts
+++ b/src/load/outcome.ts
@@ -1,5 +1,5 @@
 /**
- * What became of one offered request, as its caller saw it.
+ * Outcome of one request as its caller saw it.
  *
  * @module
  */
@@ -7,41 +7,42 @@
 
 /** How a request ended for its caller. */
 export enum OutcomeKind {
-  /** The whole answer came. */
+  /** The complete answer arrived. */
   Answered = 'answered',
-  /** An honest refusal or failure came, with what it says of the run. */
+  /** A refusal or an error arrived; it tells whether the request ran. */
   Refused = 'refused',
-  /** An answer came that was another's, or torn. */
+  /** The answer belongs to another request or lacks tokens. */
   Wrong = 'wrong',
-  /** Neither came: no final answer at all. */
+  /** Neither a complete answer nor a refusal arrived. */
   Lost = 'lost',
 }
 
-/** What became of one request; times in milliseconds from its arrival. */
+/** Outcome of one request; times in milliseconds from its scheduled arrival. */
 export interface RequestOutcome {
   readonly arrival: Arrival;
   readonly kind: OutcomeKind;
-  /** Each request ID under which it was sent; several when a bare request was sent again. */
+  /** All request IDs; a request that is sent without an ID may get a new one with each attempt. */
   readonly requestIds: readonly string[];
-  /** ID of the entry host's address that gave the final answer. */
+  /** URL of the entry host that was used last. */
   readonly url: string;
+  /** HTTP status; 0 when the request was lost. */
   readonly status: number;
-  /** Error code of a refusal, or why the request was lost. */
+  /** Error code of a refusal, or the reason why the request was lost. */
   readonly code: string | undefined;
-  /** `run` of a refusal. */
+  /** Run outcome that a refusal reports. */
   readonly run: string | undefined;
   readonly firstByteMs: number | undefined;
   readonly totalMs: number;
   readonly outputTokens: number;
-  /** Calls that were needed, resumptions among them. */
+  /** Number of calls sent, including resumptions. */
   readonly attempts: number;
-  /** Times that the answer was taken up again at an offset. */
+  /** Number of times that the answer was resumed at an offset. */
   readonly resumptions: number;
 }
 
 /**
- * @param outcome - what became of a request
- * @returns whether the whole answer came within the deadline
+ * @param outcome - outcome of a request
+ * @returns whether the complete answer arrived within the deadline
  */
 export function isInDeadline(outcome: RequestOutcome): boolean {
   return (
--- a/src/load/plan.ts
+++ b/src/load/plan.ts
@@ -1,5 +1,5 @@
 /**
- * What a load run offers: who asks, for what, how often and how long.
+ * Schema of a load plan: accounts, kinds of work, and phases with arrival rates.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 
 const rangeSchema = z
   .tuple([z.number().int().positive(), z.number().int().positive()])
-  .refine(([low, high]) => low <= high, 'the lower bound stands first');
+  .refine(([low, high]) => low <= high, 'the lower bound must come first');
 
 const phaseSchema = z
   .strictObject({
@@ -67,31 +67,34 @@
   graceMs: z.number().nonnegative().default(3000),
 });
 
-/** A stretch of time with one arrival rate. */
+/** A period with a constant arrival rate, given directly or as a multiple of the capacity. */
 export type LoadPhase = z.infer<typeof phaseSchema>;
 
-/** One client account that sends. `share` is its part of all arrivals, in any unit. */
+/** A client account that sends requests; `share` is its relative weight among the accounts. */
 export type LoadAccount = z.infer<typeof accountSchema>;
 
-/** One kind of work that is sent; lengths in tokens, drawn log-uniformly from their ranges. */
+/**
+ * A kind of work; `share` is its relative weight. Lengths are in tokens and drawn log-uniformly from
+ * their ranges.
+ */
 export type LoadWork = z.infer<typeof workSchema>;
 
 /**
- * A whole plan; times in milliseconds unless the name says seconds. With
- * `checksAnswers` each token of a model's answer must bear its prompt's mark,
- * as the stand-in engines' answers do, so that crossed and torn answers show.
+ * A load plan with its defaults. With `checksAnswers`, each token of a model's answer must carry the
+ * mark of its prompt, as the answers of stand-in engines do; this detects answers that are mixed up
+ * between requests or lack tokens.
  */
 export type LoadPlan = z.infer<typeof planSchema>;
 
-/** A plan as it is written, before defaults are filled in. */
+/** A load plan as written in JSON, before defaults are applied. */
 export type LoadPlanDocument = z.input<typeof planSchema>;
 
 /**
- * Checks a plan and fills in its defaults.
+ * Validates a plan and applies its defaults.
  *
- * @param document - the plan as it was read from JSON
+ * @param document - the parsed JSON of the plan
  * @returns the plan
- * @throws Error with one line a fault
+ * @throws Error with one line for each fault
  */
 export function parseLoadPlan(document: unknown): LoadPlan {
   const result = planSchema.safeParse(document);
@@ -103,7 +106,9 @@
   }
   const needsCapacity = result.data.phases.some((phase) => phase.capacityMultiple !== undefined);
   if (needsCapacity && result.data.capacityRequestsPerSecond === undefined) {
-    throw new Error('Cannot use the load plan: a capacityMultiple needs capacityRequestsPerSecond');
+    throw new Error(
+      'Cannot use the load plan: a phase with capacityMultiple needs capacityRequestsPerSecond',
+    );
   }
   return result.data;
 }
@@ -111,9 +116,9 @@
 /**
  * Computes the arrival rate of a phase.
  *
- * @param plan - the plan, for its capacity
- * @param phase - which phase
- * @returns requests a second
+ * @param plan - the plan, which has the capacity
+ * @param phase - the phase
+ * @returns the rate in requests per second
  */
 export function computeRate(plan: LoadPlan, phase: LoadPhase): number {
   if (phase.requestsPerSecond !== undefined) return phase.requestsPerSecond;
--- a/src/load/report/_svg.ts
+++ b/src/load/report/_svg.ts
@@ -1,5 +1,5 @@
 /**
- * Small plots as inline SVG.
+ * Formats line plots and bar charts as inline SVG.
  *
  * @module
  */
@@ -14,10 +14,10 @@
 const BAR_HEIGHT_PX = 16;
 const BAR_LABEL_PX = 220;
 
-/** Colours of the tiers, highest first; told apart by lightness too. */
+/** Colours of the tiers, highest tier first; they also differ in lightness. */
 export const TIER_COLOURS: readonly string[] = ['#b2182b', '#2166ac', '#7fbf7b'];
 
-/** One line of a plot. */
+/** One line of a line plot. */
 export interface PlotLine {
   readonly name: string;
   readonly colour: string;
@@ -25,20 +25,21 @@
   readonly isDashed: boolean;
 }
 
-/** One bar of a chart. */
+/** One bar of a bar chart. */
 export interface PlotBar {
   readonly label: string;
   readonly colour: string;
-  /** Part of the whole, from 0 to 1. */
+  /** Length of the bar as a fraction of the full width, from 0 to 1. */
   readonly share: number;
+  /** Text shown on the bar. */
   readonly text: string;
 }
 
 /**
- * Formats lines over time.
+ * Formats a line plot over time.
  *
- * @param title - what is plotted
- * @param lines - one value a second each
+ * @param title - title of the plot
+ * @param lines - lines with one value per second
  * @returns an SVG element
  */
 export function formatLines(title: string, lines: readonly PlotLine[]): string {
@@ -68,10 +69,10 @@
 }
 
 /**
- * Formats bars of shares.
+ * Formats a horizontal bar chart.
  *
- * @param title - what is shown
- * @param bars - the bars, from top to bottom
+ * @param title - title of the chart
+ * @param bars - bars from top to bottom
  * @returns an SVG element
  */
 export function formatBars(title: string, bars: readonly PlotBar[]): string {
@@ -92,7 +93,7 @@
  * Escapes text for HTML and SVG.
  *
  * @param text - any text
- * @returns the text without markup
+ * @returns the text with its markup characters escaped
  */
 export function escapeMarkup(text: string): string {
   return text
--- a/src/load/report/format_table.ts
+++ b/src/load/report/format_table.ts
@@ -1,5 +1,5 @@
 /**
- * Tables for the terminal.
+ * Formats tables for the terminal.
  *
  * @module
  */
@@ -7,11 +7,11 @@
 const COLUMN_GAP = '  ';
 
 /**
- * Formats a table: the first column to the left, all others to the right.
+ * Formats a table with the first column left-aligned and all others right-aligned.
  *
- * @param head - the columns' names
- * @param rows - the cells
- * @returns lines of equal columns
+ * @param head - column headings
+ * @param rows - cells of each row
+ * @returns the table's lines, joined by newlines
  */
 export function formatTable(
   head: readonly string[],
--- a/src/load/report/html_report.ts
+++ b/src/load/report/html_report.ts
@@ -1,5 +1,5 @@
 /**
- * Load reports as one self-contained HTML page without scripts.
+ * Formats load reports as one self-contained HTML page without scripts.
  *
  * @module
  */
@@ -22,11 +22,11 @@
 }
 
 /**
- * Formats reports: bars of goodput for all cases, then each case over time.
+ * Formats a page with a goodput chart of all reports, followed by a plot over time for each.
  *
- * @param reports - the figures
- * @param options - the page's title
- * @returns the page
+ * @param reports - the reports of load runs
+ * @param options - title of the page
+ * @returns the HTML page
  */
 export function formatHtml(reports: readonly LoadReport[], options: HtmlReportOptions): string {
   const title = escapeMarkup(options.title);
@@ -34,7 +34,7 @@
     '<!doctype html>',
     `<html lang="en"><head><meta charset="utf-8"><title>${title}</title><style>${STYLE}</style></head>`,
     `<body><h1>${title}</h1>`,
-    '<p>Goodput: whole answers within their deadline. Dashed: offered.</p>',
+    '<p>Goodput: complete answers within their deadline. Dashed: offered.</p>',
     formatBars('Goodput by tier and case', reports.flatMap(listBars)),
     ...reports.map(formatReportSection),
     '</body></html>',
@@ -76,7 +76,7 @@
     .join(' ');
   return [
     `<h2>${escapeMarkup(report.name)}</h2>`,
-    `<p>Requests a second by second of arrival. ${legend}</p>`,
+    `<p>Requests per second, by second of arrival. ${legend}</p>`,
     formatLines(`${report.name}: goodput by tier over time`, lines),
     `<pre>${escapeMarkup(formatText(report))}</pre>`,
   ].join('\n');
--- a/src/load/report/mod.ts
+++ b/src/load/report/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Writes load reports: a readable table, JSON, and one self-contained HTML
- * page with plots: `writeReports(reports, { htmlFile: 'load.html' })`.
+ * Formats load reports as text tables, JSON, and one self-contained HTML page with plots:
+ * `writeReports(reports, { title: 'Load', htmlFile: 'load.html' })`.
  *
  * @module
  */
--- a/src/load/report/text_report.ts
+++ b/src/load/report/text_report.ts
@@ -1,5 +1,5 @@
 /**
- * Load reports as text.
+ * Formats load reports as text.
  *
  * @module
  */
@@ -30,14 +30,14 @@
 /**
  * Formats one report.
  *
- * @param report - the figures
- * @returns a few lines and a table
+ * @param report - the report of a load run
+ * @returns a heading, a table by tier, error codes and the comparison with recorded runs
  */
 export function formatText(report: LoadReport): string {
   const seconds = (report.elapsedMs / MS_PER_SECOND).toFixed(1);
   const lines = [
     `${report.name}: ${report.offered} requests in ${seconds} s, seed ${report.seed}, ` +
-      `worst lag of the tool ${report.worstLagMs.toFixed(0)} ms`,
+      `longest lag of the load tool ${report.worstLagMs.toFixed(0)} ms`,
     formatTable(HEAD, report.tiers.map(buildRow)),
     ...report.tiers.flatMap(formatCodes),
     ...formatComparison(report),
@@ -75,11 +75,11 @@
   if (!comparison) return [];
   const waste = comparison.wastedPrefill;
   return [
-    `runs ${comparison.runs}, doubles ${comparison.doubles.length}, lost ${comparison.lost}, ` +
+    `runs ${comparison.runs}, duplicate runs ${comparison.doubles.length}, lost ${comparison.lost}, ` +
       `false "not run" ${comparison.falseNotRun.length}`,
-    `prefill: ${waste.computedTokens} tokens computed, ${waste.unreceivedTokens} for nobody, ` +
-      `${waste.recomputedTokens} computed again, wasted ${(waste.share * PERCENT).toFixed(2)} %`,
-    `shed for lack of room ${inversions?.shed ?? 0}, ` +
+    `prefill: ${waste.computedTokens} tokens computed, ${waste.unreceivedTokens} for unreceived answers, ` +
+      `${waste.recomputedTokens} recomputed, wasted ${(waste.share * PERCENT).toFixed(2)} %`,
+    `shed for lack of capacity ${inversions?.shed ?? 0}, ` +
       `while a lower tier was admitted ${inversions?.inversions ?? 0}`,
   ];
 }
--- a/src/load/report/write_reports.ts
+++ b/src/load/report/write_reports.ts
@@ -1,5 +1,5 @@
 /**
- * Writes reports to files.
+ * Writes load reports to files.
  *
  * @module
  */
@@ -7,21 +7,21 @@
 import type { LoadReport } from '../load_report.js';
 import { formatHtml } from './html_report.js';
 
-/** Where to write; an absent file is not written. */
+/** Target files of the reports; a format without a file is not written. */
 export interface WriteReportsOptions {
   readonly title: string;
   readonly jsonFile?: string;
   readonly htmlFile?: string;
-  /** Settings to be kept beside the figures. */
+  /** Settings of the load runs, included in the JSON file. */
   readonly settings?: unknown;
 }
 
 /**
- * Writes reports as JSON and as HTML.
+ * Writes reports as JSON and HTML.
  *
- * @param reports - the figures
- * @param options - where to write
- * @returns when the files are there
+ * @param reports - the reports of load runs
+ * @param options - title, files and settings
+ * @returns when the files are written
  */
 export async function writeReports(
   reports: readonly LoadReport[],
--- a/src/load/run_load.ts
+++ b/src/load/run_load.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a plan: offers each request at its time, whatever became of the others.
+ * Runs a load plan as an open loop: each request starts at its time regardless of earlier outcomes.
  *
  * @module
  */
@@ -12,37 +12,37 @@
 import type { RequestOutcome } from './outcome.js';
 import type { LoadPlan } from './plan.js';
 
-/** Longest sleep between two looks at the arrivals, in milliseconds. */
+/** Sleep between two checks for due arrivals, in milliseconds. */
 const TICK_MS = 5;
 
 /** Options of {@link runLoad}. */
 export interface RunLoadOptions {
-  /** Callers' base URLs of the entry hosts. */
+  /** Base URLs of the entry hosts' listeners for callers. */
   readonly urls: readonly string[];
   readonly seed: number;
-  /** Called after each end of a request. */
+  /** Called with the outcome of each request as it ends. */
   readonly onOutcome?: (outcome: RequestOutcome) => void;
 }
 
-/** What a run gave. */
+/** Result of {@link runLoad}. */
 export interface LoadRun {
   readonly seed: number;
   /** Wall-clock time of the start, in milliseconds since the Unix epoch. */
   readonly startedWallMs: number;
-  /** From the start until the last request had ended, in milliseconds. */
+  /** Time from the start until the last request ended, in milliseconds. */
   readonly elapsedMs: number;
-  /** Longest that an arrival was offered after its time, in milliseconds: the tool's own lag. */
+  /** Longest delay between an arrival's scheduled time and its start, in milliseconds. */
   readonly worstLagMs: number;
   readonly outcomes: readonly RequestOutcome[];
 }
 
 /**
- * Runs a plan to its end. Times count from the moment that a request was due,
- * so a tool that falls behind makes answers look slower, never faster.
+ * Runs a plan to its end. Times count from the scheduled arrival of a request, so a load tool that
+ * falls behind makes answers look slower, never faster.
  *
- * @param plan - what to offer
- * @param options - where, and with which seed
- * @returns each request's outcome
+ * @param plan - the load plan
+ * @param options - entry hosts, seed and callback
+ * @returns the outcomes of all requests and the times of the run
  */
 export async function runLoad(plan: LoadPlan, options: RunLoadOptions): Promise<LoadRun> {
   const arrivals = listArrivals(plan, new LoadRandom(options.seed));
--- a/src/load/run_record.ts
+++ b/src/load/run_record.ts
@@ -1,5 +1,5 @@
 /**
- * Runs as backend servers recorded them, in the stand-ins' form.
+ * Reads the runs that stand-in backend servers recorded.
  *
  * @module
  */
@@ -17,19 +17,19 @@
   outputTokens: z.number().nullish(),
 });
 
-/** One run that a backend server started. */
+/** A run of a request on a backend server. */
 export interface RunRecord {
-  /** Which backend server, by its URL. */
+  /** URL of the backend server. */
   readonly backendServer: string;
   readonly requestId: string;
   readonly service: string;
-  /** Wall-clock time of its start, in milliseconds. */
+  /** Wall-clock time of the run's start, in milliseconds. */
   readonly startedWallMs: number;
   readonly isFinished: boolean;
   readonly isCancelled: boolean;
-  /** Prompt tokens that were computed. */
+  /** Number of prompt tokens that were computed. */
   readonly prefillTokens: number;
-  /** Prompt tokens that the cache held. */
+  /** Number of prompt tokens that were found in the cache. */
   readonly cachedTokens: number;
   readonly outputTokens: number;
 }
@@ -37,9 +37,9 @@
 /**
  * Reads the recorded runs of backend servers.
  *
- * @param urls - their base URLs
- * @returns all runs
- * @throws Error when one can't be read: a comparison with a part of the runs would miss doubles
+ * @param urls - base URLs of the backend servers
+ * @returns the runs of all backend servers
+ * @throws Error when any can't be read, as a comparison with partial records misses duplicate runs
  */
 export async function readRunRecords(urls: readonly string[]): Promise<readonly RunRecord[]> {
   const lists = await Promise.all(urls.map(readServerRecords));
@@ -47,11 +47,11 @@
 }
 
 /**
- * Checks one backend server's list.
+ * Parses the run records of one backend server.
  *
- * @param backendServer - whose list it is
- * @param value - the decoded list
- * @returns its runs
+ * @param backendServer - URL of the backend server
+ * @param value - decoded JSON of the records
+ * @returns the runs
  */
 export function parseRunRecords(backendServer: string, value: unknown): readonly RunRecord[] {
   return z
--- a/src/load/tally.ts
+++ b/src/load/tally.ts
@@ -1,5 +1,5 @@
 /**
- * Counts outcomes by tier.
+ * Summarizes request outcomes by tier.
  *
  * @module
  */
@@ -10,11 +10,12 @@
 import { isInDeadline, OutcomeKind } from './outcome.js';
 import type { RequestOutcome } from './outcome.js';
 
+/** Longest time that a histogram tells apart; longer times count as this one. */
 const MAX_TRACKED_MS = 3_600_000;
 const SIGNIFICANT_DIGITS = 3;
 const MS_PER_SECOND = 1000;
 
-/** Percentiles of one histogram, in milliseconds. */
+/** Count, percentiles and maximum of a histogram; times in milliseconds. */
 export interface LatencySummary {
   readonly count: number;
   readonly p50: number;
@@ -23,37 +24,39 @@
   readonly max: number;
 }
 
-/** Offered requests and those answered in time, by second of their arrival. */
+/** Requests that arrived in one second of the run, and how many were answered in time. */
 export interface TimelinePoint {
   readonly second: number;
   readonly offered: number;
   readonly inDeadline: number;
 }
 
-/** What became of one tier's requests. */
+/** Outcomes of one tier's requests. */
 export interface TierSummary {
   readonly tier: string;
+  /** Number of requests sent. */
   readonly offered: number;
-  /** Whole answers within the deadline: the goodput. */
+  /** Number of complete answers within the deadline: the goodput. */
   readonly inDeadline: number;
+  /** Number of complete answers after the deadline. */
   readonly late: number;
   readonly refused: number;
   readonly refusedByCode: Readonly<Record<string, number>>;
-  /** Answers that were another's, or torn; counted where answers are checked. */
+  /** Number of answers that belong to another request or lack tokens, if answers are checked. */
   readonly wrong: number;
   readonly lost: number;
   readonly lostByCode: Readonly<Record<string, number>>;
   readonly resumptions: number;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Output tokens of answers within the deadline. */
+  /** Number of output tokens in answers within the deadline. */
   readonly goodOutputTokens: number;
   readonly firstByteMs: LatencySummary;
   readonly totalMs: LatencySummary;
   readonly timeline: readonly TimelinePoint[];
 }
 
-/** Running counts of one tier. */
+/** Accumulated counts of one tier. */
 interface TierCounts {
   offered: number;
   inDeadline: number;
@@ -71,11 +74,11 @@
   readonly timeline: { offered: number; inDeadline: number }[];
 }
 
-/** Counts outcomes as they come. */
+/** Accumulates request outcomes by tier. */
 export class LoadTally {
   readonly #tiers = new Map<Tier, TierCounts>(TIERS.map((tier) => [tier, createCounts()]));
 
-  /** @param outcome - what became of one request */
+  /** @param outcome - outcome of one request */
   record(outcome: RequestOutcome): void {
     const counts = this.#tiers.get(outcome.arrival.tier) as TierCounts;
     counts.offered += 1;
@@ -88,7 +91,7 @@
     countInTimeline(counts, outcome);
   }
 
-  /** @returns one summary a tier, highest first */
+  /** @returns one summary for each tier, highest tier first */
   listTiers(): readonly TierSummary[] {
     return TIERS.map((tier) => buildSummary(tier, this.#tiers.get(tier) as TierCounts));
   }
@@ -114,7 +117,7 @@
 }
 
 /**
- * Creates a histogram for times in microseconds.
+ * Creates a histogram that stores times in microseconds.
  *
  * @returns an empty histogram
  */
@@ -127,7 +130,7 @@
 }
 
 /**
- * Records a time.
+ * Records a time in a histogram.
  *
  * @param histogram - from {@link createHistogram}
  * @param valueMs - the time in milliseconds
@@ -138,10 +141,10 @@
 }
 
 /**
- * Reads the usual percentiles.
+ * Summarizes the times in a histogram.
  *
  * @param histogram - from {@link createHistogram}
- * @returns percentiles in milliseconds
+ * @returns count, percentiles and maximum, in milliseconds
  */
 export function readLatency(histogram: Histogram): LatencySummary {
   const read = (percentile: number): number =>
