--- a/src/caller/_address_book.ts
+++ b/src/caller/_address_book.ts
@@ -22,8 +22,8 @@
   #assignedUntilMs = 0;
 
   /**
-   * @param configuredUrls - base URLs of entry hosts from the settings; they come first while no assignment
-   *   is valid, and after the assigned URLs otherwise
+   * @param configuredUrls - base URLs of entry hosts from the settings; listed before the assigned
+   *   URLs only while no assignment is valid
    * @param clock - measures how long an assignment stays valid and how long ago a URL failed
    */
   constructor(configuredUrls: readonly string[], clock: Clock) {
--- a/src/caller/_answer_body.ts
+++ b/src/caller/_answer_body.ts
@@ -100,7 +100,7 @@
 
   async *#readSource(): AsyncGenerator<Uint8Array> {
     const { head } = this.#source;
-    const events = getHeader(head, 'content-type')?.startsWith(EVENT_STREAM)
+    const eventFilter = getHeader(head, 'content-type')?.startsWith(EVENT_STREAM)
       ? new ErrorEventFilter()
       : undefined;
     const chunks = (head as AsyncIterable<Buffer>)[Symbol.asyncIterator]();
@@ -108,11 +108,11 @@
       const progress = { requestId: this.#requestId, offset: this.#offset, signal: this.#signal };
       const next = await waitWithSilenceCheck(this.#context, chunks.next(), progress);
       if (next.done) break;
-      for (const chunk of events ? events.split(next.value) : [next.value])
+      for (const chunk of eventFilter ? eventFilter.split(next.value) : [next.value])
         yield this.#recordProgress(chunk);
     }
     if (!head.complete) throw new ExchangeError(true, 'The answer ended before it was complete');
-    const rest = events?.takeRest();
+    const rest = eventFilter?.takeRest();
     if (rest && rest.length > 0) yield this.#recordProgress(rest);
   }
 
--- a/src/caller/_event_reader.ts
+++ b/src/caller/_event_reader.ts
@@ -30,13 +30,13 @@
   #buffered: Buffer = Buffer.alloc(0);
 
   /**
-   * @param bytes - the next chunk of the body
-   * @returns the complete events up to here
+   * @param chunk - the next chunk of the body
+   * @returns the events that are complete with this chunk
    * @throws ErrorEvent at an error event, after all events before it were returned
    */
-  *split(bytes: Uint8Array): Generator<Buffer> {
+  *split(chunk: Uint8Array): Generator<Buffer> {
     this.#buffered =
-      this.#buffered.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.#buffered, bytes]);
+      this.#buffered.length === 0 ? Buffer.from(chunk) : Buffer.concat([this.#buffered, chunk]);
     for (let end = this.#findEnd(); end >= 0; end = this.#findEnd()) {
       const event = this.#buffered.subarray(0, end);
       throwIfErrorEvent(event);
@@ -53,8 +53,8 @@
   }
 
   #findEnd(): number {
-    const at = this.#buffered.indexOf(EVENT_END);
-    return at < 0 ? -1 : at + EVENT_END.length;
+    const index = this.#buffered.indexOf(EVENT_END);
+    return index < 0 ? -1 : index + EVENT_END.length;
   }
 }
 
--- a/src/caller/_silence_check.ts
+++ b/src/caller/_silence_check.ts
@@ -26,7 +26,7 @@
   readonly signal: AbortSignal | undefined;
 }
 
-/** Asks for the request's state and returns whether there is more than this client has received. */
+/** Asks for the request's state and returns whether the client lacks something of the answer. */
 async function hasUnreceivedAnswer(
   context: CallContext,
   progress: AnswerProgress,
--- a/src/caller/_submission.ts
+++ b/src/caller/_submission.ts
@@ -81,7 +81,7 @@
   /**
    * Sends the call until an answer's head arrives or the attempts are used up.
    *
-   * @returns the answer's head
+   * @returns the call with the head of its answer
    * @throws NeverSentError when no byte of the call was sent
    * @throws CallerError when the call is refused or its outcome is unknown
    */
--- a/src/caller/caller_client.ts
+++ b/src/caller/caller_client.ts
@@ -68,10 +68,10 @@
   /**
    * Requests an ID for a call and the entry hosts to use.
    *
-   * @param idempotencyKey - a repeated call with the same key gets the same ID until the ID expires
+   * @param idempotencyKey - calls with the same key get the same ID until the ID expires
    * @param signal - aborts the call
    * @returns the request ID and the URLs of the entry hosts
-   * @throws CallerError when no ID can be obtained
+   * @throws CallerError with `run` as `not_run` when no ID can be obtained
    */
   async assign(idempotencyKey?: string, signal?: AbortSignal): Promise<Assignment> {
     const answer = await sendControlCall(this.#context, {
--- a/src/load/_answer_scan.ts
+++ b/src/load/_answer_scanner.ts
@@ -3,6 +3,7 @@
  *
  * @module
  */
+/** Most characters of a non-streamed body that are kept; `finish()` reads only these last ones. */
 const MAX_BUFFERED_CHARACTERS = 1_048_576;
 
 /** Code and run outcome from an error answer. */
@@ -12,9 +13,9 @@
 }
 
 /**
- * Scans one answer, also across resumptions. A stream is complete only after `[DONE]`: a connection
- * that ended cleanly may have been closed by a dying host, and the caller would take a truncated
- * answer for a complete one.
+ * Scans one answer, also across resumptions. A stream is complete only after `[DONE]`: a
+ * connection that ended cleanly may have been closed by a dying host, and the caller would take a
+ * truncated answer for a complete one.
  */
 export class AnswerScanner {
   /** Number of bytes of the answer's body received so far. */
@@ -37,7 +38,8 @@
 
   /**
    * @param isStream - whether the answer is an event stream
-   * @param mark - mark that each token must carry, as `mark.0 mark.1 …`; undefined: any answer is valid
+   * @param mark - mark that the tokens must carry, as `mark.0 mark.1 …`; undefined: any answer
+   *   is valid
    */
   constructor(
     private readonly isStream: boolean,
--- a/src/load/_client.ts
+++ b/src/load/_client.ts
@@ -13,6 +13,7 @@
 import type { RequestOutcome } from './outcome.js';
 
 const MAX_ATTEMPTS = 6;
+/** Step of the linear backoff; the first retry follows at once. */
 const RETRY_BACKOFF_MS = 50;
 /** Codes of refusals after which the call is retried at another entry host; nothing ran. */
 const RETRY_ELSEWHERE_CODES = new Set(['entry_host_stopping', 'too_many_connections']);
@@ -48,8 +49,8 @@
 
   /** @param options - URLs, connections and limits of the caller */
   constructor(private readonly options: LoadClientOptions) {
-    const { urls, firstUrlIndex: firstUrl } = options;
-    this.#seedUrls = urls.map((_, index) => urls[(index + firstUrl) % urls.length] as string);
+    const { urls, firstUrlIndex } = options;
+    this.#seedUrls = urls.map((_, index) => urls[(index + firstUrlIndex) % urls.length] as string);
   }
 
   /**
@@ -60,12 +61,15 @@
    * @returns the outcome; never rejects
    */
   async run(arrival: Arrival, startedAtMs: number): Promise<RequestOutcome> {
-    const abort = new AbortController();
-    const timer = setTimeout(() => abort.abort(), arrival.work.deadlineMs + this.options.graceMs);
+    const abortController = new AbortController();
+    const timer = setTimeout(
+      () => abortController.abort(),
+      arrival.work.deadlineMs + this.options.graceMs,
+    );
     const progress = new RequestProgress({
       arrival,
       startedAtMs,
-      signal: abort.signal,
+      signal: abortController.signal,
       urls: this.#listUrls(),
       checksAnswers: this.options.checksAnswers,
     });
@@ -83,8 +87,8 @@
   }
 
   /**
-   * Requests an ID and the entry hosts to use, with retries; nothing can run meanwhile. Returns the
-   * outcome if that fails, and undefined after success.
+   * Requests an ID and the entry hosts to use, with retries; nothing can run meanwhile. Returns
+   * the outcome if that fails, and undefined after success.
    */
   async #assign(progress: RequestProgress): Promise<RequestOutcome | undefined> {
     for (let attempt = 0; ; attempt += 1) {
@@ -126,11 +130,11 @@
       const url = pickUrl(progress.urls, attempt);
       const result = await this.#sendOrResume(progress, url);
       const isLast = attempt + 1 >= MAX_ATTEMPTS || progress.signal.aborted;
-      if (result.scan?.streamError) return progress.buildRefusedOutcome(result, url);
+      if (result.scanner?.streamError) return progress.buildRefusedOutcome(result, url);
       if (result.error && (isLast || !mustRetryElsewhere(result))) {
         return progress.buildRefusedOutcome(result, url);
       }
-      if (!result.error && result.ended && result.scan?.isComplete())
+      if (!result.error && result.ended && result.scanner?.isComplete())
         return progress.buildAnsweredOutcome(url);
       if (isLast) {
         return progress.buildLostOutcome(
@@ -150,14 +154,14 @@
   #sendOrResume(progress: RequestProgress, url: string): Promise<ExchangeResult> {
     progress.recordAttempt();
     if (!progress.arrival.work.withId) progress.reset();
-    if (progress.scan !== undefined) {
+    if (progress.scanner !== undefined) {
       progress.recordResumption();
       return this.#send(progress, {
         url: `${url}${progress.buildResumePath()}`,
         method: 'GET',
         headers: { authorization: `Bearer ${progress.arrival.account.apiKey}` },
         body: undefined,
-        scan: progress.scan,
+        scanner: progress.scanner,
         onFirstByte: () => progress.recordFirstByte(),
       });
     }
@@ -167,7 +171,7 @@
       headers: progress.buildHeaders(),
       body: progress.buildBody(),
       mark: progress.getMark(),
-      onHead: (headers, scan) => progress.recordHead(headers, scan),
+      onHead: (headers, scanner) => progress.recordHead(headers, scanner),
       onFirstByte: () => progress.recordFirstByte(),
     });
   }
--- a/src/load/_exchange.ts
+++ b/src/load/_exchange.ts
@@ -5,8 +5,8 @@
  */
 import http from 'node:http';
 import type { IncomingHttpHeaders } from 'node:http';
-import { AnswerScanner, parseErrorBody } from './_answer_scan.js';
-import type { ErrorAnswerBody } from './_answer_scan.js';
+import { AnswerScanner, parseErrorBody } from './_answer_scanner.js';
+import type { ErrorAnswerBody } from './_answer_scanner.js';
 
 const FIRST_NON_SUCCESS_STATUS = 300;
 
@@ -22,9 +22,9 @@
   /** Mark that each token of the answer must carry; undefined: any answer is valid. */
   readonly mark?: string;
   /** The scanner to continue with when an answer is resumed. */
-  readonly scan?: AnswerScanner;
+  readonly scanner?: AnswerScanner;
   /** Called with the head of a successful answer. */
-  readonly onHead?: (headers: IncomingHttpHeaders, scan: AnswerScanner) => void;
+  readonly onHead?: (headers: IncomingHttpHeaders, scanner: AnswerScanner) => void;
   /** Called at the first byte of a successful answer's body. */
   readonly onFirstByte?: () => void;
 }
@@ -34,7 +34,7 @@
   /** HTTP status; 0 when no head arrived. */
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
-  readonly scan: AnswerScanner | undefined;
+  readonly scanner: AnswerScanner | undefined;
   /** The error of an unsuccessful answer. */
   readonly error: ErrorAnswerBody | undefined;
   /** The body, unless it is a successful event stream. */
@@ -77,26 +77,26 @@
 ): void {
   const status = response.statusCode ?? 0;
   const isSuccess = status < FIRST_NON_SUCCESS_STATUS;
-  const scan = isSuccess
-    ? (call.scan ?? new AnswerScanner(isEventStream(response.headers), call.mark))
+  const scanner = isSuccess
+    ? (call.scanner ?? new AnswerScanner(isEventStream(response.headers), call.mark))
     : undefined;
-  if (scan) call.onHead?.(response.headers, scan);
+  if (scanner) call.onHead?.(response.headers, scanner);
   let text = '';
   response.on('data', (chunk: Buffer) => {
-    if (scan && scan.bytes === 0) call.onFirstByte?.();
-    scan?.add(chunk);
-    if (!scan || !isEventStream(response.headers)) text += chunk.toString('latin1');
+    if (scanner && scanner.bytes === 0) call.onFirstByte?.();
+    scanner?.add(chunk);
+    if (!scanner || !isEventStream(response.headers)) text += chunk.toString('latin1');
   });
   let isFinished = false;
   const finish = (isBodyComplete: boolean, cause?: string): void => {
     if (isFinished) return;
     isFinished = true;
-    if (isBodyComplete) scan?.finish();
+    if (isBodyComplete) scanner?.finish();
     const error = isSuccess ? undefined : parseErrorBody(text);
     onDone({
       status,
       headers: response.headers,
-      scan,
+      scanner,
       error,
       text,
       ended: isBodyComplete,
@@ -116,7 +116,7 @@
   return {
     status: 0,
     headers: {},
-    scan: undefined,
+    scanner: undefined,
     error: undefined,
     text: '',
     ended: false,
--- a/src/load/_request_progress.ts
+++ b/src/load/_request_progress.ts
@@ -5,7 +5,7 @@
  */
 import { performance } from 'node:perf_hooks';
 import type { IncomingHttpHeaders } from 'node:http';
-import type { AnswerScanner } from './_answer_scan.js';
+import type { AnswerScanner } from './_answer_scanner.js';
 import type { Arrival } from './arrivals.js';
 import type { ExchangeResult } from './_exchange.js';
 import { buildPrompt, deriveMark } from './_prompt.js';
@@ -43,7 +43,7 @@
   resumptions = 0;
 
   /** Scanner of the answer; undefined until the head arrives. */
-  scan: AnswerScanner | undefined;
+  scanner: AnswerScanner | undefined;
 
   readonly #startedAtMs: number;
 
@@ -94,10 +94,10 @@
    * Records the head of the answer.
    *
    * @param headers - headers with the request ID and the hints for a resumption
-   * @param scan - scanner of the answer's body
+   * @param scanner - scanner of the answer's body
    */
-  recordHead(headers: IncomingHttpHeaders, scan: AnswerScanner): void {
-    this.scan = scan;
+  recordHead(headers: IncomingHttpHeaders, scanner: AnswerScanner): void {
+    this.scanner = scanner;
     const id = headers['request-id'];
     if (typeof id === 'string' && !this.requestIds.includes(id)) this.requestIds.push(id);
     if (typeof id === 'string') this.requestId = id;
@@ -110,14 +110,14 @@
   /** Discards the ID and the answer. Only for requests without an ID, which may run again. */
   reset(): void {
     this.requestId = undefined;
-    this.scan = undefined;
+    this.scanner = undefined;
     this.#resumeHints = {};
   }
 
   /** @returns path and query that resume the answer where it broke off */
   buildResumePath(): string {
     const query = new URLSearchParams({
-      offset: String(this.scan?.bytes ?? 0),
+      offset: String(this.scanner?.bytes ?? 0),
       ...this.#resumeHints,
     });
     return `/v1/requests/${encodeURIComponent(this.requestId ?? '')}?${query.toString()}`;
@@ -172,14 +172,14 @@
 
   /** @param url - entry host that answered. @returns the outcome of a complete answer */
   buildAnsweredOutcome(url: string): RequestOutcome {
-    const isExpected = this.scan?.isExpectedAnswer(this.arrival.outputTokens) ?? true;
+    const isExpected = this.scanner?.isExpectedAnswer(this.arrival.outputTokens) ?? true;
     const kind = isExpected ? OutcomeKind.Answered : OutcomeKind.Wrong;
     return this.#buildOutcome({ kind, url, status: 200 });
   }
 
   /** @param result - the refusal. @param url - entry host that refused. @returns the outcome */
   buildRefusedOutcome(result: ExchangeResult, url: string): RequestOutcome {
-    const error = result.error ?? result.scan?.streamError;
+    const error = result.error ?? result.scanner?.streamError;
     const { status } = result;
     return this.#buildOutcome({
       kind: OutcomeKind.Refused,
@@ -212,7 +212,7 @@
       requestIds: this.requestIds,
       firstByteMs: this.#firstByteMs,
       totalMs: this.getElapsedMs(),
-      outputTokens: this.scan?.outputTokens ?? 0,
+      outputTokens: this.scanner?.outputTokens ?? 0,
       attempts: this.attempts,
       resumptions: this.resumptions,
     };
--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -5,7 +5,7 @@
  */
 import type { RandomSource } from '../ports/mod.js';
 import type { Tier } from '../domain/scheduling/tier.js';
-import { computeRate } from './plan.js';
+import { computeArrivalRate } from './plan.js';
 import type { LoadAccount, LoadPlan, LoadWork } from './plan.js';
 
 const MS_PER_SECOND = 1000;
@@ -39,13 +39,13 @@
   let phaseStartMs = 0;
   plan.phases.forEach((phase) => {
     const phaseEndMs = phaseStartMs + phase.seconds * MS_PER_SECOND;
-    const rate = computeRate(plan, phase);
-    let atMs = phaseStartMs + computeGapMs(rate, random);
+    const ratePerSecond = computeArrivalRate(plan, phase);
+    let atMs = phaseStartMs + computeGapMs(ratePerSecond, random);
     while (atMs < phaseEndMs) {
       arrivals.push(
         createArrival(plan, { index: arrivals.length, atMs, phase: phase.name }, random),
       );
-      atMs += computeGapMs(rate, random);
+      atMs += computeGapMs(ratePerSecond, random);
     }
     phaseStartMs = phaseEndMs;
   });
--- a/src/load/compare_runs.ts
+++ b/src/load/compare_runs.ts
@@ -41,7 +41,7 @@
   readonly runs: number;
   /** Request IDs with more than one run. */
   readonly doubles: readonly string[];
-  /** Number of requests whose caller got neither an answer nor a refusal. */
+  /** Number of requests whose caller got neither a complete answer nor a refusal. */
   readonly lost: number;
   /** Request IDs that were refused as `not_run` although they ran. */
   readonly falseNotRun: readonly string[];
@@ -87,25 +87,25 @@
   const outcomeById = new Map(
     outcomes.flatMap((outcome) => outcome.requestIds.map((id) => [id, outcome] as const)),
   );
-  const lastStartByPrefix = new Map<string, number>();
-  const received = new Set<string>();
+  const lastStartMsByPrefix = new Map<string, number>();
+  const receivedIds = new Set<string>();
   const sums = { computedTokens: 0, unreceivedTokens: 0, recomputedTokens: 0 };
   const ordered = [...records].sort((a, b) => a.startedWallMs - b.startedWallMs);
   ordered.forEach((record) => {
     const outcome = outcomeById.get(record.requestId);
     if (!outcome) return;
     sums.computedTokens += record.prefillTokens;
-    if (isReceived(outcome, record) && !received.has(record.requestId)) {
-      received.add(record.requestId);
-      sums.recomputedTokens += countRecomputed(outcome, record, lastStartByPrefix);
+    if (isReceived(outcome, record) && !receivedIds.has(record.requestId)) {
+      receivedIds.add(record.requestId);
+      sums.recomputedTokens += countRecomputedTokens(outcome, record, lastStartMsByPrefix);
     } else {
       sums.unreceivedTokens += record.prefillTokens;
     }
     const { prefix } = outcome.arrival;
-    if (prefix !== undefined) lastStartByPrefix.set(prefix, record.startedWallMs);
+    if (prefix !== undefined) lastStartMsByPrefix.set(prefix, record.startedWallMs);
   });
-  const wasted = sums.unreceivedTokens + sums.recomputedTokens;
-  return { ...sums, share: sums.computedTokens === 0 ? 0 : wasted / sums.computedTokens };
+  const wastedTokens = sums.unreceivedTokens + sums.recomputedTokens;
+  return { ...sums, share: sums.computedTokens === 0 ? 0 : wastedTokens / sums.computedTokens };
 }
 
 /** Returns whether the run gave the answer that the caller received: the run of the last ID. */
@@ -113,15 +113,15 @@
   return outcome.kind === OutcomeKind.Answered && outcome.requestIds.at(-1) === record.requestId;
 }
 
-function countRecomputed(
+function countRecomputedTokens(
   outcome: RequestOutcome,
   record: RunRecord,
-  lastStartByPrefix: ReadonlyMap<string, number>,
+  lastStartMsByPrefix: ReadonlyMap<string, number>,
 ): number {
   const { prefix, work } = outcome.arrival;
   if (prefix === undefined) return 0;
-  const lastStart = lastStartByPrefix.get(prefix);
-  if (lastStart === undefined || record.startedWallMs - lastStart > ASSUMED_CACHE_LIFETIME_MS)
+  const lastStartMs = lastStartMsByPrefix.get(prefix);
+  if (lastStartMs === undefined || record.startedWallMs - lastStartMs > ASSUMED_CACHE_LIFETIME_MS)
     return 0;
   const prefixTokens = Math.floor(work.prefixTokens / BLOCK_TOKENS) * BLOCK_TOKENS;
   return Math.min(record.prefillTokens, Math.max(0, prefixTokens - record.cachedTokens));
--- a/src/load/default_plan.ts
+++ b/src/load/default_plan.ts
@@ -16,8 +16,8 @@
 }
 
 /**
- * Builds a plan with short urgent, medium standard and long batch work. Prompt lengths differ up to
- * a hundredfold, and prompts share prefixes.
+ * Builds a plan with short urgent, medium standard and long batch work. Lengths differ by up
+ * to a hundredfold, and prompts share prefixes.
  *
  * @param options - target, accounts, rate and duration
  * @returns the plan
--- a/src/load/inversions.ts
+++ b/src/load/inversions.ts
@@ -36,8 +36,8 @@
 /**
  * Counts priority inversions. A refusal for lack of capacity (`tier_closed`, `queue_full`,
  * `deadline_unreachable`) that reached its caller at time r is an inversion when a backend server
- * started a request of a lower tier for the same service in the interval
- * (r + {@link INVERSION_SETTLE_MS}, r + {@link INVERSION_SETTLE_MS} + {@link INVERSION_WINDOW_MS}].
+ * started a request of a lower tier for the same service after r + {@link INVERSION_SETTLE_MS} and
+ * at most {@link INVERSION_WINDOW_MS} later.
  * Requests started before r don't count, since engines can't preempt work. A long prompt whose
  * deadline even an idle fleet could not meet counts too, so the result is an upper bound.
  *
--- a/src/load/load_report.ts
+++ b/src/load/load_report.ts
@@ -32,7 +32,7 @@
 export interface LoadReportOptions {
   readonly name: string;
   readonly records?: readonly RunRecord[];
-  /** Phase whose requests count in `comparison` and `inversions` but not by tier. Default: none. */
+  /** Phase whose requests count in `comparison` and `inversions` only. Default: none. */
   readonly warmUpPhase?: string;
 }
 
--- a/src/load/mod.ts
+++ b/src/load/mod.ts
@@ -1,7 +1,7 @@
 /**
- * Open-loop load generator: seeded arrivals in phases with a mix of tiers and lengths, and a report
- * of their outcomes. It uses only the callers' protocol; a report can also compare the outcomes with
- * the runs that backend servers recorded:
+ * Open-loop load generator: seeded arrivals in phases with a mix of tiers and lengths, and a
+ * report of their outcomes. It uses only the callers' protocol; a report can also compare the
+ * outcomes with the runs that backend servers recorded:
  * `buildLoadReport(await runLoad(plan, { urls, seed: 1 }), { name: 'steady' })`.
  *
  * @module
@@ -19,7 +19,7 @@
 export type { LoadReport, LoadReportOptions } from './load_report.js';
 export { isInDeadline, OutcomeKind } from './outcome.js';
 export type { RequestOutcome } from './outcome.js';
-export { computeRate, parseLoadPlan } from './plan.js';
+export { computeArrivalRate, parseLoadPlan } from './plan.js';
 export type { LoadAccount, LoadPhase, LoadPlan, LoadPlanDocument, LoadWork } from './plan.js';
 export { runLoad } from './run_load.js';
 export type { LoadRun, RunLoadOptions } from './run_load.js';
--- a/src/load/plan.ts
+++ b/src/load/plan.ts
@@ -11,6 +11,7 @@
   Object.entries(TIER_NAMES).map(([tier, name]) => [name, Number(tier) as Tier]),
 );
 
+/** A pair of inclusive bounds, the lower one first. */
 const rangeSchema = z
   .tuple([z.number().int().positive(), z.number().int().positive()])
   .refine(([low, high]) => low <= high, 'the lower bound must come first');
@@ -20,6 +21,7 @@
     name: z.string().min(1),
     seconds: z.number().positive(),
     requestsPerSecond: z.number().nonnegative().optional(),
+    // Rate as a multiple of the plan's `capacityRequestsPerSecond`.
     capacityMultiple: z.number().nonnegative().optional(),
   })
   .refine(
@@ -40,14 +42,17 @@
     tier: z.enum(['urgent', 'standard', 'batch']).transform((name) => TIER_BY_NAME[name] as Tier),
     service: z.string().min(1),
     model: z.string().min(1).optional(),
+    // `method` and `path` apply to work without a model, which calls the service itself.
     method: z.string().default('GET'),
     path: z.string().default('/status'),
     workKind: z.string().optional(),
+    // Whether the caller requests an ID first; without one, a retry may run the request again.
     withId: z.boolean().default(true),
     stream: z.boolean().default(true),
     promptTokens: rangeSchema.default([20, 2000]),
     outputTokens: rangeSchema.default([1, 100]),
     deadlineMs: z.number().positive(),
+    // Number of different shared prompt prefixes for each account, and the length of each.
     prefixCount: z.number().int().nonnegative().default(0),
     prefixTokens: z.number().int().nonnegative().default(0),
   })
@@ -62,8 +67,10 @@
   accounts: z.array(accountSchema).min(1),
   work: z.array(workSchema).min(1),
   callersPerAccount: z.number().int().positive().default(8),
+  // Limit of open connections over all callers.
   maxSockets: z.number().int().positive().default(1500),
   checksAnswers: z.boolean().default(false),
+  // Time that a caller still waits for an answer after the deadline.
   graceMs: z.number().nonnegative().default(3000),
 });
 
@@ -74,15 +81,15 @@
 export type LoadAccount = z.infer<typeof accountSchema>;
 
 /**
- * A kind of work; `share` is its relative weight. Lengths are in tokens and drawn log-uniformly from
- * their ranges.
+ * A kind of work; `share` is its relative weight. Lengths are in tokens and drawn log-uniformly
+ * from their ranges.
  */
 export type LoadWork = z.infer<typeof workSchema>;
 
 /**
- * A load plan with its defaults. With `checksAnswers`, each token of a model's answer must carry the
- * mark of its prompt, as the answers of stand-in engines do; this detects answers that are mixed up
- * between requests or lack tokens.
+ * A load plan with its defaults. With `checksAnswers`, each token of a model's answer must carry
+ * the mark of its prompt, as the answers of stand-in engines do; this detects answers that are
+ * mixed up between requests or lack tokens.
  */
 export type LoadPlan = z.infer<typeof planSchema>;
 
@@ -120,7 +127,7 @@
  * @param phase - the phase
  * @returns the rate in requests per second
  */
-export function computeRate(plan: LoadPlan, phase: LoadPhase): number {
+export function computeArrivalRate(plan: LoadPlan, phase: LoadPhase): number {
   if (phase.requestsPerSecond !== undefined) return phase.requestsPerSecond;
   return (phase.capacityMultiple ?? 0) * (plan.capacityRequestsPerSecond ?? 0);
 }
--- a/src/load/report/text_report.ts
+++ b/src/load/report/text_report.ts
@@ -75,9 +75,9 @@
   if (!comparison) return [];
   const waste = comparison.wastedPrefill;
   return [
-    `runs ${comparison.runs}, duplicate runs ${comparison.doubles.length}, lost ${comparison.lost}, ` +
+    `runs ${comparison.runs}, duplicates ${comparison.doubles.length}, lost ${comparison.lost}, ` +
       `false "not run" ${comparison.falseNotRun.length}`,
-    `prefill: ${waste.computedTokens} tokens computed, ${waste.unreceivedTokens} for unreceived answers, ` +
+    `prefill: ${waste.computedTokens} tokens computed, ${waste.unreceivedTokens} unreceived, ` +
       `${waste.recomputedTokens} recomputed, wasted ${(waste.share * PERCENT).toFixed(2)} %`,
     `shed for lack of capacity ${inversions?.shed ?? 0}, ` +
       `while a lower tier was admitted ${inversions?.inversions ?? 0}`,
--- a/src/load/run_load.ts
+++ b/src/load/run_load.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a load plan as an open loop: each request starts at its time regardless of earlier outcomes.
+ * Runs a load plan as an open loop: requests start on schedule regardless of earlier outcomes.
  *
  * @module
  */
--- a/src/load/tally.ts
+++ b/src/load/tally.ts
@@ -10,7 +10,7 @@
 import { isInDeadline, OutcomeKind } from './outcome.js';
 import type { RequestOutcome } from './outcome.js';
 
-/** Longest time that a histogram tells apart; longer times count as this one. */
+/** Longest time that a histogram stores; longer times are recorded as this one. */
 const MAX_TRACKED_MS = 3_600_000;
 const SIGNIFICANT_DIGITS = 3;
 const MS_PER_SECOND = 1000;
