--- a/src/caller/_event_reader.ts
+++ b/src/caller/_event_reader.ts
@@ -1,5 +1,5 @@
 /**
- * Finds an entry host's error event in a stream of server-sent events.
+ * Filters the error event of an entry host out of a stream of server-sent events.
  *
  * @module
  */
@@ -10,58 +10,60 @@
 const DATA_FIELD = 'data: ';
 const ERROR_EVENT_START = `${DATA_FIELD}{"error":`;
 
-/** An entry host broke the answer off and says why. */
+/** An entry host ended the stream early with an error event that gives the reason. */
 export class ErrorEvent extends Error {
   override readonly name = 'ErrorEvent';
 
-  /** @param refusal - what the event says */
+  /** @param refusal - the error that the event carries */
   constructor(readonly refusal: Refusal) {
     super(refusal.message);
   }
 }
 
 /**
- * Passes whole events on. An error event is no part of the answer: counted
- * into it, the offset from which another entry host reads on would be wrong
- * and bytes would be missing. So each event is looked at before it is passed.
+ * Splits a stream into complete events and stops at an error event. An entry host adds the error
+ * event; it is not part of the answer. If its bytes counted towards the offset at which another
+ * entry host resumes the answer, the caller would miss as many bytes of the answer. So each event
+ * is checked before it is passed on.
  */
-export class EventReader {
-  #held: Buffer = Buffer.alloc(0);
+export class ErrorEventFilter {
+  #buffered: Buffer = Buffer.alloc(0);
 
   /**
-   * @param bytes - the next bytes of the body
-   * @returns whole events
-   * @throws ErrorEvent after the last event before it
+   * @param chunk - the next chunk of the body
+   * @returns the events that are complete with this chunk
+   * @throws ErrorEvent at an error event, after all events before it were returned
    */
-  *split(bytes: Uint8Array): Generator<Buffer> {
-    this.#held = this.#held.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.#held, bytes]);
+  *split(chunk: Uint8Array): Generator<Buffer> {
+    this.#buffered =
+      this.#buffered.length === 0 ? Buffer.from(chunk) : Buffer.concat([this.#buffered, chunk]);
     for (let end = this.#findEnd(); end >= 0; end = this.#findEnd()) {
-      const event = this.#held.subarray(0, end);
-      checkEvent(event);
-      this.#held = this.#held.subarray(end);
+      const event = this.#buffered.subarray(0, end);
+      throwIfErrorEvent(event);
+      this.#buffered = this.#buffered.subarray(end);
       yield event;
     }
   }
 
-  /** @returns what stands behind the last whole event */
+  /** @returns the bytes after the last complete event */
   takeRest(): Buffer {
-    const rest = this.#held;
-    this.#held = Buffer.alloc(0);
+    const rest = this.#buffered;
+    this.#buffered = Buffer.alloc(0);
     return rest;
   }
 
   #findEnd(): number {
-    const at = this.#held.indexOf(EVENT_END);
-    return at < 0 ? -1 : at + EVENT_END.length;
+    const index = this.#buffered.indexOf(EVENT_END);
+    return index < 0 ? -1 : index + EVENT_END.length;
   }
 }
 
 /**
- * The error event may stand behind the first half of a very long event, which
- * entry hosts pass on in pieces. Quotes inside JSON text are escaped, so no
- * answer's own text can look like its start.
+ * Throws when the event contains an error event. Entry hosts forward a very long event in pieces,
+ * so the error event may follow the first part of one; hence the search from the end. JSON escapes
+ * quotes inside strings, so the text of an answer can't contain the start of an error event.
  */
-function checkEvent(event: Buffer): void {
+function throwIfErrorEvent(event: Buffer): void {
   const start = event.lastIndexOf(ERROR_EVENT_START);
   if (start < 0) return;
   const refusal = parseRefusal(event.toString('utf8', start + DATA_FIELD.length));
--- a/src/caller/_submission.ts
+++ b/src/caller/_submission.ts
@@ -1,38 +1,38 @@
 /**
- * Sends a call until the head of its answer is there.
+ * Sends a call, with retries, until the head of its answer arrives.
  *
  * @module
  */
 import type { Assignment } from '../application/views/mod.js';
 import { RunOutcome } from '../domain/errors/mod.js';
-import { buildAuthorization, MAX_TRIES, waitBetweenRounds } from './_call_context.js';
+import { buildAuthorization, MAX_ATTEMPTS, waitBeforeRetry } from './_call_context.js';
 import type { CallContext } from './_call_context.js';
 import { Exchange, ExchangeError } from './_exchange.js';
 import {
   isFromListener,
   isFromOwner,
   isOwnerUnreachable,
-  isPassing,
+  isRetryableElsewhere,
   openAnswer,
 } from './_refusal.js';
 import type { OpenedAnswer, Refusal } from './_refusal.js';
-import { waitWatching } from './_silence_watch.js';
+import { waitWithSilenceCheck } from './_silence_check.js';
 import { CallerError, LocalErrorCode } from './caller_error.js';
 import type { CallerRequest } from './caller_request.js';
 
-/** An answer whose head has come. */
-export interface Submitted {
+/** A call whose answer's head has arrived, with the connection that carries the answer. */
+export interface SubmittedCall {
   readonly answer: OpenedAnswer;
   readonly exchange: Exchange;
   readonly url: string;
 }
 
-/** Nothing has left this process, so the ID may be dropped and the call sent under another one. */
+/** No byte of the call was sent, so the call may be sent under a new ID without running twice. */
 export class NeverSentError extends Error {
   override readonly name = 'NeverSentError';
 }
 
-/** @param request - the call. @returns its body in bytes */
+/** @param request - the call. @returns the body of the call as bytes */
 function encodeBody({ body }: CallerRequest): Uint8Array | undefined {
   return typeof body === 'string' ? Buffer.from(body) : body;
 }
@@ -51,9 +51,9 @@
 }
 
 /**
- * Sends one call under one ID. Its copies, sent through other entry hosts when
- * a connection breaks, all reach the one owner that the ID names, which runs
- * the first and gives each the same answer.
+ * Sends one call under one request ID. When a connection breaks, copies of the call go through
+ * other entry hosts. All copies reach the one owner that the ID names; the owner runs the first
+ * copy and gives every copy the same answer.
  */
 export class Submission {
   readonly #context: CallContext;
@@ -64,11 +64,11 @@
 
   readonly #body: Uint8Array | undefined;
 
-  #mayHaveLeft = false;
+  #mayHaveBeenSent = false;
 
   /**
    * @param context - shared by the client's calls
-   * @param assignment - the ID and the addresses
+   * @param assignment - the request ID and the entry hosts to use
    * @param request - the call
    */
   constructor(context: CallContext, assignment: Assignment, request: CallerRequest) {
@@ -79,32 +79,34 @@
   }
 
   /**
-   * @returns the answer's head
-   * @throws NeverSentError when nothing left this process
-   * @throws CallerError when the call is refused, or nobody can tell what became of it
+   * Sends the call until an answer's head arrives or the attempts are used up.
+   *
+   * @returns the call with the head of its answer
+   * @throws NeverSentError when no byte of the call was sent
+   * @throws CallerError when the call is refused or its outcome is unknown
    */
-  async run(): Promise<Submitted> {
-    let lastError: Error = new NeverSentError('there is no address');
-    for (let attempt = 0; attempt < MAX_TRIES; attempt += 1) {
+  async run(): Promise<SubmittedCall> {
+    let lastError: Error = new NeverSentError('no URL is known');
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       const urls = this.#context.addresses.list(this.#assignment.entryHost.url);
       const url = urls[0] ?? this.#assignment.entryHost.url;
-      if (attempt > 0) await waitBetweenRounds(this.#context.clock, attempt - 1);
+      if (attempt > 0) await waitBeforeRetry(this.#context.clock, attempt - 1);
       try {
         return await this.#sendTo(url);
       } catch (error) {
         this.#request.signal?.throwIfAborted();
-        if (!(error instanceof ExchangeError) && !isWorthAnotherTry(error)) throw error;
-        if (error instanceof ExchangeError && error.mayHaveLeft) this.#mayHaveLeft = true;
-        this.#context.addresses.noteFailure(url);
+        if (!(error instanceof ExchangeError) && !isRetryable(error)) throw error;
+        if (error instanceof ExchangeError && error.mayHaveBeenSent) this.#mayHaveBeenSent = true;
+        this.#context.addresses.recordFailure(url);
         lastError = error;
-        if (!this.#mayHaveLeft && error instanceof ExchangeError)
+        if (!this.#mayHaveBeenSent && error instanceof ExchangeError)
           throw new NeverSentError(error.message, { cause: error });
       }
     }
-    throw this.#buildLost(lastError);
+    throw this.#buildLostError(lastError);
   }
 
-  async #sendTo(url: string): Promise<Submitted> {
+  async #sendTo(url: string): Promise<SubmittedCall> {
     const { id } = this.#assignment;
     const { method, path, signal } = this.#request;
     const exchange = new Exchange(
@@ -119,12 +121,12 @@
       this.#context.clock,
     );
     try {
-      const watched = { requestId: id, offset: 0, signal };
-      const head = await waitWatching(this.#context, exchange.head, watched);
+      const progress = { requestId: id, offset: 0, signal };
+      const head = await waitWithSilenceCheck(this.#context, exchange.head, progress);
       const answer = await openAnswer(head).catch((error: unknown) => {
         throw new ExchangeError(true, `The answer broke off: ${String(error)}`, { cause: error });
       });
-      if (answer.refusal) throw this.#buildRefused(answer.refusal, head.statusCode);
+      if (answer.refusal) throw this.#buildRefusalError(answer.refusal, head.statusCode);
       return { answer, exchange, url };
     } catch (error) {
       exchange.close();
@@ -132,10 +134,10 @@
     }
   }
 
-  #buildRefused(refusal: Refusal, status: number | undefined): CallerError {
+  #buildRefusalError(refusal: Refusal, status: number | undefined): CallerError {
     const { code, message, retryAfterMs } = refusal;
-    const run = this.#computeRun(refusal);
-    if (isOwnerUnreachable(code)) this.#mayHaveLeft = true;
+    const run = this.#computeRunOutcome(refusal);
+    if (isOwnerUnreachable(code)) this.#mayHaveBeenSent = true;
     return new CallerError(run, message, {
       code,
       retryAfterMs,
@@ -145,32 +147,32 @@
   }
 
   /**
-   * When an earlier copy of the call may have reached the owner, "not run" from
-   * an entry host in between only says that *it* passed nothing on. Taken for
-   * the whole truth, the caller would send the work again under a new ID and
-   * double it. The other way round, a listener that refuses a call by its own
-   * rules can't know of other copies, while this caller knows that it was the
-   * first and only one.
+   * Corrects the run outcome in a refusal by what this client knows of other copies of the call.
+   * When an earlier copy may have reached the owner, "not run" from another entry host only means
+   * that this entry host forwarded nothing; a caller that relied on it would send the work again
+   * under a new ID and run it twice. Conversely, a listener that refuses a call by its own checks
+   * answers "may have run" because it can't know of other copies; when the client knows that this
+   * was the only copy, the call has not run.
    */
-  #computeRun({ code, run }: Refusal): RunOutcome {
-    if (this.#mayHaveLeft && run === RunOutcome.NotRun && !isFromOwner(code))
+  #computeRunOutcome({ code, run }: Refusal): RunOutcome {
+    if (this.#mayHaveBeenSent && run === RunOutcome.NotRun && !isFromOwner(code))
       return RunOutcome.MayHaveRun;
-    const isOnlyCopy = !this.#mayHaveLeft && this.#request.idempotencyKey === undefined;
+    const isOnlyCopy = !this.#mayHaveBeenSent && this.#request.idempotencyKey === undefined;
     if (isOnlyCopy && run === RunOutcome.MayHaveRun && isFromListener(code))
       return RunOutcome.NotRun;
     return run;
   }
 
-  #buildLost(lastError: Error): CallerError {
+  #buildLostError(lastError: Error): CallerError {
     if (lastError instanceof CallerError) return lastError;
     return new CallerError(
       RunOutcome.MayHaveRun,
-      `Cannot tell what became of the call: ${lastError.message}`,
+      `The outcome of the call is unknown: ${lastError.message}`,
       { code: LocalErrorCode.ConnectionLost, requestId: this.#assignment.id, cause: lastError },
     );
   }
 }
 
-function isWorthAnotherTry(error: unknown): error is CallerError {
-  return error instanceof CallerError && isPassing(error.code);
+function isRetryable(error: unknown): error is CallerError {
+  return error instanceof CallerError && isRetryableElsewhere(error.code);
 }
--- a/src/load/_exchange.ts
+++ b/src/load/_exchange.ts
@@ -1,55 +1,55 @@
 /**
- * One HTTP exchange of the load tool.
+ * Performs one HTTP exchange of the load tool.
  *
  * @module
  */
 import http from 'node:http';
 import type { IncomingHttpHeaders } from 'node:http';
-import { AnswerScan, parseErrorBody } from './_answer_scan.js';
-import type { ErrorAnswerBody } from './_answer_scan.js';
+import { AnswerScanner, parseErrorBody } from './_answer_scanner.js';
+import type { ErrorAnswerBody } from './_answer_scanner.js';
 
-const HTTP_OK_END = 300;
+const FIRST_NON_SUCCESS_STATUS = 300;
 
-/** What to send. */
+/** The request to send, and callbacks for its answer. */
 export interface ExchangeCall {
   readonly url: string;
   readonly method: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string | undefined;
   readonly agent: http.Agent;
-  /** Ends the exchange when the caller gives up. */
+  /** Aborts the exchange when the caller stops waiting. */
   readonly signal: AbortSignal;
-  /** What each token of the answer must name; undefined takes any answer. */
+  /** Mark that each token of the answer must carry; undefined: any answer is valid. */
   readonly mark?: string;
-  /** A scan to go on with, when an answer is resumed. */
-  readonly scan?: AnswerScan;
+  /** The scanner to continue with when an answer is resumed. */
+  readonly scanner?: AnswerScanner;
   /** Called with the head of a successful answer. */
-  readonly onHead?: (headers: IncomingHttpHeaders, scan: AnswerScan) => void;
+  readonly onHead?: (headers: IncomingHttpHeaders, scanner: AnswerScanner) => void;
   /** Called at the first byte of a successful answer's body. */
   readonly onFirstByte?: () => void;
 }
 
-/** What came back. */
+/** The answer, or as much of it as arrived. */
 export interface ExchangeResult {
-  /** 0 when no head came. */
+  /** HTTP status; 0 when no head arrived. */
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
-  readonly scan: AnswerScan | undefined;
-  /** The body of an error answer. */
+  readonly scanner: AnswerScanner | undefined;
+  /** The error of an unsuccessful answer. */
   readonly error: ErrorAnswerBody | undefined;
-  /** Small bodies that are no answers of a backend server. */
+  /** The body, unless it is a successful event stream. */
   readonly text: string;
-  /** Whether the body ended in good order. */
+  /** Whether the body ended cleanly. */
   readonly ended: boolean;
-  /** Why the connection broke, such as ECONNREFUSED. */
+  /** Why the connection broke, such as `ECONNREFUSED`. */
   readonly cause: string | undefined;
 }
 
 /**
- * Sends one call and reads its answer to the end, or to where it breaks off.
+ * Sends one call and reads its answer until it ends or breaks off.
  *
- * @param call - what to send
- * @returns what came back; never rejects
+ * @param call - the request to send
+ * @returns the result; never rejects
  */
 export function sendExchange(call: ExchangeCall): Promise<ExchangeResult> {
   return new Promise((resolve) => {
@@ -61,39 +61,47 @@
     });
     request.on('response', (response) => readResponse(call, response, resolve));
     request.on('error', (error: NodeJS.ErrnoException) => {
-      resolve(buildBroken(error.code ?? error.name));
+      resolve(buildBrokenResult(error.code ?? error.name));
     });
     request.end(call.body);
   });
 }
 
-/** Called when an exchange is over. */
+/** Receives the result of an exchange. */
 type ExchangeDone = (result: ExchangeResult) => void;
 
 function readResponse(
   call: ExchangeCall,
   response: http.IncomingMessage,
-  done: ExchangeDone,
+  onDone: ExchangeDone,
 ): void {
   const status = response.statusCode ?? 0;
-  const isSuccess = status < HTTP_OK_END;
-  const scan = isSuccess
-    ? (call.scan ?? new AnswerScan(isEventStream(response.headers), call.mark))
+  const isSuccess = status < FIRST_NON_SUCCESS_STATUS;
+  const scanner = isSuccess
+    ? (call.scanner ?? new AnswerScanner(isEventStream(response.headers), call.mark))
     : undefined;
-  if (scan) call.onHead?.(response.headers, scan);
+  if (scanner) call.onHead?.(response.headers, scanner);
   let text = '';
   response.on('data', (chunk: Buffer) => {
-    if (scan && scan.bytes === 0) call.onFirstByte?.();
-    scan?.add(chunk);
-    if (!scan || !isEventStream(response.headers)) text += chunk.toString('latin1');
+    if (scanner && scanner.bytes === 0) call.onFirstByte?.();
+    scanner?.add(chunk);
+    if (!scanner || !isEventStream(response.headers)) text += chunk.toString('latin1');
   });
-  let finished = false;
-  const finish = (ended: boolean, cause?: string): void => {
-    if (finished) return;
-    finished = true;
-    if (ended) scan?.settle();
+  let isFinished = false;
+  const finish = (isBodyComplete: boolean, cause?: string): void => {
+    if (isFinished) return;
+    isFinished = true;
+    if (isBodyComplete) scanner?.finish();
     const error = isSuccess ? undefined : parseErrorBody(text);
-    done({ status, headers: response.headers, scan, error, text, ended, cause });
+    onDone({
+      status,
+      headers: response.headers,
+      scanner,
+      error,
+      text,
+      ended: isBodyComplete,
+      cause,
+    });
   };
   response.on('end', () => finish(response.complete));
   response.on('error', (error: NodeJS.ErrnoException) => finish(false, error.code ?? error.name));
@@ -104,11 +112,11 @@
   return (headers['content-type'] ?? '').startsWith('text/event-stream');
 }
 
-function buildBroken(cause: string): ExchangeResult {
+function buildBrokenResult(cause: string): ExchangeResult {
   return {
     status: 0,
     headers: {},
-    scan: undefined,
+    scanner: undefined,
     error: undefined,
     text: '',
     ended: false,
--- a/src/load/_journey.ts
+++ b/src/load/_request_progress.ts
@@ -1,39 +1,39 @@
 /**
- * One request of the load tool on its way from arrival to its end.
+ * Tracks one request of the load tool from its arrival to its outcome.
  *
  * @module
  */
 import { performance } from 'node:perf_hooks';
 import type { IncomingHttpHeaders } from 'node:http';
-import type { AnswerScan } from './_answer_scan.js';
+import type { AnswerScanner } from './_answer_scanner.js';
 import type { Arrival } from './arrivals.js';
 import type { ExchangeResult } from './_exchange.js';
 import { buildPrompt, deriveMark } from './_prompt.js';
 import { OutcomeKind } from './outcome.js';
 import type { RequestOutcome } from './outcome.js';
 
-/** What of a journey does not change. */
-export interface JourneyOptions {
+/** Options of {@link RequestProgress}. */
+export interface RequestProgressOptions {
   readonly arrival: Arrival;
-  /** When it arrived, on the monotonic clock, in milliseconds. */
+  /** Scheduled time of the arrival on the monotonic clock, in milliseconds. */
   readonly startedAtMs: number;
-  /** Aborted when the caller gives up. */
+  /** Aborted when the caller stops waiting. */
   readonly signal: AbortSignal;
-  /** Addresses to try, in order. */
+  /** Entry host URLs in the order of trial. */
   readonly urls: readonly string[];
-  /** Whether answers must bear their prompts' marks. */
+  /** Whether each token of an answer must carry the mark of its prompt. */
   readonly checksAnswers: boolean;
 }
 
-/** The state of one request on its way. */
-export class Journey {
+/** State of one request: its IDs, attempts and answer so far; builds its calls and its outcome. */
+export class RequestProgress {
   readonly arrival: Arrival;
 
   readonly signal: AbortSignal;
 
   readonly requestIds: string[] = [];
 
-  /** The ID to send under; undefined for a bare request. */
+  /** The ID to send under; undefined as long as none is known. */
   requestId: string | undefined;
 
   urls: readonly string[];
@@ -42,8 +42,8 @@
 
   resumptions = 0;
 
-  /** What has come of the answer, once its head was there. */
-  scan: AnswerScan | undefined;
+  /** Scanner of the answer; undefined until the head arrives. */
+  scanner: AnswerScanner | undefined;
 
   readonly #startedAtMs: number;
 
@@ -51,10 +51,10 @@
 
   readonly #mark: string | undefined;
 
-  #hints: Record<string, string> = {};
+  #resumeHints: Record<string, string> = {};
 
-  /** @param options - what does not change */
-  constructor(options: JourneyOptions) {
+  /** @param options - the request and the limits of its caller */
+  constructor(options: RequestProgressOptions) {
     this.arrival = options.arrival;
     this.signal = options.signal;
     this.urls = options.urls;
@@ -68,22 +68,22 @@
     return performance.now() - this.#startedAtMs;
   }
 
-  /** Notes the first byte of the answer, once. */
-  noteFirstByte(): void {
+  /** Records the time of the answer's first byte; later calls have no effect. */
+  recordFirstByte(): void {
     this.#firstByteMs ??= this.getElapsedMs();
   }
 
-  /** Counts one call for this request. */
-  noteAttempt(): void {
+  /** Counts one attempt, which may be a resumption. */
+  recordAttempt(): void {
     this.attempts += 1;
   }
 
   /** Counts one resumption of the answer. */
-  noteResumption(): void {
+  recordResumption(): void {
     this.resumptions += 1;
   }
 
-  /** @param id - the ID to send under. @param urls - the addresses that take it, in order */
+  /** @param id - the ID to send under. @param urls - entry host URLs in the order of trial */
   setAssignment(id: string, urls: readonly string[]): void {
     this.requestId = id;
     this.requestIds.push(id);
@@ -91,34 +91,39 @@
   }
 
   /**
-   * @param headers - head of the answer, with the ID and the hints for a resumption
-   * @param scan - looks through the answer's body
+   * Records the head of the answer.
+   *
+   * @param headers - headers with the request ID and the hints for a resumption
+   * @param scanner - scanner of the answer's body
    */
-  noteHead(headers: IncomingHttpHeaders, scan: AnswerScan): void {
-    this.scan = scan;
+  recordHead(headers: IncomingHttpHeaders, scanner: AnswerScanner): void {
+    this.scanner = scanner;
     const id = headers['request-id'];
     if (typeof id === 'string' && !this.requestIds.includes(id)) this.requestIds.push(id);
     if (typeof id === 'string') this.requestId = id;
     const backendServer = headers['backend-server'];
-    if (typeof backendServer === 'string') this.#hints.backendServer = backendServer;
+    if (typeof backendServer === 'string') this.#resumeHints.backendServer = backendServer;
     const streamId = headers['stream-id'];
-    if (typeof streamId === 'string') this.#hints.streamId = streamId;
+    if (typeof streamId === 'string') this.#resumeHints.streamId = streamId;
   }
 
-  /** Starts again under no ID: only for a bare request, which may be repeated. */
-  startOver(): void {
+  /** Discards the ID and the answer. Only for requests without an ID, which may run again. */
+  reset(): void {
     this.requestId = undefined;
-    this.scan = undefined;
-    this.#hints = {};
+    this.scanner = undefined;
+    this.#resumeHints = {};
   }
 
-  /** @returns path and query that take the answer up where it broke off */
+  /** @returns path and query that resume the answer where it broke off */
   buildResumePath(): string {
-    const query = new URLSearchParams({ offset: String(this.scan?.bytes ?? 0), ...this.#hints });
+    const query = new URLSearchParams({
+      offset: String(this.scanner?.bytes ?? 0),
+      ...this.#resumeHints,
+    });
     return `/v1/requests/${encodeURIComponent(this.requestId ?? '')}?${query.toString()}`;
   }
 
-  /** @returns path of the call itself */
+  /** @returns the path of the call */
   buildPath(): string {
     const { work } = this.arrival;
     return work.model === undefined
@@ -126,12 +131,12 @@
       : '/v1/chat/completions';
   }
 
-  /** @returns method of the call itself */
+  /** @returns the HTTP method of the call */
   getMethod(): string {
     return this.arrival.work.model === undefined ? this.arrival.work.method : 'POST';
   }
 
-  /** @returns body of the call; undefined for a method that carries none */
+  /** @returns the body of the call; undefined for a GET call */
   buildBody(): string | undefined {
     const { work } = this.arrival;
     if (work.model === undefined) {
@@ -141,42 +146,42 @@
       model: work.model,
       stream: work.stream,
       max_tokens: work.outputTokens[1],
-      // Read by the stand-in engines alone: no scheduler may know a length before it comes.
+      // Only stand-in engines read this: a scheduler can't know the output length in advance.
       metadata: { output_tokens: String(this.arrival.outputTokens) },
       messages: [{ role: 'user', content: buildPrompt(this.arrival) }],
     });
   }
 
-  /** @returns headers of the call itself */
+  /** @returns the headers of the call */
   buildHeaders(): Record<string, string> {
     const { work, account } = this.arrival;
-    const leftMs = Math.max(1, Math.floor(work.deadlineMs - this.getElapsedMs()));
+    const remainingMs = Math.max(1, Math.floor(work.deadlineMs - this.getElapsedMs()));
     return {
       authorization: `Bearer ${account.apiKey}`,
-      'request-deadline-ms': String(leftMs),
+      'request-deadline-ms': String(remainingMs),
       ...(work.workKind === undefined ? {} : { 'work-kind': work.workKind }),
       ...(this.requestId === undefined ? {} : { 'request-id': this.requestId }),
       ...(this.getMethod() === 'GET' ? {} : { 'content-type': 'application/json' }),
     };
   }
 
-  /** @returns what each token of the answer must name, where answers are checked */
+  /** @returns the mark that each token must carry; undefined when answers are not checked */
   getMark(): string | undefined {
     return this.#mark;
   }
 
-  /** @param url - who answered. @returns the outcome of an answer that came to its end */
-  buildAnswered(url: string): RequestOutcome {
-    const isOwn = this.scan?.isOwnAnswer(this.arrival.outputTokens) ?? true;
-    const kind = isOwn ? OutcomeKind.Answered : OutcomeKind.Wrong;
-    return this.#build({ kind, url, status: 200 });
+  /** @param url - entry host that answered. @returns the outcome of a complete answer */
+  buildAnsweredOutcome(url: string): RequestOutcome {
+    const isExpected = this.scanner?.isExpectedAnswer(this.arrival.outputTokens) ?? true;
+    const kind = isExpected ? OutcomeKind.Answered : OutcomeKind.Wrong;
+    return this.#buildOutcome({ kind, url, status: 200 });
   }
 
-  /** @param result - the refusal. @param url - who refused. @returns the outcome */
-  buildRefused(result: ExchangeResult, url: string): RequestOutcome {
-    const error = result.error ?? result.scan?.streamError;
+  /** @param result - the refusal. @param url - entry host that refused. @returns the outcome */
+  buildRefusedOutcome(result: ExchangeResult, url: string): RequestOutcome {
+    const error = result.error ?? result.scanner?.streamError;
     const { status } = result;
-    return this.#build({
+    return this.#buildOutcome({
       kind: OutcomeKind.Refused,
       url,
       status,
@@ -185,12 +190,12 @@
     });
   }
 
-  /** @param code - why nothing final came. @param url - who was tried last. @returns the outcome */
-  buildLost(code: string, url: string): RequestOutcome {
-    return this.#build({ kind: OutcomeKind.Lost, url, status: 0, code });
+  /** @param code - why it was lost. @param url - last entry host tried. @returns the outcome */
+  buildLostOutcome(code: string, url: string): RequestOutcome {
+    return this.#buildOutcome({ kind: OutcomeKind.Lost, url, status: 0, code });
   }
 
-  #build(end: {
+  #buildOutcome(end: {
     readonly kind: OutcomeKind;
     readonly url: string;
     readonly status: number;
@@ -207,7 +212,7 @@
       requestIds: this.requestIds,
       firstByteMs: this.#firstByteMs,
       totalMs: this.getElapsedMs(),
-      outputTokens: this.scan?.outputTokens ?? 0,
+      outputTokens: this.scanner?.outputTokens ?? 0,
       attempts: this.attempts,
       resumptions: this.resumptions,
     };
--- a/src/load/report/_svg.ts
+++ b/src/load/report/_svg.ts
@@ -1,5 +1,5 @@
 /**
- * Small plots as inline SVG.
+ * Formats line plots and bar charts as inline SVG.
  *
  * @module
  */
@@ -14,10 +14,10 @@
 const BAR_HEIGHT_PX = 16;
 const BAR_LABEL_PX = 220;
 
-/** Colours of the tiers, highest first; told apart by lightness too. */
+/** Colours of the tiers, highest tier first; they also differ in lightness. */
 export const TIER_COLOURS: readonly string[] = ['#b2182b', '#2166ac', '#7fbf7b'];
 
-/** One line of a plot. */
+/** One line of a line plot. */
 export interface PlotLine {
   readonly name: string;
   readonly colour: string;
@@ -25,20 +25,21 @@
   readonly isDashed: boolean;
 }
 
-/** One bar of a chart. */
+/** One bar of a bar chart. */
 export interface PlotBar {
   readonly label: string;
   readonly colour: string;
-  /** Part of the whole, from 0 to 1. */
+  /** Length of the bar as a fraction of the full width, from 0 to 1. */
   readonly share: number;
+  /** Text shown on the bar. */
   readonly text: string;
 }
 
 /**
- * Formats lines over time.
+ * Formats a line plot over time.
  *
- * @param title - what is plotted
- * @param lines - one value a second each
+ * @param title - title of the plot
+ * @param lines - lines with one value per second
  * @returns an SVG element
  */
 export function formatLines(title: string, lines: readonly PlotLine[]): string {
@@ -68,21 +69,21 @@
 }
 
 /**
- * Formats bars of shares.
+ * Formats a horizontal bar chart.
  *
- * @param title - what is shown
- * @param bars - the bars, from top to bottom
+ * @param title - title of the chart
+ * @param bars - bars from top to bottom
  * @returns an SVG element
  */
 export function formatBars(title: string, bars: readonly PlotBar[]): string {
-  const room = WIDTH_PX - BAR_LABEL_PX - RIGHT_PX;
+  const maxBarWidthPx = WIDTH_PX - BAR_LABEL_PX - RIGHT_PX;
   const rows = bars.map((bar, index) => {
     const y = TOP_PX + index * BAR_HEIGHT_PX;
-    const width = Math.max(0, Math.min(1, bar.share)) * room;
+    const width = Math.max(0, Math.min(1, bar.share)) * maxBarWidthPx;
     return (
-      `<text x="${BAR_LABEL_PX - 6}" y="${y + 11}" text-anchor="end">${formatEscaped(bar.label)}</text>` +
+      `<text x="${BAR_LABEL_PX - 6}" y="${y + 11}" text-anchor="end">${escapeMarkup(bar.label)}</text>` +
       `<rect x="${BAR_LABEL_PX}" y="${y + 2}" width="${width.toFixed(1)}" height="${BAR_HEIGHT_PX - 4}" fill="${bar.colour}"/>` +
-      `<text x="${BAR_LABEL_PX + 6}" y="${y + 11}">${formatEscaped(bar.text)}</text>`
+      `<text x="${BAR_LABEL_PX + 6}" y="${y + 11}">${escapeMarkup(bar.text)}</text>`
     );
   });
   return formatSvg(title, TOP_PX * 2 + bars.length * BAR_HEIGHT_PX, rows);
@@ -92,9 +93,9 @@
  * Escapes text for HTML and SVG.
  *
  * @param text - any text
- * @returns the text without markup
+ * @returns the text with its markup characters escaped
  */
-export function formatEscaped(text: string): string {
+export function escapeMarkup(text: string): string {
   return text
     .replaceAll('&', '&amp;')
     .replaceAll('<', '&lt;')
@@ -105,6 +106,6 @@
 function formatSvg(title: string, heightPx: number, parts: readonly string[]): string {
   return (
     `<svg viewBox="0 0 ${WIDTH_PX} ${heightPx}" width="${WIDTH_PX}" role="img" font-size="11">` +
-    `<title>${formatEscaped(title)}</title>${parts.join('')}</svg>`
+    `<title>${escapeMarkup(title)}</title>${parts.join('')}</svg>`
   );
 }
--- a/src/load/report/html_report.ts
+++ b/src/load/report/html_report.ts
@@ -1,11 +1,11 @@
 /**
- * Load reports as one self-contained HTML page without scripts.
+ * Formats load reports as one self-contained HTML page without scripts.
  *
  * @module
  */
 import type { LoadReport } from '../load_report.js';
 import type { TierSummary } from '../tally.js';
-import { formatBars, formatEscaped, formatLines, TIER_COLOURS } from './_svg.js';
+import { formatBars, escapeMarkup, formatLines, TIER_COLOURS } from './_svg.js';
 import type { PlotBar } from './_svg.js';
 import { formatText } from './text_report.js';
 
@@ -22,21 +22,21 @@
 }
 
 /**
- * Formats reports: bars of goodput for all cases, then each case over time.
+ * Formats a page with a goodput chart of all reports, followed by a plot over time for each.
  *
- * @param reports - the figures
- * @param options - the page's title
- * @returns the page
+ * @param reports - the reports of load runs
+ * @param options - title of the page
+ * @returns the HTML page
  */
 export function formatHtml(reports: readonly LoadReport[], options: HtmlReportOptions): string {
-  const title = formatEscaped(options.title);
+  const title = escapeMarkup(options.title);
   return [
     '<!doctype html>',
     `<html lang="en"><head><meta charset="utf-8"><title>${title}</title><style>${STYLE}</style></head>`,
     `<body><h1>${title}</h1>`,
-    '<p>Goodput: whole answers within their deadline. Dashed: offered.</p>',
+    '<p>Goodput: complete answers within their deadline. Dashed: offered.</p>',
     formatBars('Goodput by tier and case', reports.flatMap(listBars)),
-    ...reports.map(formatCase),
+    ...reports.map(formatReportSection),
     '</body></html>',
     '',
   ].join('\n');
@@ -53,7 +53,7 @@
     }));
 }
 
-function formatCase(report: LoadReport): string {
+function formatReportSection(report: LoadReport): string {
   const lines = report.tiers.flatMap((tier) => {
     const colour = pickColour(report, tier);
     return [
@@ -75,10 +75,10 @@
     .map((tier) => `<span style="color:${pickColour(report, tier)}">■ ${tier.tier}</span>`)
     .join(' ');
   return [
-    `<h2>${formatEscaped(report.name)}</h2>`,
-    `<p>Requests a second by second of arrival. ${legend}</p>`,
+    `<h2>${escapeMarkup(report.name)}</h2>`,
+    `<p>Requests per second, by second of arrival. ${legend}</p>`,
     formatLines(`${report.name}: goodput by tier over time`, lines),
-    `<pre>${formatEscaped(formatText(report))}</pre>`,
+    `<pre>${escapeMarkup(formatText(report))}</pre>`,
   ].join('\n');
 }
 
--- a/src/load/run_load.ts
+++ b/src/load/run_load.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a plan: offers each request at its time, whatever became of the others.
+ * Runs a load plan as an open loop: requests start on schedule regardless of earlier outcomes.
  *
  * @module
  */
@@ -12,37 +12,37 @@
 import type { RequestOutcome } from './outcome.js';
 import type { LoadPlan } from './plan.js';
 
-/** Longest sleep between two looks at the arrivals, in milliseconds. */
+/** Sleep between two checks for due arrivals, in milliseconds. */
 const TICK_MS = 5;
 
 /** Options of {@link runLoad}. */
 export interface RunLoadOptions {
-  /** Callers' base URLs of the entry hosts. */
+  /** Base URLs of the entry hosts' listeners for callers. */
   readonly urls: readonly string[];
   readonly seed: number;
-  /** Called after each end of a request. */
+  /** Called with the outcome of each request as it ends. */
   readonly onOutcome?: (outcome: RequestOutcome) => void;
 }
 
-/** What a run gave. */
+/** Result of {@link runLoad}. */
 export interface LoadRun {
   readonly seed: number;
   /** Wall-clock time of the start, in milliseconds since the Unix epoch. */
   readonly startedWallMs: number;
-  /** From the start until the last request had ended, in milliseconds. */
+  /** Time from the start until the last request ended, in milliseconds. */
   readonly elapsedMs: number;
-  /** Longest that an arrival was offered after its time, in milliseconds: the tool's own lag. */
+  /** Longest delay between an arrival's scheduled time and its start, in milliseconds. */
   readonly worstLagMs: number;
   readonly outcomes: readonly RequestOutcome[];
 }
 
 /**
- * Runs a plan to its end. Times count from the moment that a request was due,
- * so a tool that falls behind makes answers look slower, never faster.
+ * Runs a plan to its end. Times count from the scheduled arrival of a request, so a load tool that
+ * falls behind makes answers look slower, never faster.
  *
- * @param plan - what to offer
- * @param options - where, and with which seed
- * @returns each request's outcome
+ * @param plan - the load plan
+ * @param options - entry hosts, seed and callback
+ * @returns the outcomes of all requests and the times of the run
  */
 export async function runLoad(plan: LoadPlan, options: RunLoadOptions): Promise<LoadRun> {
   const arrivals = listArrivals(plan, new LoadRandom(options.seed));
@@ -52,15 +52,17 @@
   const startMs = performance.now();
   const pending: Promise<RequestOutcome>[] = [];
   let worstLagMs = 0;
-  let next = 0;
-  while (next < arrivals.length) {
+  let nextIndex = 0;
+  while (nextIndex < arrivals.length) {
     const elapsedMs = performance.now() - startMs;
-    while (next < arrivals.length && (arrivals[next] as Arrival).atMs <= elapsedMs) {
-      const arrival = arrivals[next] as Arrival;
+    while (nextIndex < arrivals.length && (arrivals[nextIndex] as Arrival).atMs <= elapsedMs) {
+      const arrival = arrivals[nextIndex] as Arrival;
       worstLagMs = Math.max(worstLagMs, elapsedMs - arrival.atMs);
       const client = clients.get(buildClientKey(arrival.account.id, arrival.caller)) as LoadClient;
-      pending.push(client.run(arrival, startMs + arrival.atMs).then(noteOutcome(options)));
-      next += 1;
+      pending.push(
+        client.run(arrival, startMs + arrival.atMs).then(createOutcomeReporter(options)),
+      );
+      nextIndex += 1;
     }
     await waitMs(TICK_MS);
   }
@@ -86,7 +88,7 @@
     for (let caller = 0; caller < plan.callersPerAccount; caller += 1) {
       clients.set(
         buildClientKey(account.id, caller),
-        new LoadClient({ urls, firstUrl: clients.size, agent, graceMs, checksAnswers }),
+        new LoadClient({ urls, firstUrlIndex: clients.size, agent, graceMs, checksAnswers }),
       );
     }
   });
@@ -97,7 +99,9 @@
   return `${accountId}/${caller}`;
 }
 
-function noteOutcome(options: RunLoadOptions): (outcome: RequestOutcome) => RequestOutcome {
+function createOutcomeReporter(
+  options: RunLoadOptions,
+): (outcome: RequestOutcome) => RequestOutcome {
   return (outcome) => {
     options.onOutcome?.(outcome);
     return outcome;
--- a/src/load/tally.ts
+++ b/src/load/tally.ts
@@ -1,5 +1,5 @@
 /**
- * Counts outcomes by tier.
+ * Summarizes request outcomes by tier.
  *
  * @module
  */
@@ -10,11 +10,12 @@
 import { isInDeadline, OutcomeKind } from './outcome.js';
 import type { RequestOutcome } from './outcome.js';
 
-const HIGHEST_MS = 3_600_000;
+/** Longest time that a histogram stores; longer times are recorded as this one. */
+const MAX_TRACKED_MS = 3_600_000;
 const SIGNIFICANT_DIGITS = 3;
 const MS_PER_SECOND = 1000;
 
-/** Percentiles of one histogram, in milliseconds. */
+/** Count, percentiles and maximum of a histogram; times in milliseconds. */
 export interface LatencySummary {
   readonly count: number;
   readonly p50: number;
@@ -23,37 +24,39 @@
   readonly max: number;
 }
 
-/** Offered requests and those answered in time, by second of their arrival. */
+/** Requests that arrived in one second of the run, and how many were answered in time. */
 export interface TimelinePoint {
   readonly second: number;
   readonly offered: number;
   readonly inDeadline: number;
 }
 
-/** What became of one tier's requests. */
+/** Outcomes of one tier's requests. */
 export interface TierSummary {
   readonly tier: string;
+  /** Number of requests sent. */
   readonly offered: number;
-  /** Whole answers within the deadline: the goodput. */
+  /** Number of complete answers within the deadline: the goodput. */
   readonly inDeadline: number;
+  /** Number of complete answers after the deadline. */
   readonly late: number;
   readonly refused: number;
   readonly refusedByCode: Readonly<Record<string, number>>;
-  /** Answers that were another's, or torn; counted where answers are checked. */
+  /** Number of answers that belong to another request or lack tokens, if answers are checked. */
   readonly wrong: number;
   readonly lost: number;
   readonly lostByCode: Readonly<Record<string, number>>;
   readonly resumptions: number;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Output tokens of answers within the deadline. */
+  /** Number of output tokens in answers within the deadline. */
   readonly goodOutputTokens: number;
   readonly firstByteMs: LatencySummary;
   readonly totalMs: LatencySummary;
   readonly timeline: readonly TimelinePoint[];
 }
 
-/** Running counts of one tier. */
+/** Accumulated counts of one tier. */
 interface TierCounts {
   offered: number;
   inDeadline: number;
@@ -71,11 +74,11 @@
   readonly timeline: { offered: number; inDeadline: number }[];
 }
 
-/** Counts outcomes as they come. */
+/** Accumulates request outcomes by tier. */
 export class LoadTally {
   readonly #tiers = new Map<Tier, TierCounts>(TIERS.map((tier) => [tier, createCounts()]));
 
-  /** @param outcome - what became of one request */
+  /** @param outcome - outcome of one request */
   record(outcome: RequestOutcome): void {
     const counts = this.#tiers.get(outcome.arrival.tier) as TierCounts;
     counts.offered += 1;
@@ -84,11 +87,11 @@
     counts.resumptions += outcome.resumptions;
     if (outcome.firstByteMs !== undefined) recordMs(counts.firstByte, outcome.firstByteMs);
     if (outcome.kind === OutcomeKind.Answered) recordMs(counts.total, outcome.totalMs);
-    recordEnd(counts, outcome);
-    recordSecond(counts, outcome);
+    countOutcome(counts, outcome);
+    countInTimeline(counts, outcome);
   }
 
-  /** @returns one summary a tier, highest first */
+  /** @returns one summary for each tier, highest tier first */
   listTiers(): readonly TierSummary[] {
     return TIERS.map((tier) => buildSummary(tier, this.#tiers.get(tier) as TierCounts));
   }
@@ -114,34 +117,34 @@
 }
 
 /**
- * Creates a histogram for times in microseconds.
+ * Creates a histogram that stores times in microseconds.
  *
  * @returns an empty histogram
  */
 export function createHistogram(): Histogram {
   return build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HIGHEST_MS * MS_PER_SECOND,
+    highestTrackableValue: MAX_TRACKED_MS * MS_PER_SECOND,
     numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
   });
 }
 
 /**
- * Records a time.
+ * Records a time in a histogram.
  *
  * @param histogram - from {@link createHistogram}
  * @param valueMs - the time in milliseconds
  */
 export function recordMs(histogram: Histogram, valueMs: number): void {
-  const microseconds = Math.round(Math.min(HIGHEST_MS, Math.max(0, valueMs)) * MS_PER_SECOND);
+  const microseconds = Math.round(Math.min(MAX_TRACKED_MS, Math.max(0, valueMs)) * MS_PER_SECOND);
   histogram.recordValue(microseconds);
 }
 
 /**
- * Reads the usual percentiles.
+ * Summarizes the times in a histogram.
  *
  * @param histogram - from {@link createHistogram}
- * @returns percentiles in milliseconds
+ * @returns count, percentiles and maximum, in milliseconds
  */
 export function readLatency(histogram: Histogram): LatencySummary {
   const read = (percentile: number): number =>
@@ -156,12 +159,12 @@
 }
 
 /* eslint-disable no-param-reassign -- the counts are a private accumulator */
-function recordEnd(counts: TierCounts, outcome: RequestOutcome): void {
+function countOutcome(counts: TierCounts, outcome: RequestOutcome): void {
   if (outcome.kind === OutcomeKind.Refused) {
-    addOne(counts.refusedByCode, outcome.code ?? 'unreadable');
+    incrementCount(counts.refusedByCode, outcome.code ?? 'unreadable');
   } else if (outcome.kind === OutcomeKind.Lost) {
     counts.lost += 1;
-    addOne(counts.lostByCode, outcome.code ?? 'unknown');
+    incrementCount(counts.lostByCode, outcome.code ?? 'unknown');
   } else if (outcome.kind === OutcomeKind.Wrong) {
     counts.wrong += 1;
   } else if (isInDeadline(outcome)) {
@@ -172,7 +175,7 @@
   }
 }
 
-function recordSecond(counts: TierCounts, outcome: RequestOutcome): void {
+function countInTimeline(counts: TierCounts, outcome: RequestOutcome): void {
   const second = Math.floor(outcome.arrival.atMs / MS_PER_SECOND);
   while (counts.timeline.length <= second) counts.timeline.push({ offered: 0, inDeadline: 0 });
   const point = counts.timeline[second] as { offered: number; inDeadline: number };
@@ -180,7 +183,7 @@
   if (isInDeadline(outcome)) point.inDeadline += 1;
 }
 
-function addOne(counts: Record<string, number>, key: string): void {
+function incrementCount(counts: Record<string, number>, key: string): void {
   counts[key] = (counts[key] ?? 0) + 1;
 }
 /* eslint-enable no-param-reassign */
