--- a/soak/ask.ts
+++ b/soak/ask.ts
@@ -1,37 +1,40 @@
 /**
- * Questions to an entry host that may be gone or paused.
+ * Queries to an entry host that may be down or paused.
  *
  * @module
  */
 import { exchange } from '../platform/test/fleet.js';
 
-/** Time that a host has to answer, in milliseconds: a paused one takes connections and is silent. */
-const ANSWER_LIMIT_MS = 1_000;
+/**
+ * Response timeout in milliseconds. A paused host still accepts connections but never responds, so
+ * a query needs a limit of its own.
+ */
+const RESPONSE_TIMEOUT_MS = 1_000;
 
-const OK = 200;
+const HTTP_OK = 200;
 
-/** An answer; status 0 where none came. */
-export interface HostAnswer {
+/** A response to a query; the status is 0 if none arrived in time. */
+export interface HostResponse {
   readonly status: number;
   readonly body: string;
 }
 
-/** Asks one question on a connection of its own. */
-export function ask(address: string, target: string): Promise<HostAnswer> {
-  const late = new Promise<HostAnswer>((resolve) => {
-    setTimeout(() => resolve({ status: 0, body: '' }), ANSWER_LIMIT_MS).unref();
+/** Sends one query over a new connection. */
+export function queryHost(address: string, target: string): Promise<HostResponse> {
+  const timeout = new Promise<HostResponse>((resolve) => {
+    setTimeout(() => resolve({ status: 0, body: '' }), RESPONSE_TIMEOUT_MS).unref();
   });
-  return Promise.race([exchange(address, target, {}), late]);
+  return Promise.race([exchange(address, target, {}), timeout]);
 }
 
-/** Asks whether a host serves callers. */
-export async function askReady(readiness: string): Promise<boolean> {
-  return (await ask(readiness, '/api/readyz')).status === OK;
+/** Queries whether a host is ready to serve callers. */
+export async function queryReady(readiness: string): Promise<boolean> {
+  return (await queryHost(readiness, '/api/readyz')).status === HTTP_OK;
 }
 
-/** Asks which addresses callers are to use; none where the host knows none. */
-export async function askAddresses(addressBook: string): Promise<readonly string[]> {
+/** Queries the addresses that callers should use; empty if the host has none to offer. */
+export async function queryAddresses(addressBook: string): Promise<readonly string[]> {
   const query = '/api/resolve?name=api.example&region=r&zone=z';
-  const { status, body } = await ask(addressBook, query);
-  return status === OK ? (JSON.parse(body) as { addresses: string[] }).addresses : [];
+  const { status, body } = await queryHost(addressBook, query);
+  return status === HTTP_OK ? (JSON.parse(body) as { addresses: string[] }).addresses : [];
 }
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -1,17 +1,17 @@
 /**
- * Callers of one run: they ask which addresses to use, keep connections until the
- * process at the other end is gone, and remember what they were answered.
+ * Simulated callers of one soak run. They look up entry host addresses, reuse connections until
+ * the peer process closes them, and record every response.
  *
  * @module
  */
 import { Agent, request } from 'node:http';
 import { SeededRandom } from '../test/support/fakes.js';
 import { TEST_KEY } from '../platform/test/documents.js';
-import { askAddresses } from './ask.js';
+import { queryAddresses } from './ask.js';
 import { REVOCABLE_KEY } from './soak_fleet.js';
 import type { SoakFleet } from './soak_fleet.js';
 
-/** Kinds of calls, by the start of their path. */
+/** Kinds of calls, identified by their path prefix. */
 export enum CallKind {
   Read = '/read/',
   Write = '/write/',
@@ -19,7 +19,7 @@
   Once = '/stream/once/',
 }
 
-/** One call as its caller saw it. */
+/** One call as observed by its caller. */
 export interface SoakCall {
   readonly id: string;
   readonly kind: CallKind;
@@ -27,38 +27,39 @@
   readonly key: string;
   readonly address: string;
   readonly sentAtMs: number;
-  /** When it ended; infinite while it lasts. */
+  /** When the call ended; `Infinity` while it is in flight. */
   endedAtMs: number;
-  /** 0 where no answer began. */
+  /** HTTP status; 0 if no response head arrived. */
   status: number;
-  /** Whether the answer ended as answers end. */
+  /** Whether the response body was received completely. */
   isWhole: boolean;
-  /** Whether the caller left before the end. */
+  /** Whether the caller disconnected before the call ended. */
   hasLeft: boolean;
+  /** Whether the response carried the `Response-Seal` header. */
   hasSeal: boolean;
   body: string;
 }
 
 /** Mean time between two calls of one caller, in milliseconds. */
-const MEAN_PAUSE_MS = 60;
+const MEAN_INTERVAL_MS = 60;
 
-/** How long addresses are kept, in milliseconds. */
-const ADDRESS_LIFE_MS = 2_000;
+/** Time in milliseconds after which a caller refreshes its list of addresses. */
+const ADDRESS_REFRESH_MS = 2_000;
 
-/** Time for which an address that failed is left out, in milliseconds. */
+/** Time in milliseconds for which a caller avoids an address after a connection error. */
 const AVOID_MS = 2_000;
 
-/** Time that a call may take, in milliseconds. */
+/** Deadline of each call in milliseconds, sent as `Deadline-Ms`. */
 const DEADLINE_MS = 2_000;
 
-/** Time after its deadline at which a caller gives a connection up, in milliseconds. */
-const PATIENCE_MS = 1_500;
+/** Time in milliseconds past the deadline after which a caller closes the connection. */
+const TIMEOUT_GRACE_MS = 1_500;
 
-/** Calls whose callers leave early, and calls with the key that is taken away. */
-const LEAVING_PART = 0.05;
-const REVOCABLE_PART = 0.2;
+/** Fraction of calls whose caller disconnects early, and fraction that use the revocable key. */
+const DISCONNECT_FRACTION = 0.05;
+const REVOCABLE_FRACTION = 0.2;
 
-/** One caller. */
+/** A caller that sends calls at random intervals until it is stopped. */
 export class SoakCaller {
   readonly calls: SoakCall[] = [];
 
@@ -74,7 +75,7 @@
 
   #addresses: readonly string[] = [];
 
-  #renewAtMs = 0;
+  #refreshAtMs = 0;
 
   #isRunning = true;
 
@@ -84,14 +85,14 @@
     this.#random = new SeededRandom(seed);
   }
 
-  /** Calls until it is stopped. */
+  /** Sends calls until {@link stop} is called. */
   async run(): Promise<void> {
     while (this.#isRunning) {
-      const pauseMs = -Math.log(1 - this.#random.nextFraction()) * MEAN_PAUSE_MS;
+      const intervalMs = -Math.log(1 - this.#random.nextFraction()) * MEAN_INTERVAL_MS;
       await new Promise((resolve) => {
-        setTimeout(resolve, pauseMs);
+        setTimeout(resolve, intervalMs);
       });
-      if (performance.now() > this.#renewAtMs) await this.#renew();
+      if (performance.now() > this.#refreshAtMs) await this.#refreshAddresses();
       const address = this.#pickAddress();
       if (address !== undefined && this.#isRunning) this.#call(address);
     }
@@ -101,18 +102,18 @@
     this.#isRunning = false;
   }
 
-  /** Ends its connections. */
+  /** Closes all connections. */
   close(): void {
     this.#agent.destroy();
   }
 
-  async #renew(): Promise<void> {
+  async #refreshAddresses(): Promise<void> {
     const hosts = this.#fleet.hosts.map(({ settings }) => settings.addressBookAddress);
     const first = Math.floor(this.#random.nextFraction() * hosts.length);
-    this.#renewAtMs = performance.now() + ADDRESS_LIFE_MS;
+    this.#refreshAtMs = performance.now() + ADDRESS_REFRESH_MS;
     for (let index = 0; index < Math.min(3, hosts.length); index += 1) {
       const asked = hosts[(first + index) % hosts.length] as string;
-      const answer = await askAddresses(asked);
+      const answer = await queryAddresses(asked);
       if (answer.length > 0) {
         this.#addresses = answer;
         return;
@@ -132,7 +133,7 @@
     const kinds = Object.values(CallKind);
     const kind = kinds[Math.floor(this.#random.nextFraction() * kinds.length)] as CallKind;
     const id = `${this.#name}-${this.calls.length}`;
-    const isRevocable = this.#random.nextFraction() < REVOCABLE_PART;
+    const isRevocable = this.#random.nextFraction() < REVOCABLE_FRACTION;
     const call: SoakCall = {
       id,
       kind,
@@ -166,22 +167,22 @@
         Authorization: `Bearer ${call.key}`,
       },
     });
-    const patience = setTimeout(() => sent.destroy(), DEADLINE_MS + PATIENCE_MS);
-    const leaving = this.#random.nextFraction() < LEAVING_PART;
-    const leaveMs = this.#random.nextFraction() * 100;
-    const leave = setTimeout(() => {
-      if (!leaving || call.endedAtMs !== Infinity) return;
+    const timeout = setTimeout(() => sent.destroy(), DEADLINE_MS + TIMEOUT_GRACE_MS);
+    const mayDisconnect = this.#random.nextFraction() < DISCONNECT_FRACTION;
+    const disconnectMs = this.#random.nextFraction() * 100;
+    const disconnectTimer = setTimeout(() => {
+      if (!mayDisconnect || call.endedAtMs !== Infinity) return;
       Object.assign(call, { hasLeft: true });
       sent.destroy();
-    }, leaveMs);
-    const end = (): void => {
-      clearTimeout(patience);
-      clearTimeout(leave);
+    }, disconnectMs);
+    const settle = (): void => {
+      clearTimeout(timeout);
+      clearTimeout(disconnectTimer);
       if (call.endedAtMs === Infinity) Object.assign(call, { endedAtMs: performance.now() });
     };
     sent.on('error', () => {
       this.#avoidedUntilMs.set(call.address, performance.now() + AVOID_MS);
-      end();
+      settle();
     });
     sent.on('response', (response) => {
       Object.assign(call, {
@@ -190,11 +191,11 @@
       });
       response.setEncoding('utf8');
       response.on('data', (text: string) => Object.assign(call, { body: call.body + text }));
-      response.on('error', end);
-      response.on('close', end);
+      response.on('error', settle);
+      response.on('close', settle);
       response.on('end', () => {
         Object.assign(call, { isWhole: response.complete });
-        end();
+        settle();
       });
     });
     sent.end();
--- a/soak/checks_test.ts
+++ b/soak/checks_test.ts
@@ -3,7 +3,7 @@
 import { TEST_KEY } from '../platform/test/documents.js';
 import { CallKind } from './callers.js';
 import type { SoakCall } from './callers.js';
-import { listBroken } from './checks.js';
+import { listViolations } from './checks.js';
 import type { SoakRecord } from './checks.js';
 import { FaultKind } from './plan.js';
 import { REVOCABLE_KEY, STREAM_EVENTS } from './soak_fleet.js';
@@ -49,7 +49,7 @@
     disturbances: [],
     ...changes,
   };
-  return listBroken(record).join('\n');
+  return listViolations(record).join('\n');
 }
 
 function buildEvents(ids: readonly number[]): string {
@@ -58,52 +58,75 @@
 
 const ALL_IDS = Array.from({ length: STREAM_EVENTS }, (_, index) => index + 1);
 
-t.test('a run without faults breaks no promise', async (t) => {
+t.test('a run without faults violates no guarantee', async (t) => {
   t.equal(check({}), '');
 });
 
-const BROKEN: readonly [name: string, record: Partial<SoakRecord>, line: RegExp][] = [
+const VIOLATIONS: readonly [name: string, record: Partial<SoakRecord>, line: RegExp][] = [
   ['a request that ran twice', { runs: [buildRun(), buildRun()] }, /ran 2 times/],
-  ['a refusal of what ran', { calls: [buildCall({ status: 503 })] }, /answered 503 and ran/],
-  ['a denial', { calls: [buildCall({ status: 404 })], runs: [] }, /denied with 404/],
-  ['another request’s answer', { calls: [buildCall({ body: 'answer of b' })] }, /wrong body/],
+  [
+    'a refusal of a request that ran',
+    { calls: [buildCall({ status: 503 })] },
+    /answered 503 and ran/,
+  ],
+  [
+    'a valid request that is rejected',
+    { calls: [buildCall({ status: 404 })], runs: [] },
+    /denied with 404/,
+  ],
+  [
+    'the response of another request',
+    { calls: [buildCall({ body: 'answer of b' })] },
+    /wrong body/,
+  ],
   ['a success without its seal', { calls: [buildCall({ hasSeal: false })] }, /without its seal/],
-  ['another target', { runs: [buildRun({ target: '/write/b' })] }, /another target/],
+  ['a run with another target', { runs: [buildRun({ target: '/write/b' })] }, /another target/],
   [
-    'a key that was passed on',
+    'an API key that was passed on',
     { runs: [buildRun({ headers: { 'tenant-id': 'firm-a', authorization: 'x' } })] },
     /passed on/,
   ],
-  ['another account', { runs: [buildRun({ headers: { 'tenant-id': 'b' } })] }, /another account/],
-  ['a run of nobody’s', { runs: [buildRun(), buildRun({ requestId: 'z' })] }, /nobody sent/],
-  ['a process that ended', { ownEnds: ['entry-1: 1'] }, /ended by itself/],
   [
-    'a key that was taken away',
+    'a run for another account',
+    { runs: [buildRun({ headers: { 'tenant-id': 'b' } })] },
+    /another account/,
+  ],
+  [
+    'a run that no caller requested',
+    { runs: [buildRun(), buildRun({ requestId: 'z' })] },
+    /nobody sent/,
+  ],
+  ['a process that ended by itself', { ownEnds: ['entry-1: 1'] }, /ended by itself/],
+  [
+    'a run with a revoked key',
     { calls: [buildCall({ key: REVOCABLE_KEY })], revokedAtMs: 4_000 },
     /taken away/,
   ],
-  ['a replica that has left', { leftAtMs: new Map([['i-1', 6_000]]) }, /had left/],
+  ['a run on a draining replica', { leftAtMs: new Map([['i-1', 6_000]]) }, /had left/],
 ];
 
-BROKEN.forEach(([name, record, line]) => {
-  t.test(`the checks see ${name}`, async (t) => {
+VIOLATIONS.forEach(([name, record, line]) => {
+  t.test(`listViolations() reports ${name}`, async (t) => {
     t.match(check(record), line);
   });
 });
 
-t.test('the checks see events that are missing, doubled or too few', async (t) => {
-  const kind = CallKind.Stream;
-  const runs = [buildRun({ target: '/stream/a' })];
-  const checkBody = (body: string): string =>
-    check({ calls: [buildCall({ kind, target: '/stream/a', body })], runs });
-  t.equal(checkBody(buildEvents(ALL_IDS)), '');
-  t.match(checkBody(buildEvents([1, 3])), /out of order/);
-  t.match(checkBody(buildEvents([1, 1, 2])), /out of order/);
-  t.match(checkBody(buildEvents([1, 2])), /complete with 2/);
-});
+t.test(
+  'listViolations() reports stream events that are missing, duplicated or too few',
+  async (t) => {
+    const kind = CallKind.Stream;
+    const runs = [buildRun({ target: '/stream/a' })];
+    const checkBody = (body: string): string =>
+      check({ calls: [buildCall({ kind, target: '/stream/a', body })], runs });
+    t.equal(checkBody(buildEvents(ALL_IDS)), '');
+    t.match(checkBody(buildEvents([1, 3])), /out of order/);
+    t.match(checkBody(buildEvents([1, 1, 2])), /out of order/);
+    t.match(checkBody(buildEvents([1, 2])), /complete with 2/);
+  },
+);
 
 t.test(
-  'the checks see a call that a planned stop has cut, and excuse none but disturbed ones',
+  'listViolations() reports a call cut by a planned stop unless another fault overlaps',
   async (t) => {
     const calls = [buildCall({ status: 0, isWhole: false, endedAtMs: 10_400 })];
     const stop = {
--- a/soak/fault_table.ts
+++ b/soak/fault_table.ts
@@ -1,5 +1,5 @@
 /**
- * How each kind of fault is brought about, and ended.
+ * Injects each kind of fault and reverts it.
  *
  * @module
  */
@@ -10,10 +10,10 @@
 import type { PlannedFault } from './plan.js';
 import type { SoakFleet, SoakHost, SoakReplica } from './soak_fleet.js';
 
-/** Ends a fault; undefined where it was a moment's. */
-type Undo = (() => void) | undefined;
+/** Reverts a fault; undefined if the fault is instantaneous. */
+type Revert = (() => void) | undefined;
 
-type Begin = (fleet: SoakFleet, index: number) => Undo;
+type InjectFault = (fleet: SoakFleet, index: number) => Revert;
 
 function getHost(fleet: SoakFleet, index: number): SoakHost {
   return fleet.hosts[index % fleet.hosts.length] as SoakHost;
@@ -23,13 +23,16 @@
   return fleet.replicas[index % fleet.replicas.length] as SoakReplica;
 }
 
-/** Overlapping faults of one link: the last one wins, and the first end ends it. */
-function setLink(proxy: CutProxy, fault: LinkFault): Undo {
+/**
+ * Sets the fault of a link. If faults of one link overlap, the latest replaces the earlier, and the
+ * first to end clears the link.
+ */
+function setLinkFault(proxy: CutProxy, fault: LinkFault): Revert {
   proxy.setFault(fault);
   return () => proxy.setFault(LinkFault.None);
 }
 
-function setStore(fleet: SoakFleet, fault: StoreFault): Undo {
+function setStoreFault(fleet: SoakFleet, fault: StoreFault): Revert {
   const { store } = fleet.fleet;
   store.fault = fault;
   return () => {
@@ -37,83 +40,88 @@
   };
 }
 
-function pause(host: SoakHost): Undo {
+function pauseHost(host: SoakHost): Revert {
   const { process } = host.entry;
   process.kill('SIGSTOP');
   return () => process.kill('SIGCONT');
 }
 
-function setReplica(
+function setReplicaFault(
   { replica }: SoakReplica,
   changes: Partial<Pick<SoakReplica['replica'], 'isMute' | 'losesAnswers' | 'refuseWith'>>,
-): Undo {
+): Revert {
   Object.assign(replica, changes);
   return () => {
     Object.assign(replica, { isMute: false, losesAnswers: false, refuseWith: undefined });
   };
 }
 
-/** A moment's fault has no end. */
-function act(run: (fleet: SoakFleet, index: number) => void): Begin {
+/** Wraps an instantaneous fault, which needs no reverting. */
+function runOnce(run: (fleet: SoakFleet, index: number) => void): InjectFault {
   return (fleet, index) => {
     run(fleet, index);
     return undefined;
   };
 }
 
-const BEGINNINGS: Readonly<Record<FaultKind, Begin>> = {
-  [FaultKind.HostKilled]: act((fleet, index) => fleet.endHost(getHost(fleet, index), 'SIGKILL')),
-  [FaultKind.HostPaused]: (fleet, index) => pause(getHost(fleet, index)),
-  [FaultKind.HostStopped]: act((fleet, index) => fleet.endHost(getHost(fleet, index), 'SIGTERM')),
-  [FaultKind.HostReloaded]: act((fleet, index) =>
+const FAULT_INJECTORS: Readonly<Record<FaultKind, InjectFault>> = {
+  [FaultKind.HostKilled]: runOnce((fleet, index) =>
+    fleet.endHost(getHost(fleet, index), 'SIGKILL'),
+  ),
+  [FaultKind.HostPaused]: (fleet, index) => pauseHost(getHost(fleet, index)),
+  [FaultKind.HostStopped]: runOnce((fleet, index) =>
+    fleet.endHost(getHost(fleet, index), 'SIGTERM'),
+  ),
+  [FaultKind.HostReloaded]: runOnce((fleet, index) =>
     getHost(fleet, index).entry.process.kill('SIGHUP'),
   ),
-  [FaultKind.AllKilled]: act((fleet) =>
+  [FaultKind.AllKilled]: runOnce((fleet) =>
     fleet.hosts.forEach((host) => fleet.endHost(host, 'SIGKILL')),
   ),
   [FaultKind.PeerLinkCut]: (fleet, index) =>
-    setLink(getHost(fleet, index).peerProxy, LinkFault.Cut),
+    setLinkFault(getHost(fleet, index).peerProxy, LinkFault.Cut),
   [FaultKind.PeerLinkSilent]: (fleet, index) =>
-    setLink(getHost(fleet, index).peerProxy, LinkFault.Silent),
+    setLinkFault(getHost(fleet, index).peerProxy, LinkFault.Silent),
   [FaultKind.PeerLinkOneWay]: (fleet, index) =>
-    setLink(getHost(fleet, index).peerProxy, LinkFault.HalfOpen),
+    setLinkFault(getHost(fleet, index).peerProxy, LinkFault.HalfOpen),
   [FaultKind.PeerLinkDelayed]: (fleet, index) =>
-    setLink(getHost(fleet, index).peerProxy, LinkFault.Held),
+    setLinkFault(getHost(fleet, index).peerProxy, LinkFault.Held),
   [FaultKind.OldPeerLinksSilent]: (fleet, index) =>
-    setLink(getHost(fleet, index).peerProxy, LinkFault.SilentOld),
+    setLinkFault(getHost(fleet, index).peerProxy, LinkFault.SilentOld),
   [FaultKind.StoreLinkCut]: (fleet, index) =>
-    setLink(getHost(fleet, index).storeProxy, LinkFault.Cut),
+    setLinkFault(getHost(fleet, index).storeProxy, LinkFault.Cut),
   [FaultKind.StoreLinkSilent]: (fleet, index) =>
-    setLink(getHost(fleet, index).storeProxy, LinkFault.Silent),
-  [FaultKind.StoreBusy]: (fleet) => setStore(fleet, StoreFault.Busy),
-  [FaultKind.StoreSilent]: (fleet) => setStore(fleet, StoreFault.Silent),
-  [FaultKind.StoreReset]: (fleet) => setStore(fleet, StoreFault.Reset),
-  [FaultKind.StoreNonsense]: (fleet) => setStore(fleet, StoreFault.Nonsense),
-  [FaultKind.StoreForgets]: act((fleet) => fleet.fleet.store.compact()),
-  [FaultKind.ReplicaCrashed]: act((fleet, index) => fleet.endReplica(index, false)),
-  [FaultKind.ReplicaMute]: (fleet, index) => setReplica(getReplica(fleet, index), { isMute: true }),
+    setLinkFault(getHost(fleet, index).storeProxy, LinkFault.Silent),
+  [FaultKind.StoreBusy]: (fleet) => setStoreFault(fleet, StoreFault.Busy),
+  [FaultKind.StoreSilent]: (fleet) => setStoreFault(fleet, StoreFault.Silent),
+  [FaultKind.StoreReset]: (fleet) => setStoreFault(fleet, StoreFault.Reset),
+  [FaultKind.StoreNonsense]: (fleet) => setStoreFault(fleet, StoreFault.Nonsense),
+  [FaultKind.StoreForgets]: runOnce((fleet) => fleet.fleet.store.compact()),
+  [FaultKind.ReplicaCrashed]: runOnce((fleet, index) => fleet.endReplica(index, false)),
+  [FaultKind.ReplicaMute]: (fleet, index) =>
+    setReplicaFault(getReplica(fleet, index), { isMute: true }),
   [FaultKind.ReplicaRefuses]: (fleet, index) =>
-    setReplica(getReplica(fleet, index), { refuseWith: 503 }),
+    setReplicaFault(getReplica(fleet, index), { refuseWith: 503 }),
   [FaultKind.ReplicaLosesAnswers]: (fleet, index) =>
-    setReplica(getReplica(fleet, index), { losesAnswers: true }),
-  [FaultKind.ReplicaDrained]: act((fleet, index) => fleet.endReplica(index, true)),
+    setReplicaFault(getReplica(fleet, index), { losesAnswers: true }),
+  [FaultKind.ReplicaDrained]: runOnce((fleet, index) => fleet.endReplica(index, true)),
   [FaultKind.ReplicaLinkSilent]: (fleet, index) =>
-    setLink(getReplica(fleet, index).proxy, LinkFault.Silent),
+    setLinkFault(getReplica(fleet, index).proxy, LinkFault.Silent),
   [FaultKind.ReplicaLinkDelayed]: (fleet, index) =>
-    setLink(getReplica(fleet, index).proxy, LinkFault.Held),
-  [FaultKind.RouteAdded]: act((fleet) => fleet.addRoute()),
-  [FaultKind.KeyRevoked]: act((fleet) => fleet.revokeKey()),
+    setLinkFault(getReplica(fleet, index).proxy, LinkFault.Held),
+  [FaultKind.RouteAdded]: runOnce((fleet) => fleet.addRoute()),
+  [FaultKind.KeyRevoked]: runOnce((fleet) => fleet.revokeKey()),
 };
 
 /**
- * Brings a fault about, and ends it after its time.
+ * Injects a fault and schedules its end.
  *
- * @param fleet - the programs
- * @param fault - what goes wrong
- * @returns whether it lasts for its time; else it was a moment's
+ * @param fleet - the fleet to inject into
+ * @param fault - the fault
+ * @returns true if the fault lasts for its planned duration, false if it is instantaneous
  */
-export function applyFault(fleet: SoakFleet, { kind, index, forMs }: PlannedFault): boolean {
-  const undo = BEGINNINGS[kind](fleet, index);
-  if (undo) fleet.after(forMs, undo);
-  return undo !== undefined;
+export function injectFault(fleet: SoakFleet, { kind, index, forMs }: PlannedFault): boolean {
+  const revert = FAULT_INJECTORS[kind](fleet, index);
+  if (revert) fleet.schedule(forMs, revert);
+  return revert !== undefined;
 }
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run soak -- --seed N --minutes M`: plays runs with fresh seeds, and keeps the
- * logs of those that broke a promise.
+ * Program `npm run soak -- --seed N --minutes M`: plays soak runs with consecutive seeds and keeps
+ * the logs of those that violate a guarantee.
  *
  * @module
  */
@@ -30,7 +30,7 @@
   process.stdout.write(`${line}\n`);
 }
 
-async function play(seed: number): Promise<SoakVerdict> {
+async function playRun(seed: number): Promise<SoakVerdict> {
   const folder = path.join(FOLDER, `seed-${seed}`);
   rmSync(folder, { recursive: true, force: true });
   const verdict = await runSoak({
@@ -45,7 +45,7 @@
   const { broken, calls, served, refused, unanswered, faults } = verdict;
   print(
     `seed ${seed}: ${faults.length} faults, ${calls} calls, ${served} served, ` +
-      `${refused} refused, ${unanswered} unanswered: ${broken.length} broken`,
+      `${refused} refused, ${unanswered} unanswered: ${broken.length} violations`,
   );
   broken.slice(0, 10).forEach((line) => print(`  ${line}`));
   if (broken.length === 0) rmSync(folder, { recursive: true, force: true });
@@ -53,24 +53,27 @@
 }
 
 async function run(): Promise<void> {
-  const first = values.seed === undefined ? Date.now() % 1_000_000 : Number(values.seed);
+  const firstSeed = values.seed === undefined ? Date.now() % 1_000_000 : Number(values.seed);
   const endsAtMs = performance.now() + Number(values.minutes ?? 0) * 60_000;
-  const most = values.minutes === undefined ? Number(values.seeds) : Infinity;
+  const maxRuns = values.minutes === undefined ? Number(values.seeds) : Infinity;
   const verdicts: SoakVerdict[] = [];
-  let next = first;
-  const work = async (): Promise<void> => {
-    while (next < first + most && (most !== Infinity || performance.now() < endsAtMs)) {
-      const seed = next;
-      next += 1;
-      verdicts.push(await play(seed));
+  let nextSeed = firstSeed;
+  const runWorker = async (): Promise<void> => {
+    while (
+      nextSeed < firstSeed + maxRuns &&
+      (maxRuns !== Infinity || performance.now() < endsAtMs)
+    ) {
+      const seed = nextSeed;
+      nextSeed += 1;
+      verdicts.push(await playRun(seed));
     }
   };
-  await Promise.all(Array.from({ length: Number(values.jobs) }, work));
+  await Promise.all(Array.from({ length: Number(values.jobs) }, runWorker));
   const broken = verdicts.filter((verdict) => verdict.broken.length > 0);
   print(
     broken.length === 0
-      ? `${verdicts.length} runs from seed ${first}: every promise was kept`
-      : `${verdicts.length} runs: promises were broken with seeds ${broken.map(({ seed }) => seed).join()}; logs are in ${FOLDER}/`,
+      ? `${verdicts.length} runs from seed ${firstSeed}: no guarantee was violated`
+      : `${verdicts.length} runs: guarantees were violated with seeds ${broken.map(({ seed }) => seed).join()}; logs are in ${FOLDER}/`,
   );
   process.exit(broken.length === 0 ? 0 : 1);
 }
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -1,11 +1,14 @@
 /**
- * What goes wrong in one run, and when, from its seed alone.
+ * Derives the faults of a soak run and their times from its seed alone.
  *
  * @module
  */
 import { SeededRandom } from '../test/support/fakes.js';
 
-/** Kinds of faults. Those of links and stores end after a while; the others are moments. */
+/**
+ * Kinds of faults. A fault of a link, of the store's behavior or of a replica's responses, and a
+ * pause of a host, last for a planned time; the others are instantaneous events.
+ */
 export enum FaultKind {
   HostKilled = 'host-killed',
   HostPaused = 'host-paused',
@@ -35,38 +38,39 @@
   KeyRevoked = 'key-revoked',
 }
 
-/** One fault. */
+/** One fault of a plan. */
 export interface PlannedFault {
   readonly kind: FaultKind;
+  /** Start of the fault, in milliseconds after the run's start. */
   readonly atMs: number;
-  /** How long it lasts; a killed process is started again after it. */
+  /** Duration in milliseconds of a fault that lasts; ignored for instantaneous faults. */
   readonly forMs: number;
-  /** Which host or replica, where it is one. */
+  /** Index of the affected host or replica, taken modulo their number; else unused. */
   readonly index: number;
 }
 
-/** What a plan is made from. */
+/** Inputs of a plan. */
 export interface PlanOptions {
   readonly seed: number;
   readonly hosts: number;
   readonly replicas: number;
-  /** Length of the part of the run in which faults begin, in milliseconds. */
+  /** Length in milliseconds of the phase in which faults begin. */
   readonly lengthMs: number;
 }
 
-/** Mean time between two faults, in milliseconds: several overlap. */
-const MEAN_PAUSE_MS = 900;
+/** Mean time between two faults in milliseconds; short enough that several faults overlap. */
+const MEAN_INTERVAL_MS = 900;
 
-/** Longest fault, in milliseconds: longer than any time-out of the program. */
+/** Longest fault duration in milliseconds; longer than any timeout of the program. */
 const MAX_FAULT_MS = 6_000;
 
-/** Faults after which another one of the same kind soon follows: troubles come in series. */
-const SERIES_PART = 0.3;
+/** Fraction of faults that are followed by one of the same kind, since real faults recur. */
+const REPEAT_FRACTION = 0.3;
 
 /**
- * Draws the faults of a run.
+ * Generates the faults of a run.
  *
- * @param options - seed and sizes
+ * @param options - seed, fleet sizes and length
  * @returns the faults, earliest first
  */
 export function buildPlan({ seed, hosts, replicas, lengthMs }: PlanOptions): PlannedFault[] {
@@ -85,8 +89,8 @@
       forMs: Math.round(200 + random.nextFraction() ** 2 * (MAX_FAULT_MS - 200)),
       index: Math.floor(random.nextFraction() * size),
     });
-    atMs += -Math.log(1 - random.nextFraction()) * MEAN_PAUSE_MS;
-    if (random.nextFraction() >= SERIES_PART) kind = pickKind();
+    atMs += -Math.log(1 - random.nextFraction()) * MEAN_INTERVAL_MS;
+    if (random.nextFraction() >= REPEAT_FRACTION) kind = pickKind();
   }
   return faults;
 }
--- a/soak/run_soak.ts
+++ b/soak/run_soak.ts
@@ -1,40 +1,41 @@
 /**
- * One run: programs, callers and faults from a seed, and the verdict.
+ * Plays one soak run: a fleet, callers, and faults derived from a seed, followed by the checks.
  *
  * @module
  */
 import { writeFileSync } from 'node:fs';
 import path from 'node:path';
 import { MAX_ADDRESSES } from '../src/domain/overlay/mod.js';
-import { askAddresses, askReady } from './ask.js';
+import { queryAddresses, queryReady } from './ask.js';
 import { SoakCaller } from './callers.js';
 import type { SoakCall } from './callers.js';
-import { listBroken } from './checks.js';
+import { listViolations } from './checks.js';
 import type { Disturbance } from './checks.js';
-import { applyFault } from './fault_table.js';
+import { injectFault } from './fault_table.js';
 import { buildPlan } from './plan.js';
 import type { PlannedFault } from './plan.js';
 import { SoakFleet } from './soak_fleet.js';
 
-/** What a run is made of. */
+/** Settings of a run. */
 export interface SoakOptions {
   readonly seed: number;
   readonly hosts: number;
   readonly replicas: number;
   readonly callers: number;
-  /** Length of the part of the run in which faults begin, in milliseconds. */
+  /** Length in milliseconds of the phase in which faults begin. */
   readonly lengthMs: number;
-  /** Folder for the logs of this run. */
+  /** Folder for the entry hosts' logs and `record.json`. */
   readonly folder: string;
-  /** Faults in place of those that follow from the seed. */
+  /** Faults to inject instead of those generated from the seed. */
   readonly plan?: readonly PlannedFault[];
-  /** Called with a line about how it goes. */
+  /** Receives one line per injected fault. */
   readonly onProgress: (line: string) => void;
 }
 
-/** What a run showed. */
+/** Results of a run. */
 export interface SoakVerdict {
   readonly seed: number;
+  /** One line per violated guarantee. */
   readonly broken: readonly string[];
   readonly calls: number;
   readonly served: number;
@@ -43,16 +44,16 @@
   readonly faults: readonly PlannedFault[];
 }
 
-/** Time that the programs have to become ready, and to recover after the last fault, in milliseconds. */
+/** Time limit in milliseconds for hosts to become ready at the start and after the last fault. */
 const READY_LIMIT_MS = 30_000;
 
-/** Part of the calls that must be served after everything has recovered. */
-const SERVED_PART = 0.9;
+/** Fraction of calls that must succeed once the fleet has recovered. */
+const MIN_SERVED_FRACTION = 0.9;
 
-/** Length of the calm part at the end, in milliseconds. */
-const CALM_PART_MS = 3_000;
+/** Length in milliseconds of the final phase without faults. */
+const CALM_PHASE_MS = 3_000;
 
-const LOOK_MS = 100;
+const READY_POLL_MS = 100;
 
 /**
  * Plays one run.
@@ -72,25 +73,25 @@
   try {
     await fleet.start(hosts, replicas);
     await waitUntilReady(fleet);
-    const calling = callers.map((caller) => caller.run());
+    const callerRuns = callers.map((caller) => caller.run());
     const startedAtMs = performance.now();
     for (const fault of faults) {
       await sleepUntil(startedAtMs + fault.atMs);
       onProgress(`seed ${seed}: ${(fault.atMs / 1_000).toFixed(1)} s ${fault.kind} ${fault.index}`);
-      disturbances.push(beginFault(fleet, fault));
+      disturbances.push(startDisturbance(fleet, fault));
     }
     await sleepUntil(Math.max(...disturbances.map(({ untilMs }) => untilMs), 0));
     const missing = await waitUntilReady(fleet);
     const calmAtMs = performance.now();
-    await sleepUntil(calmAtMs + CALM_PART_MS);
+    await sleepUntil(calmAtMs + CALM_PHASE_MS);
     callers.forEach((caller) => caller.stop());
-    await Promise.all(calling);
+    await Promise.all(callerRuns);
     await sleepUntil(performance.now() + READY_LIMIT_MS / 6);
     const calls = callers.flatMap((caller) => caller.calls);
     const broken = [
-      ...missing.map((name) => `${name} is not ready long after the last fault`),
+      ...missing.map((name) => `${name} is not ready in time after the last fault`),
       ...checkRecovery(calls, calmAtMs),
-      ...listBroken({
+      ...listViolations({
         calls,
         runs: fleet.runs,
         leftAtMs: fleet.leftAtMs,
@@ -101,14 +102,16 @@
     ];
     const record = { seed, faults, broken, disturbances, calls };
     writeFileSync(path.join(folder, 'record.json'), JSON.stringify(record, undefined, 1));
-    return { seed, broken, faults, ...countEnds(calls) };
+    return { seed, broken, faults, ...countOutcomes(calls) };
   } finally {
     callers.forEach((caller) => caller.close());
     await fleet.stop();
   }
 }
 
-function countEnds(calls: readonly SoakCall[]): Omit<SoakVerdict, 'broken' | 'faults' | 'seed'> {
+function countOutcomes(
+  calls: readonly SoakCall[],
+): Omit<SoakVerdict, 'broken' | 'faults' | 'seed'> {
   return {
     calls: calls.length,
     served: calls.filter(({ status, isWhole }) => status === 200 && isWhole).length,
@@ -117,16 +120,19 @@
   };
 }
 
-/** What happens in a moment, such as a kill, disturbs until the process serves again. */
-function beginFault(fleet: SoakFleet, fault: PlannedFault): Disturbance {
+/**
+ * Injects a fault. An instantaneous fault, such as a kill, counts as disturbing for a fixed time in
+ * which the process restarts and serves again.
+ */
+function startDisturbance(fleet: SoakFleet, fault: PlannedFault): Disturbance {
   const { kind, index, forMs } = fault;
   const fromMs = performance.now();
   const host = fleet.hosts[index % fleet.hosts.length];
-  const lasts = applyFault(fleet, fault);
+  const isLasting = injectFault(fleet, fault);
   return {
     kind,
     fromMs,
-    untilMs: fromMs + (lasts ? forMs : READY_LIMIT_MS / 6),
+    untilMs: fromMs + (isLasting ? forMs : READY_LIMIT_MS / 6),
     address: kind.startsWith('host') ? host?.settings.callersAddress : undefined,
   };
 }
@@ -136,16 +142,16 @@
     ({ sentAtMs, hasLeft, key }) => sentAtMs > calmAtMs && !hasLeft && !key.includes('revoked'),
   );
   const served = calm.filter(({ status, isWhole }) => status === 200 && isWhole).length;
-  if (calm.length > 0 && served >= calm.length * SERVED_PART) return [];
+  if (calm.length > 0 && served >= calm.length * MIN_SERVED_FRACTION) return [];
   return [`after all faults ${served} of ${calm.length} calls are served`];
 }
 
-/** @returns entry hosts that never became ready */
+/** @returns IDs of entry hosts that did not become ready in time */
 async function waitUntilReady(fleet: SoakFleet): Promise<string[]> {
   const limitMs = performance.now() + READY_LIMIT_MS;
   let missing: string[] = [];
   do {
-    await sleepUntil(performance.now() + LOOK_MS);
+    await sleepUntil(performance.now() + READY_POLL_MS);
     const states = await Promise.all(fleet.hosts.map(async (host) => isSettled(fleet, host)));
     missing = fleet.hosts
       .filter((_host, index) => !states[index])
@@ -154,13 +160,16 @@
   return missing;
 }
 
-/** Whether a host is ready, and names as many as there are, or as many as callers are told. */
+/**
+ * Whether a host is ready and lists every entry host, up to the maximum number of addresses that a
+ * caller receives.
+ */
 async function isSettled(
   fleet: SoakFleet,
   { settings }: SoakFleet['hosts'][number],
 ): Promise<boolean> {
-  if (!(await askReady(settings.readinessAddress))) return false;
-  const addresses = await askAddresses(settings.addressBookAddress);
+  if (!(await queryReady(settings.readinessAddress))) return false;
+  const addresses = await queryAddresses(settings.addressBookAddress);
   return addresses.length >= Math.min(MAX_ADDRESSES, fleet.hosts.length);
 }
 
--- a/soak/soak_fleet.ts
+++ b/soak/soak_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * The programs of one run: entry hosts as processes, replicas and store as stand-ins,
- * with a proxy before each link.
+ * The fleet of one soak run: entry hosts as processes, in-process test doubles of replicas and the
+ * store, and a fault-injecting proxy in front of each link.
  *
  * @module
  */
@@ -14,47 +14,51 @@
 import { TestReplica } from '../platform/test/replica.js';
 import type { TestRun } from '../platform/test/replica.js';
 
-/** Key that runs take away. */
+/** API key that a run may revoke. */
 export const REVOCABLE_KEY = 'key-to-be-revoked';
 
-/** The entry hosts reach the store by proxies of their own, whose addresses differ. */
+/**
+ * Secret shared by the entry hosts. Hosts without one derive it from the store's address, which
+ * differs here because each host reaches the store through its own proxy.
+ */
 const PEERS_SECRET = 'shared-by-the-entry-hosts-of-one-run';
 
-/** Events of each stream, and the time between them in milliseconds. */
+/** Number of events in each stream, and the interval between them in milliseconds. */
 export const STREAM_EVENTS = 12;
 const EVENT_GAP_MS = 15;
 
-/** Time for which a leaving replica serves on, in milliseconds; then it is gone. */
-const REPLICA_LEAVES_MS = 3_500;
+/** Time in milliseconds for which a draining replica keeps serving before it exits. */
+const REPLICA_DRAIN_MS = 3_500;
 
-/** Time after which a crashed replica's entry lapses, in milliseconds: three of its reports. */
-const ENTRY_LAPSES_MS = 3_600;
+/** Time in milliseconds until a crashed replica's entry expires; three of its report intervals. */
+const ENTRY_EXPIRY_MS = 3_600;
 
-/** Requests that a replica runs at once. */
+/** Number of requests that a replica runs concurrently. */
 const REPLICA_SLOTS = 6;
 
-/** Pause before a process that has ended is started again, in milliseconds. */
-const RESTART_MS = 300;
+/** Delay in milliseconds before an exited process is restarted. */
+const RESTART_DELAY_MS = 300;
 
-/** One entry host over its processes. */
+/** One entry host across process restarts. */
 export interface SoakHost {
   readonly settings: DirectSettings;
   readonly peerProxy: CutProxy;
   readonly storeProxy: CutProxy;
   entry: EntryProcess;
-  /** Whether the run has told the present process to end. */
+  /** Whether the run has told the current process to exit. */
   isToldToEnd: boolean;
 }
 
-/** One replica over its lives. */
+/** One replica across its incarnations. */
 export interface SoakReplica {
   replica: TestReplica;
   readonly proxy: CutProxy;
   readonly port: number;
+  /** Whether the current incarnation is draining or crashed and its successor has not started. */
   isAway: boolean;
 }
 
-/** Starts the programs, ends them, and publishes. */
+/** Starts and stops the fleet, injects process faults and publishes configurations. */
 export class SoakFleet {
   readonly fleet = new PlatformFleet();
 
@@ -62,13 +66,13 @@
 
   readonly replicas: SoakReplica[] = [];
 
-  /** When each life of a replica said that it leaves, in milliseconds. */
+  /** When each replica incarnation announced that it drains, by replica ID, in milliseconds. */
   readonly leftAtMs = new Map<string, number>();
 
-  /** When the key was taken away, in milliseconds. */
+  /** When the revocable key was removed, in milliseconds; `Infinity` before that. */
   revokedAtMs = Infinity;
 
-  /** Processes that ended by themselves. */
+  /** Descriptions of processes that exited without being told to, and of internal errors. */
   readonly ownEnds: string[] = [];
 
   readonly #formerRuns: TestRun[][] = [];
@@ -79,19 +83,19 @@
 
   #addedRoutes = 0;
 
-  #nextLife = 0;
+  #lastIncarnation = 0;
 
   #isOver = false;
 
   readonly #timers = new Set<NodeJS.Timeout>();
 
-  /** @param folder - where the programs' logs go */
+  /** @param folder - receives the entry hosts' logs */
   constructor(folder: string) {
     this.#folder = folder;
     mkdirSync(folder, { recursive: true });
   }
 
-  /** Every run that a replica has begun. */
+  /** Every run that any replica incarnation has started. */
   get runs(): TestRun[] {
     return [...this.#formerRuns.flat(), ...this.replicas.flatMap(({ replica }) => replica.runs)];
   }
@@ -114,7 +118,7 @@
   startHost(host: SoakHost): void {
     const log = openSync(path.join(this.#folder, `${host.settings.hostId}.log`), 'a');
     const entry = this.fleet.startEntry(host.settings, log);
-    // The process has a descriptor of its own.
+    // The child process has its own copy of the descriptor.
     closeSync(log);
     Object.assign(host, { entry, isToldToEnd: false });
     entry.exited
@@ -122,13 +126,16 @@
       .catch((error: unknown) => this.ownEnds.push(String(error)));
   }
 
-  /** Ends a host's process; it is started again after a while. */
+  /** Sends a signal that ends a host's process; the host restarts after it exits. */
   endHost(host: SoakHost, signal: 'SIGKILL' | 'SIGTERM'): void {
     Object.assign(host, { isToldToEnd: true });
     host.entry.process.kill(signal);
   }
 
-  /** Ends a replica's life: at once, or after it has said so. A new life follows at its address. */
+  /**
+   * Ends a replica's incarnation: by a crash, or by draining first if the end is planned. A new
+   * incarnation then starts at the same address.
+   */
   endReplica(index: number, isPlanned: boolean): void {
     const slot = this.replicas[index] as SoakReplica;
     if (slot.isAway) return;
@@ -138,7 +145,7 @@
       replica.register('draining');
       this.leftAtMs.set(replica.id, performance.now());
     } else replica.crash();
-    this.after(isPlanned ? REPLICA_LEAVES_MS : ENTRY_LAPSES_MS, () => {
+    this.schedule(isPlanned ? REPLICA_DRAIN_MS : ENTRY_EXPIRY_MS, () => {
       replica.crash();
       this.fleet.store.remove(`servers/${replica.id}`);
       this.#formerRuns.push(replica.runs);
@@ -163,8 +170,8 @@
     this.#publish();
   }
 
-  /** Runs something later, unless the run is over by then. */
-  after(delayMs: number, run: () => void): void {
+  /** Schedules a callback, which is skipped if the run is over by then. */
+  schedule(delayMs: number, run: () => void): void {
     const timer = setTimeout(() => {
       this.#timers.delete(timer);
       if (!this.#isOver) run();
@@ -172,7 +179,7 @@
     this.#timers.add(timer);
   }
 
-  /** Ends every process that this run has started, and nothing else. */
+  /** Stops all processes, replicas and proxies that this run started. */
   async stop(): Promise<void> {
     this.#isOver = true;
     this.#timers.forEach((timer) => clearTimeout(timer));
@@ -191,7 +198,7 @@
     if (!host.isToldToEnd) {
       this.ownEnds.push(`${host.settings.hostId}: ${code} ${entry.errors.join('')}`);
     }
-    this.after(RESTART_MS, () => this.startHost(host));
+    this.schedule(RESTART_DELAY_MS, () => this.startHost(host));
   }
 
   #publish(): void {
@@ -205,9 +212,9 @@
   }
 
   #createReplica(): TestReplica {
-    this.#nextLife += 1;
+    this.#lastIncarnation += 1;
     return new TestReplica({
-      id: `i-${this.#nextLife}`,
+      id: `i-${this.#lastIncarnation}`,
       service: 'engines',
       store: this.fleet.store,
       slots: REPLICA_SLOTS,
--- a/soak/soak_test.ts
+++ b/soak/soak_test.ts
@@ -6,8 +6,8 @@
 import type { PlannedFault } from './plan.js';
 import { runSoak } from './run_soak.js';
 
-/** A short series in which faults of hosts, links, store and replicas overlap. */
-const SERIES: readonly PlannedFault[] = [
+/** A short plan in which faults of hosts, links, the store and replicas overlap. */
+const SHORT_PLAN: readonly PlannedFault[] = [
   { kind: FaultKind.ReplicaLosesAnswers, atMs: 0, forMs: 1_500, index: 0 },
   { kind: FaultKind.HostKilled, atMs: 400, forMs: 0, index: 1 },
   { kind: FaultKind.StoreReset, atMs: 600, forMs: 800, index: 0 },
@@ -18,13 +18,13 @@
   { kind: FaultKind.HostStopped, atMs: 2_200, forMs: 0, index: 2 },
 ];
 
-t.test('the same seed makes the same plan', async (t) => {
+t.test('buildPlan() returns the same plan for the same seed', async (t) => {
   const options = { seed: 7, hosts: 4, replicas: 4, lengthMs: 10_000 };
   t.same(buildPlan(options), buildPlan(options));
   t.not(JSON.stringify(buildPlan(options)), JSON.stringify(buildPlan({ ...options, seed: 8 })));
 });
 
-t.test('every kind of fault comes within a hundred seeds', async (t) => {
+t.test('buildPlan() generates every kind of fault within a hundred seeds', async (t) => {
   const kinds = new Set<FaultKind>();
   for (let seed = 0; seed < 100; seed += 1) {
     buildPlan({ seed, hosts: 4, replicas: 4, lengthMs: 10_000 }).forEach(({ kind }) =>
@@ -34,19 +34,22 @@
   t.same([...kinds].sort(), Object.values(FaultKind).sort());
 });
 
-t.test('real processes keep every promise through a short series of faults', async (t) => {
-  const folder = mkdtempSync(path.join(tmpdir(), 'monsoonhall-soak-'));
-  t.teardown(() => rmSync(folder, { recursive: true, force: true }));
-  const verdict = await runSoak({
-    seed: 1,
-    hosts: 3,
-    replicas: 3,
-    callers: 4,
-    lengthMs: 0,
-    plan: SERIES,
-    folder,
-    onProgress: () => undefined,
-  });
-  t.same(verdict.broken, []);
-  t.ok(verdict.served > 0);
-});
+t.test(
+  'real processes violate no guarantee under a short series of overlapping faults',
+  async (t) => {
+    const folder = mkdtempSync(path.join(tmpdir(), 'monsoonhall-soak-'));
+    t.teardown(() => rmSync(folder, { recursive: true, force: true }));
+    const verdict = await runSoak({
+      seed: 1,
+      hosts: 3,
+      replicas: 3,
+      callers: 4,
+      lengthMs: 0,
+      plan: SHORT_PLAN,
+      folder,
+      onProgress: () => undefined,
+    });
+    t.same(verdict.broken, []);
+    t.ok(verdict.served > 0);
+  },
+);
