--- a/demo/_caller.ts
+++ b/demo/_caller.ts
@@ -1,6 +1,6 @@
 /**
- * A caller: asks which entry host to use, sends with a request ID, and goes on
- * through another entry host when a connection breaks.
+ * Client of the entry hosts. It obtains a request ID, sends the request to the ID's owner, and fails
+ * over to another entry host when a connection breaks.
  *
  * @module
  */
@@ -9,54 +9,61 @@
 import { readBody, sendCall } from './_http_call.js';
 import type { Work } from './_work.js';
 
-/** What the system says of a run. */
-export type Run = 'not_run' | 'ran' | 'may_have_run';
+/** What a refusal states about whether the request ran. */
+export type RunStatus = 'not_run' | 'ran' | 'may_have_run';
 
-/** How one request ended for its caller. */
-export interface Ending {
+/** Outcome of one request from its caller's point of view. */
+export interface RequestOutcome {
   readonly requestId: string;
-  /** Answered: the body is whole. Refused: the system said why. Lost: it said nothing. */
+  /**
+   * Answered: the body is complete. Refused: an error response states the reason. Lost: neither
+   * arrived in time.
+   */
   readonly kind: 'answered' | 'refused' | 'lost';
-  /** Of an answer: whether it is whole and the request's own. */
-  readonly isRight: boolean;
+  /** Whether an answered request received its own, complete answer. */
+  readonly isCorrect: boolean;
+  /** Error code of a refusal; empty otherwise. */
   readonly code: string;
-  readonly run: Run;
+  readonly run: RunStatus;
+  /** Backoff that a refusal asks for; 0 if the request is not worth retrying. */
   readonly retryAfterMs: number;
   readonly firstByteAtMs: number;
-  /** How often the caller went on through another entry host. */
+  /** Number of times that the caller reconnected. */
   readonly reconnects: number;
 }
 
+/** Response to a request for an ID: the ID's owner, and other entry hosts for failover. */
 interface Assignment {
   readonly id: string;
   readonly entryHost: { readonly url: string };
   readonly entryHosts: readonly { readonly url: string }[];
 }
 
+/** Error body of a refused request. */
 interface Refusal {
   readonly code: string;
-  readonly run: Run;
+  readonly run: RunStatus;
   readonly retryAfterMs: number;
 }
 
 const ERROR_EVENT_START = 'data: {"error"';
 const MAX_CONNECTIONS_PER_REQUEST = 6;
-const RECONNECT_PAUSE_MS = 100;
-const REMEMBER_REFUSAL_MS = 5000;
+const RECONNECT_DELAY_MS = 100;
+const AVOID_REFUSING_HOST_MS = 5000;
 
-/** The caller's own finding: its first connection was refused, so it takes a new ID. */
-const NEVER_SENT: Pick<Ending, 'kind' | 'code' | 'run' | 'retryAfterMs'> = {
+/** Outcome of a request whose first connection was refused: the caller retries with a new ID. */
+const NEVER_SENT: Pick<RequestOutcome, 'kind' | 'code' | 'run' | 'retryAfterMs'> = {
   kind: 'refused',
   code: 'never_sent',
   run: 'not_run',
-  retryAfterMs: RECONNECT_PAUSE_MS,
+  retryAfterMs: RECONNECT_DELAY_MS,
 };
 
 function isConnectionRefused(error: unknown): boolean {
   return error instanceof Error && 'code' in error && error.code === 'ECONNREFUSED';
 }
 
-function waitFor(durationMs: number): Promise<void> {
+function sleep(durationMs: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, durationMs);
   });
@@ -67,8 +74,8 @@
   return { code: error.code, run: error.run, retryAfterMs: error.retryAfterMs };
 }
 
-/** What has come of one request's answer, over all its connections. */
-class Receiving {
+/** The part of a response that has been received so far, across all connections of a request. */
+class PartialResponse {
   bytes: Buffer = Buffer.alloc(0);
 
   backendServer = '';
@@ -86,12 +93,12 @@
     readonly urls: readonly string[],
   ) {}
 
-  /** URL of the entry host to be tried next. */
+  /** URL of the entry host for the next connection. */
   get url(): string {
     return this.urls[this.connections % this.urls.length] as string;
   }
 
-  /** Builds the path that goes on where the answer stands. */
+  /** Builds the path that resumes the response after the bytes received so far. */
   buildResumePath(): string {
     const query = new URLSearchParams({
       offset: String(this.bytes.length),
@@ -101,37 +108,37 @@
     return `/v1/requests/${this.requestId}?${query}`;
   }
 
-  /** Takes a head's hints, which let another entry host resume the stream. */
-  noteHead(response: IncomingMessage): void {
+  /** Records the response headers with which another entry host can resume the stream. */
+  recordHead(response: IncomingMessage): void {
     this.hasHead = true;
     this.backendServer = String(response.headers['backend-server'] ?? this.backendServer);
     this.streamId = String(response.headers['stream-id'] ?? this.streamId);
   }
 
   /**
-   * Adds what one connection brought.
+   * Appends the bytes that one connection received.
    *
-   * @returns the refusal that ended an event stream, if one did
+   * @returns the refusal in the error event that ended the stream; undefined if there was none
    */
-  add(bytes: Buffer): Refusal | undefined {
+  append(bytes: Buffer): Refusal | undefined {
     const text = bytes.toString();
     const start = text.lastIndexOf(ERROR_EVENT_START);
-    const atEventStart = start === 0 || text.slice(start - 2, start) === '\n\n';
-    const refused = start >= 0 && atEventStart;
-    const kept = refused ? Buffer.from(text.slice(0, start)) : bytes;
-    this.bytes = Buffer.concat([this.bytes, kept]);
-    return refused ? parseRefusal(text.slice(start + 'data: '.length)) : undefined;
+    const isAtEventStart = start === 0 || text.slice(start - 2, start) === '\n\n';
+    const isRefused = start >= 0 && isAtEventStart;
+    const bodyBytes = isRefused ? Buffer.from(text.slice(0, start)) : bytes;
+    this.bytes = Buffer.concat([this.bytes, bodyBytes]);
+    return isRefused ? parseRefusal(text.slice(start + 'data: '.length)) : undefined;
   }
 }
 
-/** Sends the work of one client account. */
+/** Sends the requests of one client account. */
 export class Caller {
-  /** When an entry host last refused a connection, by its URL. */
+  /** When each entry host last refused a connection, by URL. */
   readonly #refusedAtMs = new Map<string, number>();
 
   /**
-   * @param account - whose work
-   * @param urls - base URLs of the entry hosts that it knows from its settings
+   * @param account - the client account to authenticate as
+   * @param urls - configured base URLs of the entry hosts
    */
   constructor(
     readonly account: ClientAccount,
@@ -139,45 +146,48 @@
   ) {}
 
   /**
-   * Sends one piece of work under an ID of its own.
+   * Sends one piece of work under a new request ID.
    *
-   * @param work - what to send
-   * @param signal - ends the wait; the request counts as lost then
-   * @returns how it ended
+   * @param work - the work to send
+   * @param signal - aborts the request, which then counts as lost
+   * @returns the outcome
    */
-  async send(work: Work, signal: AbortSignal): Promise<Ending> {
-    const assignment = await this.#assign(work.number, signal).catch(() => undefined);
-    if (!assignment) return this.#buildEnding(new Receiving('', ['']), { kind: 'lost' });
+  async send(work: Work, signal: AbortSignal): Promise<RequestOutcome> {
+    const assignment = await this.#acquireAssignment(work.number, signal).catch(() => undefined);
+    if (!assignment) return this.#buildOutcome(new PartialResponse('', ['']), { kind: 'lost' });
     const others = assignment.entryHosts.map((host) => host.url);
-    const receiving = new Receiving(assignment.id, [assignment.entryHost.url, ...others]);
+    const response = new PartialResponse(assignment.id, [assignment.entryHost.url, ...others]);
     let refusal: Refusal | undefined;
-    while (receiving.connections < MAX_CONNECTIONS_PER_REQUEST && !signal.aborted) {
+    while (response.connections < MAX_CONNECTIONS_PER_REQUEST && !signal.aborted) {
       try {
-        const result = await this.#sendOnce(work, receiving, signal);
-        if (result === 'whole') return this.#checkAnswer(work, receiving);
+        const result = await this.#sendOnce(work, response, signal);
+        if (result === 'whole') return this.#checkAnswer(work, response);
         refusal = result ?? refusal;
-        if (refusal && !this.#mayResume(refusal, receiving)) break;
+        if (refusal && !this.#mayResume(refusal, response)) break;
       } catch (error) {
-        // Refused connections take no bytes: an ID that was never sent never runs.
-        if (receiving.connections === 0 && isConnectionRefused(error)) {
-          this.#refusedAtMs.set(receiving.url, performance.now());
-          return this.#buildEnding(receiving, NEVER_SENT);
+        // A refused connection transfers no bytes, so a request with this ID can't have run.
+        if (response.connections === 0 && isConnectionRefused(error)) {
+          this.#refusedAtMs.set(response.url, performance.now());
+          return this.#buildOutcome(response, NEVER_SENT);
         }
-        // The connection broke before the head: the next entry host is asked.
+        // The connection broke before the response head: try the next entry host.
       }
-      receiving.connections += 1;
-      await waitFor(RECONNECT_PAUSE_MS);
+      response.connections += 1;
+      await sleep(RECONNECT_DELAY_MS);
     }
-    return this.#buildEnding(
-      receiving,
+    return this.#buildOutcome(
+      response,
       refusal ? { kind: 'refused', ...refusal } : { kind: 'lost' },
     );
   }
 
-  /** Any entry host can be asked, as often as needed: asking runs nothing. */
-  async #assign(number: number, signal: AbortSignal): Promise<Assignment> {
-    for (let tries = 0; !signal.aborted; tries += 1) {
-      const url = this.urls[(number + tries) % this.urls.length] as string;
+  /**
+   * Obtains a request ID. Any entry host can issue one, and retrying is safe because issuing an ID
+   * runs nothing.
+   */
+  async #acquireAssignment(number: number, signal: AbortSignal): Promise<Assignment> {
+    for (let attempt = 0; !signal.aborted; attempt += 1) {
+      const url = this.urls[(number + attempt) % this.urls.length] as string;
       try {
         const headers = this.#buildHeaders();
         const response = await sendCall({
@@ -189,49 +199,55 @@
         const { bytes } = await readBody(response);
         if (response.statusCode === 200 || response.statusCode === 201) {
           const assignment = JSON.parse(bytes.toString()) as Assignment;
-          if (!this.#isRefusing(assignment.entryHost.url)) return assignment;
+          if (!this.#hasRecentlyRefused(assignment.entryHost.url)) return assignment;
         }
       } catch {
-        // That entry host is gone: the next one is asked.
+        // This entry host is unreachable: try the next one.
       }
-      await waitFor(RECONNECT_PAUSE_MS);
+      await sleep(RECONNECT_DELAY_MS);
     }
     throw new Error('Cannot get a request ID');
   }
 
-  /** An ID whose owner refuses connections is left unused, and another is asked for. */
-  #isRefusing(url: string): boolean {
-    return performance.now() - (this.#refusedAtMs.get(url) ?? -Infinity) < REMEMBER_REFUSAL_MS;
+  /**
+   * Whether an entry host refused a connection recently. An ID that it owns is discarded in favor of
+   * a new one.
+   */
+  #hasRecentlyRefused(url: string): boolean {
+    return performance.now() - (this.#refusedAtMs.get(url) ?? -Infinity) < AVOID_REFUSING_HOST_MS;
   }
 
-  /** A broken answer goes on elsewhere when the caller knows where it runs. */
-  #mayResume(refusal: Refusal, receiving: Receiving): boolean {
-    return refusal.run !== 'not_run' && receiving.streamId !== '' && receiving.connections < 2;
+  /** Whether a refused stream may resume at another entry host, which needs the stream's ID. */
+  #mayResume(refusal: Refusal, response: PartialResponse): boolean {
+    return refusal.run !== 'not_run' && response.streamId !== '' && response.connections < 2;
   }
 
-  /** The same ID may be sent again to any entry host: only its owner dispatches it, once. */
+  /**
+   * Sends the request or resumes its response over one connection. Any entry host accepts a repeated
+   * ID, since only its owner dispatches it, and only once.
+   */
   async #sendOnce(
     work: Work,
-    receiving: Receiving,
+    partial: PartialResponse,
     signal: AbortSignal,
   ): Promise<Refusal | 'whole' | undefined> {
-    const { hasHead } = receiving;
-    const path = hasHead ? receiving.buildResumePath() : work.path;
+    const { hasHead } = partial;
+    const path = hasHead ? partial.buildResumePath() : work.path;
     const response = await sendCall({
-      url: `${receiving.url}${path}`,
+      url: `${partial.url}${path}`,
       method: hasHead ? 'GET' : work.method,
-      headers: this.#buildHeaders(work, receiving.requestId),
+      headers: this.#buildHeaders(work, partial.requestId),
       body: hasHead ? undefined : work.body,
       signal,
     });
     if (response.statusCode !== 200) {
       return parseRefusal((await readBody(response)).bytes.toString());
     }
-    receiving.noteHead(response);
+    partial.recordHead(response);
     const { bytes, isBroken } = await readBody(response, () => {
-      Object.assign(receiving, { firstByteAtMs: receiving.firstByteAtMs || performance.now() });
+      Object.assign(partial, { firstByteAtMs: partial.firstByteAtMs || performance.now() });
     });
-    return receiving.add(bytes) ?? (isBroken ? undefined : 'whole');
+    return partial.append(bytes) ?? (isBroken ? undefined : 'whole');
   }
 
   #buildHeaders(work?: Work, requestId?: string): Record<string, string> {
@@ -242,26 +258,29 @@
     return headers;
   }
 
-  #checkAnswer(work: Work, receiving: Receiving): Ending {
-    let isRight = false;
+  #checkAnswer(work: Work, response: PartialResponse): RequestOutcome {
+    let isCorrect = false;
     try {
-      isRight = work.isAnsweredBy(receiving.bytes.toString());
+      isCorrect = work.isCorrectAnswer(response.bytes.toString());
     } catch {
-      // What can't be parsed is torn.
+      // A body that can't be parsed is truncated.
     }
-    return this.#buildEnding(receiving, { kind: 'answered', isRight, run: 'ran' });
+    return this.#buildOutcome(response, { kind: 'answered', isCorrect, run: 'ran' });
   }
 
-  #buildEnding(receiving: Receiving, facts: Partial<Ending> & Pick<Ending, 'kind'>): Ending {
+  #buildOutcome(
+    response: PartialResponse,
+    changes: Partial<RequestOutcome> & Pick<RequestOutcome, 'kind'>,
+  ): RequestOutcome {
     return {
-      requestId: receiving.requestId,
-      isRight: false,
+      requestId: response.requestId,
+      isCorrect: false,
       code: '',
       run: 'may_have_run',
       retryAfterMs: 0,
-      firstByteAtMs: receiving.firstByteAtMs,
-      reconnects: receiving.connections,
-      ...facts,
+      firstByteAtMs: response.firstByteAtMs,
+      reconnects: response.connections,
+      ...changes,
     };
   }
 }
--- a/demo/_hold.ts
+++ b/demo/_hold.ts
@@ -1,5 +1,5 @@
 /**
- * The demo's fleet without load, for others to work with.
+ * Runs the demo's fleet without load, for manual experiments and other programs.
  *
  * @module
  */
@@ -22,17 +22,17 @@
 }
 
 /**
- * Starts the fleet, prints one JSON line and stays until SIGINT or SIGTERM.
- * Nothing is left behind then.
+ * Starts a fleet, prints its addresses, process IDs and accounts as one JSON line, and stops it at
+ * SIGINT or SIGTERM.
  *
- * @param shape - the user's shape
+ * @param shape - the fleet's shape
  */
 export async function runHold(shape: FleetShape): Promise<void> {
-  const told = new Promise<void>((resolve) => {
+  const signaled = new Promise<void>((resolve) => {
     ['SIGINT', 'SIGTERM'].forEach((signal) => process.on(signal, () => resolve()));
   });
   const fleet = await startFleet({ shape });
   process.stdout.write(`${buildHoldLine(fleet)}\n`);
-  await told;
+  await signaled;
   await fleet.stop();
 }
--- a/demo/_http_call.ts
+++ b/demo/_http_call.ts
@@ -1,54 +1,54 @@
 /**
- * One HTTP call of a caller: head first, then the body as it comes.
+ * Sends HTTP calls, returning the response head first and its body separately.
  *
  * @module
  */
 import { Agent, request } from 'node:http';
 import type { IncomingMessage } from 'node:http';
 
-/** What is sent. */
+/** An HTTP request to send. */
 export interface HttpCall {
   readonly url: string;
   readonly method: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body?: string;
-  /** Ends the call. */
+  /** Aborts the call. */
   readonly signal: AbortSignal;
 }
 
-/** Connections are kept, one for each call that is on its way. */
+/** Reuses connections and opens one for each concurrent call without a limit. */
 const agent = new Agent({ keepAlive: true, maxSockets: Infinity });
 
 /**
  * Sends a call.
  *
- * @param call - what to send
- * @returns the answer once its head is there
- * @throws Error when the connection fails before
+ * @param call - the call to send
+ * @returns the response as soon as its head has arrived
+ * @throws Error when the connection fails before the head
  */
 export function sendCall(call: HttpCall): Promise<IncomingMessage> {
   return new Promise((resolve, reject) => {
     const { url, method, headers, body, signal } = call;
-    const outgoing = request(url, { method, headers, agent, signal });
-    outgoing.on('error', reject);
-    outgoing.on('response', resolve);
-    outgoing.end(body);
+    const clientRequest = request(url, { method, headers, agent, signal });
+    clientRequest.on('error', reject);
+    clientRequest.on('response', resolve);
+    clientRequest.end(body);
   });
 }
 
-/** A body, as far as it came. */
+/** The part of a response body that was received. */
 export interface ReceivedBody {
   readonly bytes: Buffer;
-  /** Whether the connection broke before the end. */
+  /** Whether the connection broke before the body was complete. */
   readonly isBroken: boolean;
 }
 
 /**
- * Reads a body to its end or to its break.
+ * Reads a response body until it is complete or its connection breaks.
  *
- * @param response - the answer
- * @param onFirstByte - called when the first bytes come
- * @returns what came
+ * @param response - the response to read
+ * @param onFirstByte - called when the first chunk arrives
+ * @returns the received bytes
  */
 export function readBody(
   response: IncomingMessage,
--- a/demo/_report.ts
+++ b/demo/_report.ts
@@ -1,5 +1,5 @@
 /**
- * The demo's table.
+ * Formats the demo's results as a text table.
  *
  * @module
  */
@@ -19,7 +19,7 @@
   'first p99',
 ];
 
-function formatShare(part: number, whole: number): string {
+function formatPercent(part: number, whole: number): string {
   return whole === 0 ? '-' : `${((part / whole) * PERCENT).toFixed(1)} %`;
 }
 
@@ -33,7 +33,7 @@
     String(row.sent),
     String(row.answered),
     String(row.inTime),
-    formatShare(row.inTime, row.sent),
+    formatPercent(row.inTime, row.sent),
     String(row.refused),
     String(row.unknown),
     `${row.firstByteP50Ms.toFixed(0)} ms`,
@@ -42,10 +42,10 @@
 }
 
 /**
- * Formats what one user's run showed.
+ * Formats the results of one run.
  *
- * @param verdict - what was measured
- * @returns the table, several lines
+ * @param verdict - the results
+ * @returns the table and totals, in several lines
  */
 export function formatVerdict(verdict: Verdict): string {
   const kinds = Object.entries(verdict.refusalsByKind).sort((a, b) => b[1] - a[1]);
@@ -54,13 +54,13 @@
   return [
     formatRow(HEADINGS),
     ...verdict.rows.map(formatTier),
-    `  refusals by kind, also those that a later try made good: ${refusals || 'none'}`,
-    `  runs recorded: ${verdict.runs}; doubles: ${verdict.doubles}; losses: ${verdict.losses}; ` +
-      `untrue "not run": ${verdict.untrueRefusals}; torn or crossed answers: ${verdict.wrongAnswers}`,
-    `  answers that went on through another entry host: ${verdict.resumed}`,
-    `  wasted prefill: ${formatShare(wasted, verdict.prefillTokens)} of ${verdict.prefillTokens} ` +
-      `tokens (${verdict.unreceivedTokens} for answers that nobody got, ` +
-      `${verdict.recomputedTokens} computed again); held by caches: ${verdict.cachedTokens}`,
+    `  refusals by kind, including those whose retry succeeded: ${refusals || 'none'}`,
+    `  runs recorded: ${verdict.runs}; duplicate runs: ${verdict.doubles}; lost: ${verdict.losses}; ` +
+      `false "not run": ${verdict.untrueRefusals}; truncated or mixed-up answers: ${verdict.wrongAnswers}`,
+    `  answers resumed through another entry host: ${verdict.resumed}`,
+    `  wasted prefill: ${formatPercent(wasted, verdict.prefillTokens)} of ${verdict.prefillTokens} ` +
+      `tokens (${verdict.unreceivedTokens} for undelivered answers, ` +
+      `${verdict.recomputedTokens} recomputed); cached: ${verdict.cachedTokens}`,
     '',
   ].join('\n');
 }
--- a/demo/_shape_run.ts
+++ b/demo/_shape_run.ts
@@ -1,5 +1,5 @@
 /**
- * One user's run: a fleet, mixed work in all tiers, a killed entry host.
+ * Runs mixed work of all tiers against a fleet, and kills an entry host midway.
  *
  * @module
  */
@@ -7,33 +7,33 @@
 import type { Fleet, FleetShape } from '../test/fleet/mod.js';
 import { SeededRandom } from '../test/support/fakes.js';
 import { Caller } from './_caller.js';
-import { runJourney } from './_journey.js';
-import type { Journey } from './_journey.js';
+import { sendWithRetries } from './_work_outcome.js';
+import type { WorkOutcome } from './_work_outcome.js';
 import { computeVerdict } from './_verdict.js';
 import type { Verdict } from './_verdict.js';
 import { WorkMix } from './_work.js';
 
-/** How the demo loads a fleet. */
+/** Load that the demo puts on a fleet. */
 export interface LoadShape {
   readonly seed: number;
   readonly durationMs: number;
   readonly arrivalsPerSecond: number;
-  /** Arrivals in the middle fifth come so many times as often. */
+  /** Factor by which the arrival rate rises in the middle fifth of the run. */
   readonly burstFactor: number;
-  /** All of the engines' durations are multiplied by it. */
+  /** Factor that scales all durations of the simulated engines. */
   readonly timeScale: number;
 }
 
 const ACCOUNT_COUNT = 3;
 const MS_PER_SECOND = 1000;
 const PROGRESS_INTERVAL_MS = 2000;
-const BURST_START = 0.4;
-const BURST_END = 0.6;
-const KILL_AT = 0.5;
+const BURST_START_FRACTION = 0.4;
+const BURST_END_FRACTION = 0.6;
+const KILL_FRACTION = 0.5;
 
-/** Sends the work and counts it. */
+/** Sends the work of one run and collects its outcomes. */
 class ShapeRun {
-  readonly #journeys: Journey[] = [];
+  readonly #outcomes: WorkOutcome[] = [];
 
   readonly #pending: Promise<void>[] = [];
 
@@ -57,9 +57,9 @@
     this.#callers = fleet.accounts.slice(0, ACCOUNT_COUNT).map((each) => new Caller(each, urls));
   }
 
-  async run(): Promise<readonly Journey[]> {
+  async run(): Promise<readonly WorkOutcome[]> {
     const progress = setInterval(() => this.#printProgress(), PROGRESS_INTERVAL_MS);
-    const kill = setTimeout(() => this.#killEntryHost(), this.load.durationMs * KILL_AT);
+    const kill = setTimeout(() => this.#killEntryHost(), this.load.durationMs * KILL_FRACTION);
     try {
       await this.#sendAll();
       await Promise.all(this.#pending);
@@ -68,10 +68,10 @@
       clearTimeout(kill);
     }
     this.#printProgress();
-    return this.#journeys;
+    return this.#outcomes;
   }
 
-  /** Open loop: arrivals don't wait for answers. */
+  /** Sends work as an open loop: arrivals don't wait for earlier answers. */
   async #sendAll(): Promise<void> {
     let nextMs = 0;
     while (nextMs < this.load.durationMs) {
@@ -88,16 +88,16 @@
 
   #sendOne(): void {
     const index = Math.floor(this.#random.nextFraction() * this.#callers.length);
-    const journey = runJourney(this.#callers[index] as Caller, this.#mix.buildNext());
+    const outcome = sendWithRetries(this.#callers[index] as Caller, this.#mix.buildNext());
     this.#pending.push(
-      journey.then((ended) => {
-        this.#journeys.push(ended);
+      outcome.then((ended) => {
+        this.#outcomes.push(ended);
       }),
     );
   }
 
   #pickIntervalMs(progress: number): number {
-    const isBurst = progress >= BURST_START && progress < BURST_END;
+    const isBurst = progress >= BURST_START_FRACTION && progress < BURST_END_FRACTION;
     const rate = this.load.arrivalsPerSecond * (isBurst ? this.load.burstFactor : 1);
     return (-Math.log(1 - this.#random.nextFraction()) / rate) * MS_PER_SECOND;
   }
@@ -110,11 +110,11 @@
 
   #printProgress(): void {
     const count = (kind: string): number =>
-      this.#journeys.filter((journey) => journey.endings.at(-1)?.kind === kind).length;
-    const waiting = this.#pending.length - this.#journeys.length;
+      this.#outcomes.filter((outcome) => outcome.requestOutcomes.at(-1)?.kind === kind).length;
+    const waiting = this.#pending.length - this.#outcomes.length;
     this.print(
       `${this.#formatTime()}  sent ${this.#pending.length}, answered ${count('answered')}, ` +
-        `refused ${count('refused')}, on the way ${waiting}`,
+        `refused ${count('refused')}, in flight ${waiting}`,
     );
   }
 
@@ -128,12 +128,12 @@
 }
 
 /**
- * Runs one user's work over a fleet of its own and ends the fleet.
+ * Starts a fleet, runs the shape's work against it and stops the fleet.
  *
- * @param shape - the user's shape
- * @param load - how much work
- * @param print - prints progress, a line each
- * @returns what was measured
+ * @param shape - the fleet's shape
+ * @param load - the load
+ * @param print - prints one line of progress
+ * @returns the results
  */
 export async function runShape(
   shape: FleetShape,
@@ -142,8 +142,8 @@
 ): Promise<Verdict> {
   const fleet = await startFleet({ shape, timeScale: load.timeScale, onProgress: print });
   try {
-    const journeys = await new ShapeRun(fleet, load, print).run();
-    return computeVerdict(journeys, await fleet.readRuns());
+    const outcomes = await new ShapeRun(fleet, load, print).run();
+    return computeVerdict(outcomes, await fleet.readRuns());
   } finally {
     await fleet.stop();
   }
--- a/demo/_work.ts
+++ b/demo/_work.ts
@@ -1,5 +1,5 @@
 /**
- * The demo's work: what the two users' teams send.
+ * Generates the demo's work: requests as the teams of the two example users send them.
  *
  * @module
  */
@@ -19,16 +19,17 @@
   readonly most: number;
 }
 
-/** How often a kind of work comes, and how long it is. */
-interface WorkShare {
+/** Frequency and lengths of one kind of work. */
+interface WorkProfile {
   readonly kind: string;
+  /** Relative frequency of this kind of work. */
   readonly share: number;
-  readonly streamed: boolean;
+  readonly isStreamed: boolean;
   readonly prompt: TokenRange;
   readonly output: TokenRange;
 }
 
-/** One piece of work, ready to be sent. */
+/** One piece of work, ready to send. */
 export interface Work {
   readonly number: number;
   readonly kind: string;
@@ -38,90 +39,90 @@
   readonly method: string;
   readonly path: string;
   readonly body: string | undefined;
-  /** Full cache blocks with which every prompt of this kind and length begins. */
+  /** Number of complete cache blocks in the prefix shared by prompts of this kind and length. */
   readonly prefixBlocks: number;
-  /** Whether an answer's body is whole and this work's own. */
-  readonly isAnsweredBy: (body: string) => boolean;
+  /** Whether a response body is the complete, expected answer to this work. */
+  readonly isCorrectAnswer: (body: string) => boolean;
 }
 
-/** The part of a piece of work that its service decides. */
-type WorkCall = Pick<Work, 'method' | 'path' | 'body' | 'prefixBlocks' | 'isAnsweredBy'>;
+/** The members of a piece of work that depend on the service it calls. */
+type WorkCall = Pick<Work, 'method' | 'path' | 'body' | 'prefixBlocks' | 'isCorrectAnswer'>;
 
 const CHARACTERS_PER_TOKEN = 4;
 const CHARACTERS_PER_BLOCK = 256;
 const MAX_PREFIX_CHARACTERS = 1024;
-const NOTHING: TokenRange = { least: 0, most: 0 };
+const NO_TOKENS: TokenRange = { least: 0, most: 0 };
 
-/** Prompts and answers differ in length a hundredfold. */
-const SHARES: Readonly<Record<string, readonly WorkShare[]>> = {
+/** Work of each example user, by shape name. Lengths of prompts and answers vary a hundredfold. */
+const WORK_PROFILES: Readonly<Record<string, readonly WorkProfile[]>> = {
   Moulinet: [
     {
       kind: 'summary',
       share: 45,
-      streamed: true,
+      isStreamed: true,
       prompt: { least: 40, most: 600 },
       output: { least: 4, most: 24 },
     },
     {
       kind: 'report',
       share: 15,
-      streamed: true,
+      isStreamed: true,
       prompt: { least: 400, most: 4000 },
       output: { least: 60, most: 400 },
     },
     {
       kind: 'classification',
       share: 20,
-      streamed: false,
+      isStreamed: false,
       prompt: { least: 500, most: 2000 },
       output: { least: 4, most: 16 },
     },
-    { kind: 'status', share: 15, streamed: false, prompt: NOTHING, output: NOTHING },
-    { kind: 'billing', share: 5, streamed: false, prompt: NOTHING, output: NOTHING },
+    { kind: 'status', share: 15, isStreamed: false, prompt: NO_TOKENS, output: NO_TOKENS },
+    { kind: 'billing', share: 5, isStreamed: false, prompt: NO_TOKENS, output: NO_TOKENS },
   ],
   Padmaraag: [
     {
       kind: 'lookup',
       share: 40,
-      streamed: true,
+      isStreamed: true,
       prompt: { least: 40, most: 400 },
       output: { least: 4, most: 24 },
     },
     {
       kind: 'clearance',
       share: 15,
-      streamed: true,
+      isStreamed: true,
       prompt: { least: 200, most: 1000 },
       output: { least: 30, most: 120 },
     },
     {
       kind: 'audit',
       share: 10,
-      streamed: true,
+      isStreamed: true,
       prompt: { least: 1000, most: 4000 },
       output: { least: 100, most: 400 },
     },
-    { kind: 'ping', share: 20, streamed: false, prompt: NOTHING, output: NOTHING },
-    { kind: 'notice', share: 15, streamed: false, prompt: NOTHING, output: NOTHING },
+    { kind: 'ping', share: 20, isStreamed: false, prompt: NO_TOKENS, output: NO_TOKENS },
+    { kind: 'notice', share: 15, isStreamed: false, prompt: NO_TOKENS, output: NO_TOKENS },
   ],
 };
 
-function pickShare(shares: readonly WorkShare[], random: SeededRandom): WorkShare {
-  const total = shares.reduce((sum, each) => sum + each.share, 0);
-  let point = random.nextFraction() * total;
-  const found = shares.find((each) => {
-    point -= each.share;
-    return point < 0;
+function pickProfile(profiles: readonly WorkProfile[], random: SeededRandom): WorkProfile {
+  const total = profiles.reduce((sum, each) => sum + each.share, 0);
+  let remaining = random.nextFraction() * total;
+  const found = profiles.find((each) => {
+    remaining -= each.share;
+    return remaining < 0;
   });
-  return found ?? (shares[0] as WorkShare);
+  return found ?? (profiles[0] as WorkProfile);
 }
 
-/** Short lengths are the most frequent: even on a scale of powers. */
+/** Draws a length from a log-uniform distribution, in which short lengths are most frequent. */
 function pickLength({ least, most }: TokenRange, random: SeededRandom): number {
   return Math.round(least * (most / least) ** random.nextFraction());
 }
 
-/** Prompts of a kind begin alike over half their length, so that caches can help. */
+/** Builds the prefix that prompts of a kind share: half of a prompt, so that caching pays off. */
 function buildPrefix(kind: string, tokens: number): string {
   const length = Math.min(MAX_PREFIX_CHARACTERS, (tokens * CHARACTERS_PER_TOKEN) / 2);
   return `You write for ${kind}. `.repeat(MAX_PREFIX_CHARACTERS).slice(0, length);
@@ -133,7 +134,7 @@
   return own.padEnd(tokens * CHARACTERS_PER_TOKEN, `damp ${number} `);
 }
 
-function readSseText(body: string): string {
+function readStreamText(body: string): string {
   return body
     .split('\n\n')
     .filter((event) => event.startsWith('data: {'))
@@ -150,17 +151,17 @@
   readonly choices: readonly { readonly message: { readonly content: string } }[];
 }
 
-function isWholeCompletion(body: string, streamed: boolean, expected: string): boolean {
-  if (streamed) return body.endsWith('data: [DONE]\n\n') && readSseText(body) === expected;
+function isCompleteAnswer(body: string, isStreamed: boolean, expected: string): boolean {
+  if (isStreamed) return body.endsWith('data: [DONE]\n\n') && readStreamText(body) === expected;
   return (JSON.parse(body) as Completion).choices[0]?.message.content === expected;
 }
 
-/** Builds one piece of work after another, the same for the same seed. */
+/** Generates a sequence of work that is determined by the seed. */
 export class WorkMix {
   #count = 0;
 
   /**
-   * @param shape - whose work
+   * @param shape - the fleet shape whose work to generate
    * @param random - the seeded generator
    */
   constructor(
@@ -171,31 +172,33 @@
   /** @returns the next piece of work */
   buildNext(): Work {
     this.#count += 1;
-    const share = pickShare(SHARES[this.shape.name] ?? [], this.random);
-    const facts = this.shape.contracts[0]?.work.find((each) => each.kind === share.kind);
-    if (!facts) throw new Error(`Cannot send work "${share.kind}": no contract names it`);
-    const { kind, tier, repeatable, deadlineMs } = facts;
+    const profile = pickProfile(WORK_PROFILES[this.shape.name] ?? [], this.random);
+    const contractWork = this.shape.contracts[0]?.work.find((each) => each.kind === profile.kind);
+    if (!contractWork) throw new Error(`Cannot send work "${profile.kind}": no contract names it`);
+    const { kind, tier, repeatable, deadlineMs } = contractWork;
     const common = { number: this.#count, kind, tier, repeatable, deadlineMs };
-    if (facts.service === this.shape.plainService) {
-      return { ...common, ...this.#buildPlain(facts.methods?.[0] === 'GET') };
+    if (contractWork.service === this.shape.plainService) {
+      return { ...common, ...this.#buildPlain(contractWork.methods?.[0] === 'GET') };
     }
-    return { ...common, ...this.#buildPrompt(share) };
+    return { ...common, ...this.#buildPrompt(profile) };
   }
 
-  #buildPrompt(share: WorkShare): WorkCall {
-    const promptTokens = pickLength(share.prompt, this.random);
-    const outputTokens = pickLength(share.output, this.random);
-    const text = buildPromptText(share.kind, this.#count, promptTokens);
+  #buildPrompt(profile: WorkProfile): WorkCall {
+    const promptTokens = pickLength(profile.prompt, this.random);
+    const outputTokens = pickLength(profile.output, this.random);
+    const text = buildPromptText(profile.kind, this.#count, promptTokens);
     const { model } = this.shape;
     const messages = [{ role: 'user', content: text }];
-    const { streamed } = share;
+    const { isStreamed } = profile;
     return {
       method: 'POST',
       path: '/v1/chat/completions',
-      body: JSON.stringify({ model, messages, stream: streamed, max_tokens: outputTokens }),
-      prefixBlocks: Math.floor(buildPrefix(share.kind, promptTokens).length / CHARACTERS_PER_BLOCK),
-      isAnsweredBy: (body) =>
-        isWholeCompletion(body, streamed, buildAnswerText(text, outputTokens)),
+      body: JSON.stringify({ model, messages, stream: isStreamed, max_tokens: outputTokens }),
+      prefixBlocks: Math.floor(
+        buildPrefix(profile.kind, promptTokens).length / CHARACTERS_PER_BLOCK,
+      ),
+      isCorrectAnswer: (body) =>
+        isCompleteAnswer(body, isStreamed, buildAnswerText(text, outputTokens)),
     };
   }
 
@@ -208,7 +211,7 @@
       path: `/v1/services/${this.shape.plainService}${path}?number=${number}`,
       body,
       prefixBlocks: 0,
-      isAnsweredBy: (answer) => {
+      isCorrectAnswer: (answer) => {
         const echo = JSON.parse(answer) as { query: string; body: string };
         return echo.query === `?number=${number}` && echo.body === (body ?? '');
       },
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,6 +1,6 @@
 /**
- * Program: the demo. `npm run demo` shows the whole path under load with an
- * entry host killed midway; `npm run demo -- --hold` holds the same fleet.
+ * Program `npm run demo`: runs a fleet under load, kills an entry host midway and checks that every
+ * guarantee holds. `npm run demo -- --hold` runs the same fleet without load until a signal.
  *
  * @module
  */
@@ -10,9 +10,9 @@
 import { formatVerdict } from './_report.js';
 import { runShape } from './_shape_run.js';
 import type { LoadShape } from './_shape_run.js';
-import { listBrokenPromises } from './_verdict.js';
+import { listViolations } from './_verdict.js';
 
-const LOAD: LoadShape = {
+const DEMO_LOAD: LoadShape = {
   seed: 42,
   durationMs: 14_000,
   arrivalsPerSecond: 30,
@@ -26,16 +26,16 @@
   process.stdout.write(`${line}\n`);
 }
 
-/** Runs both users' shapes, one after the other. */
+/** Runs both example users' shapes in turn. @returns one line per violated guarantee */
 async function runDemo(): Promise<string[]> {
-  const broken: string[] = [];
+  const violations: string[] = [];
   for (const shape of SHAPES) {
     print(`${shape.name} (${shape.region}: ${shape.availabilityZones.join(', ')})`);
-    const verdict = await runShape(shape, LOAD, print);
+    const verdict = await runShape(shape, DEMO_LOAD, print);
     print(formatVerdict(verdict));
-    broken.push(...listBrokenPromises(verdict).map((text) => `${shape.name}: ${text}`));
+    violations.push(...listViolations(verdict).map((text) => `${shape.name}: ${text}`));
   }
-  return broken;
+  return violations;
 }
 
 const { values } = parseArgs({
@@ -49,8 +49,8 @@
   const shape = SHAPES.find((each) => each.name.toLowerCase() === values.shape.toLowerCase());
   await runHold(shape ?? MOULINET);
 } else {
-  const broken = await runDemo();
-  broken.forEach((text) => print(`promise broken: ${text}`));
-  if (broken.length === 0) print('every promise was kept');
-  process.exitCode = broken.length === 0 ? 0 : 1;
+  const violations = await runDemo();
+  violations.forEach((text) => print(`guarantee violated: ${text}`));
+  if (violations.length === 0) print('no guarantee was violated');
+  process.exitCode = violations.length === 0 ? 0 : 1;
 }
--- a/demo/main_test.ts
+++ b/demo/main_test.ts
@@ -43,7 +43,7 @@
   return [...entryHosts, ...backendServers, platform].map((each) => each.pid);
 }
 
-t.test('demo --hold prints its fleet and leaves nothing behind at SIGINT', async (t) => {
+t.test('demo --hold prints its fleet and stops all its processes at SIGINT', async (t) => {
   const child = startHold();
   const line = await readHoldLine(child);
   t.equal(line.entryHosts.length, 3);
@@ -61,10 +61,9 @@
   t.notOk(listPids(line).some(hasProcess));
 });
 
-// Symptom: entry hosts and stand-ins stay behind and hold their ports.
-// Sequence: the demo starts its processes and is killed by SIGKILL.
-// Cause: a killed starter can end nothing itself.
-t.test('demo --hold leaves nothing behind when it is killed', async () => {
+// Guards against entry hosts and stand-ins that outlive the demo and occupy their ports. A process
+// that is killed by SIGKILL can't stop its children itself.
+t.test('the processes of demo --hold exit when it is killed', async () => {
   const child = startHold();
   const pids = listPids(await readHoldLine(child));
   child.kill('SIGKILL');
