--- a/bench/_call.ts
+++ b/bench/_call.ts
@@ -1,24 +1,24 @@
 /**
- * One timed HTTP call.
+ * Sends HTTP calls and measures their response times.
  *
  * @module
  */
 import http from 'node:http';
 import { performance } from 'node:perf_hooks';
 
-/** What to send. */
+/** An HTTP call to send. */
 export interface TimedCall {
   readonly url: string;
   readonly method?: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
   readonly agent: http.Agent;
-  /** Longest time, in milliseconds. Default: 60 s. */
+  /** Timeout in milliseconds. Default: 60 s. */
   readonly limitMs?: number;
 }
 
-/** What came back; times in milliseconds from the start of the call. */
-export interface TimedAnswer {
+/** A response with its times in milliseconds since the start of the call. */
+export interface TimedResponse {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly text: string;
@@ -26,23 +26,23 @@
   readonly totalMs: number;
 }
 
-const DEFAULT_LIMIT_MS = 60_000;
+const DEFAULT_TIMEOUT_MS = 60_000;
 
 /**
  * Sends one call.
  *
- * @param call - what to send
- * @returns the answer, whatever its status
- * @throws Error when the connection breaks or the time is over
+ * @param call - the call to send
+ * @returns the response with any status
+ * @throws Error when the connection breaks or the timeout expires
  */
-export function sendTimed(call: TimedCall): Promise<TimedAnswer> {
+export function sendTimed(call: TimedCall): Promise<TimedResponse> {
   return new Promise((resolve, reject) => {
     const startMs = performance.now();
     const request = http.request(call.url, {
       method: call.method ?? 'GET',
       headers: call.headers,
       agent: call.agent,
-      signal: AbortSignal.timeout(call.limitMs ?? DEFAULT_LIMIT_MS),
+      signal: AbortSignal.timeout(call.limitMs ?? DEFAULT_TIMEOUT_MS),
     });
     request.on('error', reject);
     request.on('response', (response) => {
@@ -70,22 +70,22 @@
 /**
  * Sends one call that must succeed.
  *
- * @param call - what to send
- * @returns the answer
+ * @param call - the call to send
+ * @returns the response
  * @throws Error when its status is not 200
  */
-export async function sendGood(call: TimedCall): Promise<TimedAnswer> {
-  const answer = await sendTimed(call);
-  if (answer.status !== 200) {
-    throw new Error(`Cannot measure ${call.url}: ${answer.status} ${answer.text}`);
+export async function sendExpectingOk(call: TimedCall): Promise<TimedResponse> {
+  const response = await sendTimed(call);
+  if (response.status !== 200) {
+    throw new Error(`Cannot measure ${call.url}: ${response.status} ${response.text}`);
   }
-  return answer;
+  return response;
 }
 
 /**
- * Creates an agent that keeps its connections.
+ * Creates an agent that reuses its connections.
  *
- * @returns the agent; it must be destroyed
+ * @returns the agent; the caller must destroy it
  */
 export function createAgent(): http.Agent {
   return new http.Agent({ keepAlive: true });
--- a/bench/_caller_call.ts
+++ b/bench/_caller_call.ts
@@ -1,20 +1,20 @@
 /**
- * Calls through entry hosts, as the benches make them.
+ * Sends calls through entry hosts on behalf of the benches.
  *
  * @module
  */
 import type http from 'node:http';
 import type { ClientAccount, EntryHost, Fleet } from '../test/fleet/mod.js';
-import { sendGood } from './_call.js';
-import type { TimedAnswer } from './_call.js';
+import { sendExpectingOk } from './_call.js';
+import type { TimedResponse } from './_call.js';
 
-/** Who calls. */
-export interface CallerSettings {
+/** The client account and HTTP agent that calls are sent with. */
+export interface CallerContext {
   readonly account: ClientAccount;
   readonly agent: http.Agent;
 }
 
-/** A plain call. */
+/** A call to a plain service. */
 export interface PlainCall {
   readonly service: string;
   readonly method: string;
@@ -24,6 +24,8 @@
 }
 
 /**
+ * Returns the client account that benches call with.
+ *
  * @param fleet - a running fleet
  * @returns its first account
  */
@@ -32,36 +34,36 @@
 }
 
 /**
- * Asks for an ID.
+ * Obtains a request ID.
  *
- * @param host - whom to ask, who becomes the owner
- * @param caller - who asks
+ * @param host - the entry host that issues the ID and becomes its owner
+ * @param caller - the account and agent to use
  * @returns the ID
  */
-export async function acquireRequestId(host: EntryHost, caller: CallerSettings): Promise<string> {
-  const answer = await sendGood({
+export async function acquireRequestId(host: EntryHost, caller: CallerContext): Promise<string> {
+  const response = await sendExpectingOk({
     url: `${host.url}/v1/requests`,
     method: 'POST',
     headers: { authorization: `Bearer ${caller.account.apiKey}` },
     agent: caller.agent,
   });
-  return (JSON.parse(answer.text) as { id: string }).id;
+  return (JSON.parse(response.text) as { id: string }).id;
 }
 
 /**
  * Sends a plain call through an entry host.
  *
- * @param host - which entry host
- * @param call - what to send
- * @param caller - who sends
- * @returns its timed answer
+ * @param host - the entry host to call
+ * @param call - the call to send
+ * @param caller - the account and agent to use
+ * @returns the timed response
  */
 export function sendPlain(
   host: EntryHost,
   call: PlainCall,
-  caller: CallerSettings,
-): Promise<TimedAnswer> {
-  return sendGood({
+  caller: CallerContext,
+): Promise<TimedResponse> {
+  return sendExpectingOk({
     url: `${host.url}/v1/services/${call.service}${call.path}`,
     method: call.method,
     headers: {
--- a/bench/_capacity_point.ts
+++ b/bench/_capacity_point.ts
@@ -1,30 +1,31 @@
 /**
- * One measured point of a slope, over all entry hosts of a fleet.
+ * Measures the resource usage of a fleet's entry hosts and fits lines through the measured points.
  *
  * @module
  */
 import type { Fleet } from '../test/fleet/mod.js';
 import type { BenchResult } from './bench.js';
-import { computeRates, readMetricSum, readProcessUse, waitMs } from './_entry_host_probe.js';
-import { computeLine, computeMean } from './_statistics.js';
+import { computeRates, readMetricSum, readProcessUsage, sleep } from './_entry_host_probe.js';
+import { fitLine, computeMean } from './_statistics.js';
 
 const SETTLE_MS = 500;
 
-/** Means over the entry hosts; rates a second. */
+/** Usage at one load: means over the entry hosts. */
 export interface CapacityPoint {
+  /** Value on the load axis. */
   readonly x: number;
   readonly hosts: number;
-  /** Part of one core. */
+  /** Fraction of one core. */
   readonly cpuShare: number;
   readonly mostCpuShare: number;
   readonly residentBytes: number;
   readonly sentMessagesPerSecond: number;
-  /** Through write calls of the process, as the kernel counts them. */
+  /** Bytes through write calls of the process, as counted by the kernel. */
   readonly writtenBytesPerSecond: number;
   readonly readBytesPerSecond: number;
 }
 
-const FIELDS = [
+const COLUMNS = [
   ['cpuShare', '% of a core', 100],
   ['residentBytes', 'resident MiB', 1 / 2 ** 20],
   ['sentMessagesPerSecond', 'messages sent/s', 1],
@@ -33,30 +34,30 @@
 ] as const;
 
 /**
- * Reads all entry hosts before and after something.
+ * Measures the usage of all entry hosts while an action runs.
  *
  * @param fleet - a running fleet
- * @param x - where on the axis the point lies
- * @param act - what happens in between
+ * @param x - value on the load axis
+ * @param action - the action to measure
  * @returns the point
  */
-export async function readCapacityPoint(
+export async function measureCapacityPoint(
   fleet: Fleet,
   x: number,
-  act: () => Promise<void>,
+  action: () => Promise<void>,
 ): Promise<CapacityPoint> {
   const hosts = fleet.entryHosts;
-  // The pages of metrics are larger than a second of control, so they are read
-  // outside the stretch in which bytes are counted.
-  const sentBefore = await readSent(fleet);
+  // A metrics page is larger than one second of control messages, so it is read before and after
+  // the interval in which bytes are counted.
+  const sentBefore = await sumSentMessages(fleet);
   const startMs = performance.now();
-  await waitMs(SETTLE_MS);
-  const before = hosts.map(({ pid }) => readProcessUse(pid));
-  await act();
-  const after = hosts.map(({ pid }) => readProcessUse(pid));
-  const sentAfter = await readSent(fleet);
+  await sleep(SETTLE_MS);
+  const before = hosts.map(({ pid }) => readProcessUsage(pid));
+  await action();
+  const after = hosts.map(({ pid }) => readProcessUsage(pid));
+  const sentAfter = await sumSentMessages(fleet);
   const seconds = (performance.now() - startMs) / 1000;
-  const rates = before.map((use, index) => computeRates(use, after[index] as typeof use));
+  const rates = before.map((usage, index) => computeRates(usage, after[index] as typeof usage));
   return {
     x,
     hosts: hosts.length,
@@ -70,41 +71,41 @@
 }
 
 /**
- * Builds the result of a slope bench.
+ * Builds the result of a capacity bench.
  *
- * @param unit - what the axis counts
+ * @param unit - unit of the load axis
  * @param points - the measured points
- * @param settings - what is needed to repeat them
- * @returns table with slopes and raw figures
+ * @param settings - settings needed to repeat the bench
+ * @returns a table with fitted slopes, and the raw figures
  */
 export function buildCapacityResult(
   unit: string,
   points: readonly CapacityPoint[],
   settings: BenchResult['settings'],
 ): BenchResult {
-  const lines = FIELDS.map(([field, , factor]) =>
-    computeLine(points.map((point) => ({ x: point.x, y: point[field] * factor }))),
+  const fits = COLUMNS.map(([field, , factor]) =>
+    fitLine(points.map((point) => ({ x: point.x, y: point[field] * factor }))),
   );
   return {
     settings,
-    head: [unit, ...FIELDS.map(([, title]) => title)],
+    head: [unit, ...COLUMNS.map(([, title]) => title)],
     rows: [
       ...points.map((point) => [
         String(point.x),
-        ...FIELDS.map(([field, , factor]) => point[field] * factor),
+        ...COLUMNS.map(([field, , factor]) => point[field] * factor),
       ]),
-      ['slope', ...lines.map(({ slope }) => slope)],
-      ['intercept', ...lines.map(({ intercept }) => intercept)],
-      ['r²', ...lines.map(({ r2 }) => r2)],
+      ['slope', ...fits.map(({ slope }) => slope)],
+      ['intercept', ...fits.map(({ intercept }) => intercept)],
+      ['r²', ...fits.map(({ r2 }) => r2)],
     ],
     figures: {
       points,
-      lines: Object.fromEntries(FIELDS.map(([field], index) => [field, lines[index]])),
+      lines: Object.fromEntries(COLUMNS.map(([field], index) => [field, fits[index]])),
     },
   };
 }
 
-async function readSent(fleet: Fleet): Promise<number> {
+async function sumSentMessages(fleet: Fleet): Promise<number> {
   const counts = await Promise.all(
     fleet.entryHosts.map((host) => readMetricSum(host, 'peer_messages_sent_total')),
   );
--- a/bench/_entry_host_probe.ts
+++ b/bench/_entry_host_probe.ts
@@ -1,5 +1,5 @@
 /**
- * What benches read from an entry host and from its process.
+ * Reads the metrics and administration API of an entry host, and the resource usage of its process.
  *
  * @module
  */
@@ -14,38 +14,40 @@
 const STIME_FIELD = 12;
 const RESIDENT_FIELD = 1;
 
-/** What a process has used so far. */
-export interface ProcessUse {
+/** Cumulative resource usage of a process. */
+export interface ProcessUsage {
+  /** Time of the reading. */
   readonly atMs: number;
   readonly cpuSeconds: number;
   readonly residentBytes: number;
-  /** Bytes through read calls: sockets above all, as the kernel counts them. */
+  /** Bytes through read calls, mostly of sockets, as counted by the kernel. */
   readonly readBytes: number;
-  /** Bytes through write calls: sockets and log lines. */
+  /** Bytes through write calls of sockets and log lines. */
   readonly writtenBytes: number;
 }
 
-/** Use a second between two readings. */
-export interface ProcessRate {
+/** Rates between two readings. */
+export interface UsageRate {
+  /** Fraction of one core. */
   readonly cpuShare: number;
   readonly readBytesPerSecond: number;
   readonly writtenBytesPerSecond: number;
   readonly residentBytes: number;
 }
 
-/** A gauge or counter with its labels. */
+/** One series of a gauge or counter. */
 export interface MetricSample {
   readonly labels: string;
   readonly value: number;
 }
 
 /**
- * Reads what a process has used, from `/proc`.
+ * Reads the resource usage of a process from `/proc`.
  *
- * @param pid - which process
- * @returns its use
+ * @param pid - the process ID
+ * @returns its usage so far
  */
-export function readProcessUse(pid: number): ProcessUse {
+export function readProcessUsage(pid: number): ProcessUsage {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   const statm = readFileSync(`/proc/${pid}/statm`, 'utf8').split(' ');
@@ -61,13 +63,13 @@
 }
 
 /**
- * Computes use a second.
+ * Computes the rates between two readings.
  *
  * @param before - first reading
  * @param after - second reading
- * @returns rates; the memory is that of the second reading
+ * @returns the rates, with the resident memory of the second reading
  */
-export function computeRates(before: ProcessUse, after: ProcessUse): ProcessRate {
+export function computeRates(before: ProcessUsage, after: ProcessUsage): UsageRate {
   const seconds = (after.atMs - before.atMs) / 1000;
   return {
     cpuShare: (after.cpuSeconds - before.cpuSeconds) / seconds,
@@ -78,10 +80,10 @@
 }
 
 /**
- * Reads a page of the administration API.
+ * Reads a resource of the administration API.
  *
- * @param host - which entry host
- * @param path - such as `/v1/configuration`
+ * @param host - the entry host
+ * @param path - path such as `/v1/configuration`
  * @returns the decoded JSON
  */
 export function readAdmin<T>(host: EntryHost, path: string): Promise<T> {
@@ -93,27 +95,27 @@
 /**
  * Reads one metric of an entry host.
  *
- * @param host - which entry host
- * @param name - its name, without the common prefix
+ * @param host - the entry host
+ * @param name - the metric's name without the common prefix
  * @returns all its series
  */
 export async function readMetric(host: EntryHost, name: string): Promise<readonly MetricSample[]> {
-  const answer = await sendControl(`${host.adminUrl}/metrics`, {
+  const response = await sendControl(`${host.adminUrl}/metrics`, {
     headers: { authorization: `Bearer ${ADMIN_KEY}` },
   });
   const pattern = new RegExp(`^monsoonhall_${name}(\\{[^}]*\\})? (\\S+)$`, 'gm');
-  return [...answer.text.matchAll(pattern)].map((match) => ({
+  return [...response.text.matchAll(pattern)].map((match) => ({
     labels: match[1] ?? '',
     value: Number(match[2]),
   }));
 }
 
 /**
- * Adds up all series of a metric.
+ * Sums all series of a metric.
  *
- * @param host - which entry host
- * @param name - its name, without the common prefix
- * @returns the sum; 0 when there is no series
+ * @param host - the entry host
+ * @param name - the metric's name without the common prefix
+ * @returns the sum; 0 if there is no series
  */
 export async function readMetricSum(host: EntryHost, name: string): Promise<number> {
   const samples = await readMetric(host, name);
@@ -121,12 +123,12 @@
 }
 
 /**
- * Waits.
+ * Waits for a duration.
  *
- * @param durationMs - how long, in milliseconds
- * @returns when it is over
+ * @param durationMs - duration in milliseconds
+ * @returns a promise that resolves after the duration
  */
-export function waitMs(durationMs: number): Promise<void> {
+export function sleep(durationMs: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, durationMs);
   });
--- a/bench/_many_backends.ts
+++ b/bench/_many_backends.ts
@@ -1,5 +1,5 @@
 /**
- * A fleet document with many engines, which share a few processes.
+ * Starts many simulated engines in a few processes and publishes a fleet document that lists them.
  *
  * @module
  */
@@ -12,19 +12,19 @@
 import type { BackendServerDocument, Fleet } from '../test/fleet/mod.js';
 import { readAdmin } from './_entry_host_probe.js';
 
-const IN_FORCE_LIMIT_MS = 10_000;
+const APPLY_TIMEOUT_MS = 10_000;
 const ENGINES_PER_PROCESS = 100;
-const PROGRAM = fileURLToPath(new URL('../standin/engines_main.js', import.meta.url));
+const ENGINES_PROGRAM = fileURLToPath(new URL('../standin/engines_main.js', import.meta.url));
 
-/** Engines in processes of their own; they must be stopped. */
-export class ManyEngines {
+/** Simulated engines in child processes, which must be stopped after use. */
+export class EngineProcesses {
   readonly #children: ChildProcess[] = [];
 
   /**
    * Starts engines.
    *
-   * @param count - how many
-   * @param service - which service they serve
+   * @param count - number of engines
+   * @param service - ID of the service they serve
    * @returns their base URLs
    */
   async start(count: number, service: string): Promise<readonly string[]> {
@@ -40,7 +40,7 @@
     return urls;
   }
 
-  /** Ends every process that was started here. */
+  /** Kills every process that this instance started. */
   async stop(): Promise<void> {
     await Promise.all(
       this.#children.map(async (child) => {
@@ -53,7 +53,7 @@
   }
 
   async #startProcess(engines: string): Promise<readonly string[]> {
-    const child = spawn(process.execPath, [PROGRAM, '--engines', engines], {
+    const child = spawn(process.execPath, [ENGINES_PROGRAM, '--engines', engines], {
       stdio: ['pipe', 'pipe', 'inherit'],
     });
     this.#children.push(child);
@@ -65,13 +65,13 @@
 }
 
 /**
- * Publishes a fleet document with other engines than the fleet's own, and
- * waits until it is in force everywhere.
+ * Publishes a fleet document that replaces the fleet's own engines, and waits until it is in effect
+ * on every entry host.
  *
  * @param fleet - a running fleet
  * @param urls - base URLs of the engines
  */
-export async function publishManyBackends(fleet: Fleet, urls: readonly string[]): Promise<void> {
+export async function publishEngines(fleet: Fleet, urls: readonly string[]): Promise<void> {
   const { shape, dispatchGroupSize } = fleet.parts.options;
   const zones = shape.availabilityZones;
   const backendServers = urls.map((url, index): BackendServerDocument => ({
@@ -98,7 +98,7 @@
     ],
     engineKinds: ENGINE_KINDS,
   });
-  const isInForce = async (): Promise<boolean> => {
+  const isInEffect = async (): Promise<boolean> => {
     const states = await Promise.all(
       fleet.entryHosts.map((host) =>
         readAdmin<{ revision: number; rejected: readonly unknown[] }>(host, '/v1/configuration'),
@@ -106,8 +106,8 @@
     );
     return states.every((state) => state.revision >= revision && state.rejected.length === 0);
   };
-  await waitUntil(isInForce, {
+  await waitUntil(isInEffect, {
     subject: `${urls.length} backend servers`,
-    limitMs: IN_FORCE_LIMIT_MS,
+    limitMs: APPLY_TIMEOUT_MS,
   });
 }
--- a/bench/_overload_cases.ts
+++ b/bench/_overload_cases.ts
@@ -1,45 +1,45 @@
 /**
- * The cases of the overload experiment.
+ * Defines the cases of the overload bench.
  *
  * @module
  */
 import { LinkFault } from '../test/fleet/mod.js';
 import type { Fleet } from '../test/fleet/mod.js';
 
-/** Something that is done to the fleet while the load runs. */
+/** An action on the fleet, such as a fault, while the load runs. */
 export interface CaseAction {
-  /** When, as a part of the counted time. */
-  readonly atShare: number;
+  /** Start time as a fraction of the measured time, which excludes the warm-up. */
+  readonly atFraction: number;
   readonly run: (fleet: Fleet) => Promise<void> | void;
 }
 
-/** One case. */
+/** One combination of load and faults. */
 export interface OverloadCase {
   readonly name: string;
-  /** Parts of the counted time and the load in multiples of capacity. */
+  /** Phases as fractions of the measured time, with the load in multiples of the capacity. */
   readonly phases: readonly { readonly share: number; readonly multiple: number }[];
   readonly actions: readonly CaseAction[];
-  /** Whether the links between entry hosts must stand behind proxies, which run in this process. */
-  readonly cutsPeers: boolean;
+  /** Whether the links between entry hosts must go through proxies, which run in this process. */
+  readonly mustProxyPeers: boolean;
 }
 
 const SLOW_FACTOR = 10;
 const FAULT_MULTIPLE = 0.9;
 
 function buildSteady(name: string, multiple: number): OverloadCase {
-  return { name, phases: [{ share: 1, multiple }], actions: [], cutsPeers: false };
+  return { name, phases: [{ share: 1, multiple }], actions: [], mustProxyPeers: false };
 }
 
 function buildFaulty(name: string, actions: readonly CaseAction[]): OverloadCase {
   const phases = [{ share: 1, multiple: FAULT_MULTIPLE }];
-  return { name, phases, actions, cutsPeers: false };
+  return { name, phases, actions, mustProxyPeers: false };
 }
 
 function setPeerFault(fault: LinkFault): (fleet: Fleet) => void {
   return (fleet) => fleet.entryHosts.forEach((host) => host.proxy?.setFault(fault));
 }
 
-/** All cases, in the order of the pages. */
+/** All cases in the order in which they run. */
 export const OVERLOAD_CASES: readonly OverloadCase[] = [
   buildSteady('unloaded-0.2', 0.2),
   buildSteady('steady-0.7', 0.7),
@@ -53,29 +53,29 @@
       { share: 0.4, multiple: 0.7 },
     ],
     actions: [],
-    cutsPeers: false,
+    mustProxyPeers: false,
   },
   buildFaulty('slow-engine', [
     {
-      atShare: 0.25,
+      atFraction: 0.25,
       run: (fleet) => fleet.setFault('engine-1', { kind: 'slow', factor: SLOW_FACTOR }),
     },
-    { atShare: 0.75, run: (fleet) => fleet.setFault('engine-1', { kind: 'none' }) },
+    { atFraction: 0.75, run: (fleet) => fleet.setFault('engine-1', { kind: 'none' }) },
   ]),
   buildFaulty('entry-killed', [
-    { atShare: 0.35, run: (fleet) => fleet.findEntryHost('entry-3').kill('SIGKILL') },
+    { atFraction: 0.35, run: (fleet) => fleet.findEntryHost('entry-3').kill('SIGKILL') },
   ]),
-  // Each link between entry hosts is cut: every one of them is alone.
+  // Cuts every link between entry hosts, so that each of them is isolated.
   {
     ...buildFaulty('partition', [
-      { atShare: 0.35, run: setPeerFault(LinkFault.Cut) },
-      { atShare: 0.7, run: setPeerFault(LinkFault.None) },
+      { atFraction: 0.35, run: setPeerFault(LinkFault.Cut) },
+      { atFraction: 0.7, run: setPeerFault(LinkFault.None) },
     ]),
-    cutsPeers: true,
+    mustProxyPeers: true,
   },
-  // The list is frozen, then shows a host as live that is dead.
+  // Freezes the host list and then kills a host, which the list keeps showing as live.
   buildFaulty('stale-host-list', [
-    { atShare: 0.2, run: (fleet) => fleet.hostList.operator.setFault({ kind: 'stale' }) },
-    { atShare: 0.35, run: (fleet) => fleet.findEntryHost('entry-4').kill('SIGKILL') },
+    { atFraction: 0.2, run: (fleet) => fleet.hostList.operator.setFault({ kind: 'stale' }) },
+    { atFraction: 0.35, run: (fleet) => fleet.findEntryHost('entry-4').kill('SIGKILL') },
   ]),
 ];
--- a/bench/_overload_plan.ts
+++ b/bench/_overload_plan.ts
@@ -1,5 +1,5 @@
 /**
- * The mix of both users' shapes, and how much of it the engines can do.
+ * Builds the load plan of an overload case, and estimates the capacity of the engines for it.
  *
  * @module
  */
@@ -8,7 +8,10 @@
 import { buildApiKey, ENGINE_KINDS } from '../test/fleet/mod.js';
 import type { FleetShape } from '../test/fleet/mod.js';
 
-/** Phase that lets caches, windows and speeds be learnt; not counted by tier. */
+/**
+ * Name of the first phase, in which caches fill and entry hosts learn windows and speeds. The
+ * results by tier exclude it.
+ */
 export const WARM_UP_PHASE = 'warm-up';
 
 const WARM_UP_SECONDS = 5;
@@ -16,26 +19,26 @@
 const URGENT_DEADLINE_MS = 5_000;
 const STANDARD_DEADLINE_MS = 15_000;
 const BATCH_DEADLINE_MS = 25_000;
-/** Callers wait this long past the deadline, so that only silence counts as a loss. */
-const GRACE_MS = 20_000;
-/** A full batch's step takes nearly twice as long as that of one stream. */
-const FULL_BATCH_GROWTH = 1;
+/** Time that callers wait past the deadline, so that only missing responses count as lost. */
+const RESPONSE_GRACE_MS = 20_000;
+/** Added relative duration of a full batch's step: nearly twice that of a single stream. */
+const FULL_BATCH_OVERHEAD = 1;
 
-/** What a plan is built from. */
+/** Inputs of a plan. */
 export interface OverloadPlanOptions {
   readonly shape: FleetShape;
   readonly engineCount: number;
-  /** All of the engines' durations are multiplied by it. */
+  /** Factor that scales all durations of the simulated engines. */
   readonly timeScale: number;
-  /** Phases after the warm-up, in multiples of the capacity. */
+  /** Phases after the warm-up, with the load in multiples of the capacity. */
   readonly phases: readonly { readonly seconds: number; readonly multiple: number }[];
 }
 
 /**
- * Builds the plan of one case.
+ * Builds the load plan of one case.
  *
  * @param options - shape, engines and phases
- * @returns the plan, with the capacity that its multiples refer to
+ * @returns the plan with the estimated capacity to which its multiples refer
  */
 export function buildOverloadPlan(options: OverloadPlanOptions): LoadPlan {
   const work = buildWork(options.shape);
@@ -45,9 +48,9 @@
     work,
   });
   return parseLoadPlan({
-    capacityRequestsPerSecond: computeCapacity(plan.work, options),
+    capacityRequestsPerSecond: estimateCapacity(plan.work, options),
     checksAnswers: true,
-    graceMs: GRACE_MS,
+    graceMs: RESPONSE_GRACE_MS,
     callersPerAccount: 8,
     phases: [
       { name: WARM_UP_PHASE, seconds: WARM_UP_SECONDS, capacityMultiple: WARM_UP_MULTIPLE },
@@ -66,7 +69,7 @@
   });
 }
 
-/** Lengths are a hundredfold apart; a status ping is one line without tokens. */
+/** Builds a mix of work whose lengths vary a hundredfold; pings and notices have no tokens. */
 function buildWork(shape: FleetShape): LoadPlanDocument['work'] {
   const [urgent, standard, batch, ping, notice] =
     shape.contracts[0]?.work.map(({ kind }) => kind) ?? [];
@@ -135,12 +138,11 @@
 }
 
 /**
- * Computes how many requests a second the engines can do: a step prefills a
- * chunk and decodes a token of each stream, one after the other, so that the
- * engine time of a request is its prefill time plus its part of a full batch's
+ * Estimates the engines' capacity in requests per second. A step prefills one chunk and then decodes
+ * one token of each stream, so a request takes its prefill time plus its share of a full batch's
  * steps. Shared prefixes count as cached.
  */
-function computeCapacity(work: readonly LoadWork[], options: OverloadPlanOptions): number {
+function estimateCapacity(work: readonly LoadWork[], options: OverloadPlanOptions): number {
   const totalShare = work.reduce((sum, each) => sum + each.share, 0);
   const model = work.filter((each) => each.model !== undefined);
   const outputTokens = computeWeightedMean(model, (each) => computeMeanLength(each.outputTokens));
@@ -153,22 +155,22 @@
     (_, index) => ENGINE_KINDS[index % ENGINE_KINDS.length] as (typeof ENGINE_KINDS)[number],
   );
   const perSecond = kinds.reduce((sum, kind) => {
-    const growth = 1 + (FULL_BATCH_GROWTH * (kind.slots - 1)) / kind.slots;
+    const growth = 1 + (FULL_BATCH_OVERHEAD * (kind.slots - 1)) / kind.slots;
     const decodeSeconds = (outputTokens * growth) / (kind.decodeTokensPerSecond * kind.slots);
     return sum + 1 / (decodeSeconds + prefillTokens / kind.prefillTokensPerSecond);
   }, 0);
-  return (perSecond * totalShare) / computeShareSum(model) / options.timeScale;
+  return (perSecond * totalShare) / sumShares(model) / options.timeScale;
 }
 
-/** Mean of a log-uniform length. */
+/** Computes the mean of a log-uniform length distribution. */
 function computeMeanLength([low, high]: readonly [number, number]): number {
   return low === high ? low : (high - low) / Math.log(high / low);
 }
 
-function computeShareSum(work: readonly LoadWork[]): number {
+function sumShares(work: readonly LoadWork[]): number {
   return work.reduce((sum, each) => sum + each.share, 0);
 }
 
 function computeWeightedMean(work: readonly LoadWork[], pick: (each: LoadWork) => number): number {
-  return work.reduce((sum, each) => sum + pick(each) * each.share, 0) / computeShareSum(work);
+  return work.reduce((sum, each) => sum + pick(each) * each.share, 0) / sumShares(work);
 }
--- a/bench/_overload_run.ts
+++ b/bench/_overload_run.ts
@@ -1,5 +1,5 @@
 /**
- * One run of one case with one strategy and one seed.
+ * Runs one overload case with one strategy and one seed.
  *
  * @module
  */
@@ -13,15 +13,15 @@
 
 const MS_PER_SECOND = 1000;
 
-/** What a run is made of. */
+/** Settings of a run. */
 export interface OverloadRunOptions {
   readonly shape: FleetShape;
   readonly overloadCase: OverloadCase;
-  /** Names the run in the report, such as the strategy. */
+  /** Label of the run in the report, such as the strategy. */
   readonly label: string;
   readonly entryHostFlags: readonly string[];
   readonly seed: number;
-  /** Counted time, without the warm-up. */
+  /** Measured time in seconds, without the warm-up. */
   readonly seconds: number;
   readonly entryHostCount: number;
   readonly engineCount: number;
@@ -30,10 +30,10 @@
 }
 
 /**
- * Starts a fleet of its own, runs the case, and reads the engines' records.
+ * Starts a fleet, runs the case's load and actions, and reads the engines' run records.
  *
- * @param options - what the run is made of
- * @returns its figures
+ * @param options - settings of the run
+ * @returns the load report
  */
 export async function runOverloadCase(options: OverloadRunOptions): Promise<LoadReport> {
   const { overloadCase, engineCount, timeScale, seconds } = options;
@@ -55,7 +55,7 @@
     timeScale,
     dispatchGroupSize: options.dispatchGroupSize,
     entryHostFlags: ['--log-level', 'warn', ...options.entryHostFlags],
-    proxied: { peers: overloadCase.cutsPeers },
+    proxied: { peers: overloadCase.mustProxyPeers },
   });
   const warmUpMs = (plan.phases[0]?.seconds ?? 0) * MS_PER_SECOND;
   const timers = scheduleActions(fleet, options, warmUpMs);
@@ -83,11 +83,13 @@
     setTimeout(
       () => {
         Promise.resolve(action.run(fleet)).catch((error: unknown) => {
-          process.stderr.write(`Cannot bring about ${overloadCase.name}: ${String(error)}\n`);
+          process.stderr.write(
+            `Cannot run an action of case ${overloadCase.name}: ${String(error)}\n`,
+          );
           process.exitCode = 1;
         });
       },
-      warmUpMs + action.atShare * seconds * MS_PER_SECOND,
+      warmUpMs + action.atFraction * seconds * MS_PER_SECOND,
     ),
   );
 }
--- a/bench/_overload_summary.ts
+++ b/bench/_overload_summary.ts
@@ -1,5 +1,5 @@
 /**
- * Runs of one case and one label over several seeds, side by side.
+ * Summarizes the runs of one case and label over several seeds.
  *
  * @module
  */
@@ -8,27 +8,27 @@
 
 const PERCENT = 100;
 
-/** A mean with its spread over the seeds. */
+/** Mean, minimum and maximum over the seeds. */
 export interface Spread {
   readonly mean: number;
   readonly least: number;
   readonly most: number;
 }
 
-/** Figures of one case and one label. */
+/** Results of one case and label. */
 export interface OverloadSummary {
   readonly caseName: string;
   readonly label: string;
   readonly seeds: number;
-  /** Goodput by tier in percent of the offered. */
+  /** Goodput by tier, in percent of the offered requests. */
   readonly goodput: Readonly<Record<string, Spread>>;
-  /** Answers within their deadline, all tiers. */
+  /** Number of answers within their deadline, over all tiers. */
   readonly inDeadline: Spread;
   /** Output tokens of answers within their deadline. */
   readonly goodTokens: Spread;
   readonly wastedPrefillPercent: Spread;
   readonly unreceivedPercent: Spread;
-  /** First byte by tier in milliseconds. */
+  /** Time to first byte by tier, in milliseconds. */
   readonly firstByte: Readonly<Record<string, { p50: Spread; p95: Spread; p99: Spread }>>;
   readonly refused: Readonly<Record<string, Spread>>;
   readonly inversions: number;
@@ -39,7 +39,7 @@
   readonly wrong: number;
 }
 
-/** Columns of the table. */
+/** Column titles of the table. */
 export const OVERLOAD_HEAD: readonly string[] = [
   'case · strategy',
   'urgent %',
@@ -60,12 +60,12 @@
 ];
 
 /**
- * Puts the runs of several seeds together.
+ * Summarizes the reports of several seeds.
  *
- * @param caseName - which case
- * @param label - such as the strategy
- * @param reports - one a seed
- * @returns means and spreads, sums of broken promises
+ * @param caseName - name of the case
+ * @param label - label such as the strategy
+ * @param reports - one report per seed
+ * @returns means and spreads, and the total counts of violated guarantees
  */
 export function buildOverloadSummary(
   caseName: string,
@@ -106,9 +106,9 @@
 }
 
 /**
- * Formats a summary as a row of the table.
+ * Formats a summary as a table row.
  *
- * @param summary - the figures
+ * @param summary - the summary
  * @returns cells under {@link OVERLOAD_HEAD}
  */
 export function formatOverloadRow(summary: OverloadSummary): (string | number)[] {
--- a/bench/_statistics.ts
+++ b/bench/_statistics.ts
@@ -1,32 +1,32 @@
 /**
- * The little statistics that the benches need.
+ * Provides least-squares fitting, means and latency percentiles for the benches.
  *
  * @module
  */
 import { createHistogram, readLatency, recordMs } from '../src/load/mod.js';
 import type { LatencySummary } from '../src/load/mod.js';
 
-/** One measured point. */
+/** A measured point. */
 export interface Point {
   readonly x: number;
   readonly y: number;
 }
 
-/** A least-squares line. */
+/** A line fitted by least squares. */
 export interface Line {
   readonly slope: number;
   readonly intercept: number;
-  /** Part of the variance that the line explains. */
+  /** Coefficient of determination: the fraction of the variance that the line explains. */
   readonly r2: number;
 }
 
 /**
  * Fits a line by least squares.
  *
- * @param points - at least two different x
- * @returns the line
+ * @param points - points with at least two different `x`
+ * @returns the fitted line
  */
-export function computeLine(points: readonly Point[]): Line {
+export function fitLine(points: readonly Point[]): Line {
   const meanX = computeMean(points.map((point) => point.x));
   const meanY = computeMean(points.map((point) => point.y));
   const sumXX = points.reduce((sum, { x }) => sum + (x - meanX) ** 2, 0);
@@ -38,18 +38,20 @@
 }
 
 /**
- * @param values - at least one
- * @returns their mean
+ * Computes the arithmetic mean.
+ *
+ * @param values - at least one value
+ * @returns the mean
  */
 export function computeMean(values: readonly number[]): number {
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
 /**
- * Reads percentiles of a list of times.
+ * Computes the percentiles of a list of times.
  *
  * @param values - times in milliseconds
- * @returns the percentiles
+ * @returns the summary with percentiles and maximum
  */
 export function computeLatency(values: readonly number[]): LatencySummary {
   const histogram = createHistogram();
--- a/bench/_wide_shape.ts
+++ b/bench/_wide_shape.ts
@@ -1,5 +1,5 @@
 /**
- * A user's shape with limits that are not what is measured.
+ * Raises the account limits of a fleet shape so that they don't affect a measurement.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 const WIDE_LIMITS = { requestsPerSecond: 100_000, tokensPerSecond: 100_000_000, inFlight: 50_000 };
 
 /**
- * Builds a shape whose accounts are never refused by their own limits.
+ * Builds a shape whose client accounts never reach their limits.
  *
- * @param shape - the user's shape
- * @returns the same with wide limits
+ * @param shape - the original shape
+ * @returns a copy with high limits
  */
 export function buildWideShape(shape: FleetShape): FleetShape {
   return {
--- a/bench/added_latency.ts
+++ b/bench/added_latency.ts
@@ -1,5 +1,5 @@
 /**
- * Bench: what the whole path adds to a direct call.
+ * Bench: latency that an entry host adds to a direct call of a backend server.
  *
  * @module
  */
@@ -7,16 +7,16 @@
 import type { EntryHost, Fleet } from '../test/fleet/mod.js';
 import { readNumber } from './bench.js';
 import type { BenchOptions, BenchResult } from './bench.js';
-import { createAgent, sendGood } from './_call.js';
-import type { TimedAnswer } from './_call.js';
+import { createAgent, sendExpectingOk } from './_call.js';
+import type { TimedResponse } from './_call.js';
 import { acquireRequestId, pickAccount, sendPlain } from './_caller_call.js';
-import type { CallerSettings } from './_caller_call.js';
+import type { CallerContext } from './_caller_call.js';
 import { computeLatency } from './_statistics.js';
 
-/** Each entry host runs its code often enough that it is compiled. */
+/** Number of calls after which the entry hosts' code is JIT-compiled. */
 const WARM_UP_CALLS = 300;
 
-/** The ways that are compared; each way's first is its direct call. */
+/** The compared ways to call; the first of each kind of service is the direct call. */
 const WAYS = [
   'plain direct',
   'plain bare',
@@ -30,10 +30,10 @@
 type Times = Record<Way, number[]>;
 
 /**
- * Measures each way in turn, so that all of them meet the same machine.
+ * Measures all ways in turn, so that each sees the same machine load.
  *
- * @param options - `--calls`, `--hosts`
- * @returns p50 and p99 of each way, beside the direct call
+ * @param options - `--calls`, `--hosts`, `--plain-ms`
+ * @returns p50 and p99 of each way, and the difference from the direct call
  */
 export async function runAddedLatency(options: BenchOptions): Promise<BenchResult> {
   const calls = readNumber(options, 'calls', 500);
@@ -63,12 +63,12 @@
 async function runRound(
   fleet: Fleet,
   host: EntryHost,
-  caller: CallerSettings,
+  caller: CallerContext,
 ): Promise<Record<Way, number>> {
   const { shape } = fleet.parts.options;
   const call = { service: shape.plainService, method: 'GET', path: '/status' };
   const { url } = fleet.findBackendServer('plain-1');
-  const direct = await sendGood({ url: `${url}/status`, agent: caller.agent });
+  const direct = await sendExpectingOk({ url: `${url}/status`, agent: caller.agent });
   const bare = await sendPlain(host, call, caller);
   const startMs = performance.now();
   const requestId = await acquireRequestId(host, caller);
@@ -86,8 +86,8 @@
   };
 }
 
-function sendChat(fleet: Fleet, url: string, caller: CallerSettings): Promise<TimedAnswer> {
-  return sendGood({
+function sendChat(fleet: Fleet, url: string, caller: CallerContext): Promise<TimedResponse> {
+  return sendExpectingOk({
     url: `${url}/v1/chat/completions`,
     method: 'POST',
     headers: {
--- a/bench/answer_memory.ts
+++ b/bench/answer_memory.ts
@@ -1,5 +1,5 @@
 /**
- * Benches: memory of kept answers.
+ * Bench: memory that an entry host uses for retained answers.
  *
  * @module
  */
@@ -9,18 +9,18 @@
 import type { BenchOptions, BenchResult } from './bench.js';
 import { createAgent } from './_call.js';
 import { acquireRequestId, pickAccount, sendPlain } from './_caller_call.js';
-import { readAdmin, readProcessUse, waitMs } from './_entry_host_probe.js';
-import { computeLine } from './_statistics.js';
+import { readAdmin, readProcessUsage, sleep } from './_entry_host_probe.js';
+import { fitLine } from './_statistics.js';
 import type { Line } from './_statistics.js';
 import { buildWideShape } from './_wide_shape.js';
 
-const CALLERS = 24;
+const CALLER_COUNT = 24;
 const SETTLE_MS = 3000;
 const WARM_UP_ANSWERS = 1500;
-const MANY_BYTES = '1073741824';
-const LONG_MS = '3600000';
+const ANSWER_BYTES = '1073741824';
+const ANSWER_LIFETIME_MS = '3600000';
 
-/** Memory with a number of kept answers. */
+/** Memory usage at a number of retained answers. */
 interface MemoryPoint {
   readonly answers: number;
   readonly residentBytes: number;
@@ -28,10 +28,10 @@
 }
 
 /**
- * Lets one entry host keep more and more answers, small and larger ones.
+ * Measures the memory of one entry host while it retains a growing number of answers of each size.
  *
  * @param options - `--steps`, `--step`, `--sizes`
- * @returns bytes of memory an answer, by the slope
+ * @returns bytes of memory per answer, from the fitted slope
  */
 export async function runAnswerMemory(options: BenchOptions): Promise<BenchResult> {
   const steps = readNumber(options, 'steps', 5);
@@ -39,9 +39,9 @@
   const sizes = readList(options, 'sizes', ['100', '8000']).map(Number);
   const series: { size: number; points: readonly MemoryPoint[]; line: Line }[] = [];
   for (const size of sizes) {
-    options.note(`bodies of ${size} bytes`);
-    const points = await runSteps({ steps, step, size });
-    const line = computeLine(
+    options.reportProgress(`bodies of ${size} bytes`);
+    const points = await measureSteps({ steps, step, size });
+    const line = fitLine(
       points.map(({ answers, residentBytes }) => ({ x: answers, y: residentBytes })),
     );
     series.push({ size, points, line });
@@ -70,7 +70,7 @@
   };
 }
 
-async function runSteps(settings: {
+async function measureSteps(settings: {
   steps: number;
   step: number;
   size: number;
@@ -81,16 +81,16 @@
     engineCount: 1,
     plainServerFlags: ['--latency-ms', '0'],
     entryHostFlags: [
-      ...['--log-level', 'warn', '--answer-bytes', MANY_BYTES],
-      ...['--answer-keep-ms', LONG_MS, '--request-id-lifetime-ms', LONG_MS],
+      ...['--log-level', 'warn', '--answer-bytes', ANSWER_BYTES],
+      ...['--answer-keep-ms', ANSWER_LIFETIME_MS, '--request-id-lifetime-ms', ANSWER_LIFETIME_MS],
     ],
   });
   try {
     await addAnswers(fleet, WARM_UP_ANSWERS, settings.size);
-    const points = [await readPoint(fleet, WARM_UP_ANSWERS)];
+    const points = [await measurePoint(fleet, WARM_UP_ANSWERS)];
     for (let index = 1; index <= settings.steps; index += 1) {
       await addAnswers(fleet, settings.step, settings.size);
-      points.push(await readPoint(fleet, WARM_UP_ANSWERS + index * settings.step));
+      points.push(await measurePoint(fleet, WARM_UP_ANSWERS + index * settings.step));
     }
     return points;
   } finally {
@@ -111,13 +111,13 @@
       await sendPlain(host, { service, method: 'POST', path: '/notices', requestId, body }, caller);
     }
   };
-  await Promise.all(Array.from({ length: CALLERS }, runCaller));
+  await Promise.all(Array.from({ length: CALLER_COUNT }, runCaller));
   caller.agent.destroy();
 }
 
-async function readPoint(fleet: Fleet, answers: number): Promise<MemoryPoint> {
+async function measurePoint(fleet: Fleet, answers: number): Promise<MemoryPoint> {
   const host = fleet.entryHosts[0] as EntryHost;
-  await waitMs(SETTLE_MS);
+  await sleep(SETTLE_MS);
   const { keptAnswerBytes } = await readAdmin<{ keptAnswerBytes: number }>(host, '/v1/health');
-  return { answers, residentBytes: readProcessUse(host.pid).residentBytes, keptAnswerBytes };
+  return { answers, residentBytes: readProcessUsage(host.pid).residentBytes, keptAnswerBytes };
 }
--- a/bench/bench.ts
+++ b/bench/bench.ts
@@ -1,57 +1,58 @@
 /**
- * What a bench is, and what it is given.
+ * Defines the interface of a bench, and reads its command-line flags.
  *
  * @module
  */
 
-/** What a bench is given. */
+/** Inputs of a bench. */
 export interface BenchOptions {
-  /** Flags of the command line, without their dashes. */
+  /** Command-line flags by name, without leading dashes. */
   readonly flags: ReadonlyMap<string, string>;
-  /** Writes one line of progress. */
-  readonly note: (line: string) => void;
+  /** Reports one line of progress. */
+  readonly reportProgress: (line: string) => void;
 }
 
-/** What a bench gives back. */
+/** Results of a bench. */
 export interface BenchResult {
-  /** Everything that is needed to repeat it. */
+  /** Settings needed to repeat the bench. */
   readonly settings: Readonly<Record<string, unknown>>;
-  /** Columns of the small table. */
+  /** Column titles of the printed table. */
   readonly head: readonly string[];
   readonly rows: readonly (readonly (string | number)[])[];
-  /** Raw figures, for the JSON file. */
+  /** Raw results, for the JSON file. */
   readonly figures: unknown;
-  /** A page with plots, where the bench draws one. */
+  /** HTML page with plots, if the bench creates one. */
   readonly html?: string;
 }
 
-/** One measurement that can be repeated by name. */
+/** A measurement that can be run by name. */
 export interface Bench {
   readonly name: string;
   readonly description: string;
-  /** Runs it. @param options - flags. @returns its figures */
+  /** Runs the bench. @param options - inputs of the bench. @returns its results */
   readonly run: (options: BenchOptions) => Promise<BenchResult>;
 }
 
 /**
- * Reads a flag that is a number.
+ * Reads a numeric flag.
  *
  * @param options - the bench's options
  * @param name - the flag's name
  * @param fallback - its value when it is absent
  * @returns the number
- * @throws Error when it is none
+ * @throws Error when the value is not a finite number
  */
 export function readNumber(options: BenchOptions, name: string, fallback: number): number {
   const text = options.flags.get(name);
   if (text === undefined) return fallback;
   const value = Number(text);
-  if (!Number.isFinite(value)) throw new Error(`Cannot use --${name} "${text}": it is no number`);
+  if (!Number.isFinite(value))
+    throw new Error(`Cannot use --${name} "${text}": it is not a number`);
   return value;
 }
 
 /**
- * Reads a flag that is a list with commas.
+ * Reads a flag that is a comma-separated list.
  *
  * @param options - the bench's options
  * @param name - the flag's name
@@ -64,5 +65,5 @@
   fallback: readonly string[],
 ): readonly string[] {
   const text = options.flags.get(name);
-  return text === undefined ? fallback : text.split(',').filter((part) => part !== '');
+  return text === undefined ? fallback : text.split(',').filter((item) => item !== '');
 }
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,5 +1,5 @@
 /**
- * Benches: slopes for the page on capacity.
+ * Benches: how the usage of an entry host grows with peers, backend servers, accounts and requests.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import type { ContractDocument, Fleet, FleetOptions, FleetShape } from '../test/fleet/mod.js';
 import { readList, readNumber } from './bench.js';
 import type { BenchOptions, BenchResult } from './bench.js';
-import { buildCapacityResult, readCapacityPoint } from './_capacity_point.js';
+import { buildCapacityResult, measureCapacityPoint } from './_capacity_point.js';
 import type { CapacityPoint } from './_capacity_point.js';
-import { waitMs } from './_entry_host_probe.js';
-import { ManyEngines, publishManyBackends } from './_many_backends.js';
+import { sleep } from './_entry_host_probe.js';
+import { EngineProcesses, publishEngines } from './_many_backends.js';
 import { buildWideShape } from './_wide_shape.js';
 
 const SETTLE_MS = 4000;
@@ -20,20 +20,20 @@
 const QUIET_FLAGS = ['--log-level', 'warn'];
 
 /**
- * Control at rest against the number of entry hosts.
+ * Measures control traffic without calls as the number of entry hosts grows.
  *
  * @param options - `--sizes`, `--seconds`
- * @returns slopes a peer
+ * @returns slopes per peer
  */
 export async function runCapacityPeers(options: BenchOptions): Promise<BenchResult> {
   const sizes = readList(options, 'sizes', ['2', '4', '8', '16', '24']).map(Number);
   const seconds = readNumber(options, 'seconds', 15);
   const points: CapacityPoint[] = [];
   for (const size of sizes) {
-    options.note(`${size} entry hosts`);
+    options.reportProgress(`${size} entry hosts`);
     points.push(
-      await readWithFleet({ entryHostCount: size }, (fleet) =>
-        readAtRest(fleet, size - 1, seconds),
+      await measureWithFleet({ entryHostCount: size }, (fleet) =>
+        measureWithoutLoad(fleet, size - 1, seconds),
       ),
     );
   }
@@ -41,10 +41,10 @@
 }
 
 /**
- * Control and work against the number of backend servers.
+ * Measures usage under constant load as the number of backend servers grows.
  *
  * @param options - `--sizes`, `--seconds`, `--rate`
- * @returns slopes a backend server
+ * @returns slopes per backend server
  */
 export async function runCapacityBackends(options: BenchOptions): Promise<BenchResult> {
   const sizes = readList(options, 'sizes', ['12', '75', '150', '300', '600']).map(Number);
@@ -52,10 +52,10 @@
   const rate = readNumber(options, 'rate', 40);
   const points: CapacityPoint[] = [];
   for (const size of sizes) {
-    options.note(`${size} backend servers`);
+    options.reportProgress(`${size} backend servers`);
     points.push(
-      await readWithFleet({ entryHostCount: 4 }, (fleet) =>
-        readManyBackends(fleet, { x: size, rate, seconds }),
+      await measureWithFleet({ entryHostCount: 4 }, (fleet) =>
+        measureManyBackends(fleet, { x: size, rate, seconds }),
       ),
     );
   }
@@ -64,11 +64,10 @@
 }
 
 /**
- * Control and memory against the number of client accounts, each of which
- * sends now and then.
+ * Measures usage under constant load as the number of client accounts that share it grows.
  *
  * @param options - `--sizes`, `--seconds`, `--rate`
- * @returns slopes an account
+ * @returns slopes per account
  */
 export async function runCapacityAccounts(options: BenchOptions): Promise<BenchResult> {
   const sizes = readList(options, 'sizes', ['5', '170', '340', '680']).map(Number);
@@ -76,11 +75,11 @@
   const rate = readNumber(options, 'rate', 60);
   const points: CapacityPoint[] = [];
   for (const size of sizes) {
-    options.note(`${size} accounts`);
+    options.reportProgress(`${size} accounts`);
     const shape = buildManyAccounts(size);
     points.push(
-      await readWithFleet({ shape, entryHostCount: 4 }, (fleet) =>
-        readUnderLoad(fleet, { x: size, rate, seconds }),
+      await measureWithFleet({ shape, entryHostCount: 4 }, (fleet) =>
+        measureUnderLoad(fleet, { x: size, rate, seconds }),
       ),
     );
   }
@@ -88,10 +87,10 @@
 }
 
 /**
- * Messages and processor time against requests a second.
+ * Measures usage as the request rate grows.
  *
  * @param options - `--rates`, `--seconds`
- * @returns slopes a request a second and entry host
+ * @returns slopes per request per second at one entry host
  */
 export async function runCapacityRequests(options: BenchOptions): Promise<BenchResult> {
   const rates = readList(options, 'rates', ['20', '60', '120', '240']).map(Number);
@@ -99,11 +98,11 @@
   const entryHostCount = 4;
   const points: CapacityPoint[] = [];
   for (const rate of rates) {
-    options.note(`${rate} requests a second`);
+    options.reportProgress(`${rate} requests a second`);
     const fleetOptions = { shape: buildWideShape(MOULINET), entryHostCount, plainServerCount: 3 };
     points.push(
-      await readWithFleet(fleetOptions, (fleet) =>
-        readUnderLoad(fleet, { x: rate / entryHostCount, rate, seconds }),
+      await measureWithFleet(fleetOptions, (fleet) =>
+        measureUnderLoad(fleet, { x: rate / entryHostCount, rate, seconds }),
       ),
     );
   }
@@ -111,43 +110,50 @@
   return buildCapacityResult('requests/s a host', points, settings);
 }
 
-async function readAtRest(fleet: Fleet, x: number, seconds: number): Promise<CapacityPoint> {
-  await waitMs(SETTLE_MS);
-  return readCapacityPoint(fleet, x, () => waitMs(seconds * MS_PER_SECOND));
+async function measureWithoutLoad(
+  fleet: Fleet,
+  x: number,
+  seconds: number,
+): Promise<CapacityPoint> {
+  await sleep(SETTLE_MS);
+  return measureCapacityPoint(fleet, x, () => sleep(seconds * MS_PER_SECOND));
 }
 
-/** Starts a fleet for one point and stops it, whatever comes in between. */
-async function readWithFleet(
+/** Starts a fleet, measures one point and always stops the fleet. */
+async function measureWithFleet(
   options: FleetOptions,
-  read: (fleet: Fleet) => Promise<CapacityPoint>,
+  measure: (fleet: Fleet) => Promise<CapacityPoint>,
 ): Promise<CapacityPoint> {
   const fleet = await startFleet({ entryHostFlags: QUIET_FLAGS, engineCount: 1, ...options });
   try {
-    return await read(fleet);
+    return await measure(fleet);
   } finally {
     await fleet.stop();
   }
 }
 
-/** How a point is measured. */
+/** Load under which a point is measured. */
 interface PointLoad {
-  /** Where on the axis the point lies. */
+  /** Value on the load axis. */
   readonly x: number;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rate: number;
   readonly seconds: number;
-  /** The model to be asked; undefined asks the plain service. */
+  /** The model to call; undefined calls the plain service. */
   readonly model?: string;
 }
 
-/** A dispatcher looks after a group from its first request on: short prompts wake all of them. */
-async function readManyBackends(fleet: Fleet, load: PointLoad): Promise<CapacityPoint> {
+/**
+ * Measures a point with many engines. A dispatcher starts for a group at the group's first request,
+ * so a first load of short prompts activates all groups before the measurement.
+ */
+async function measureManyBackends(fleet: Fleet, load: PointLoad): Promise<CapacityPoint> {
   const { model, modelService } = fleet.parts.options.shape;
-  const engines = new ManyEngines();
+  const engines = new EngineProcesses();
   try {
-    await publishManyBackends(fleet, await engines.start(load.x, modelService));
+    await publishEngines(fleet, await engines.start(load.x, modelService));
     await runLoad(buildPlan(fleet, { ...load, model }), { urls: listUrls(fleet), seed: 2 });
-    return await readUnderLoad(fleet, { ...load, model });
+    return await measureUnderLoad(fleet, { ...load, model });
   } finally {
     await engines.stop();
   }
@@ -179,9 +185,9 @@
   });
 }
 
-async function readUnderLoad(fleet: Fleet, load: PointLoad): Promise<CapacityPoint> {
-  await waitMs(SETTLE_MS);
-  return readCapacityPoint(fleet, load.x, async () => {
+async function measureUnderLoad(fleet: Fleet, load: PointLoad): Promise<CapacityPoint> {
+  await sleep(SETTLE_MS);
+  return measureCapacityPoint(fleet, load.x, async () => {
     await runLoad(buildPlan(fleet, load), { urls: listUrls(fleet), seed: 1 });
   });
 }
--- a/bench/configuration_reads.ts
+++ b/bench/configuration_reads.ts
@@ -1,5 +1,5 @@
 /**
- * Bench: reads a second at the platform, against the number of entry hosts.
+ * Bench: rate of reads at the platform as the number of entry hosts grows.
  *
  * @module
  */
@@ -7,16 +7,16 @@
 import type { Fleet, PlatformProcess } from '../test/fleet/mod.js';
 import { readList, readNumber } from './bench.js';
 import type { BenchOptions, BenchResult } from './bench.js';
-import { waitMs } from './_entry_host_probe.js';
-import { computeLine } from './_statistics.js';
+import { sleep } from './_entry_host_probe.js';
+import { fitLine } from './_statistics.js';
 
 const MS_PER_SECOND = 1000;
-const FUTURE_HOSTS = 410;
-const CHANGES_A_DAY = 270;
-const SECONDS_A_DAY = 86_400;
+const PROJECTED_HOSTS = 410;
+const CHANGES_PER_DAY = 270;
+const SECONDS_PER_DAY = 86_400;
 const SETTLE_MS = 1500;
 
-/** Reads at one size. */
+/** Rates of reads at one number of entry hosts. */
 interface ReadPoint {
   readonly hosts: number;
   readonly configurationPerSecond: number;
@@ -25,10 +25,10 @@
 }
 
 /**
- * Counts reads at rest and for each published change.
+ * Counts reads without changes and for each published change.
  *
  * @param options - `--sizes`, `--seconds`, `--changes`
- * @returns slopes, and what they say of 410 hosts
+ * @returns slopes, and their projection for 410 hosts
  */
 export async function runConfigurationReads(options: BenchOptions): Promise<BenchResult> {
   const sizes = readList(options, 'sizes', ['1', '2', '4', '8']).map(Number);
@@ -36,25 +36,25 @@
   const changes = readNumber(options, 'changes', 10);
   const points: ReadPoint[] = [];
   for (const size of sizes) {
-    options.note(`${size} entry hosts`);
-    points.push(await readPoint(size, seconds, changes));
+    options.reportProgress(`${size} entry hosts`);
+    points.push(await measurePoint(size, seconds, changes));
   }
-  const atRest = computeLine(
+  const atRest = fitLine(
     points.map(({ hosts, configurationPerSecond }) => ({ x: hosts, y: configurationPerSecond })),
   );
-  const hostList = computeLine(
+  const hostList = fitLine(
     points.map(({ hosts, hostListPerSecond }) => ({ x: hosts, y: hostListPerSecond })),
   );
-  const perChange = computeLine(
+  const perChange = fitLine(
     points.map(({ hosts, readsPerChange }) => ({ x: hosts, y: readsPerChange })),
   );
-  const changesPerSecond = CHANGES_A_DAY / SECONDS_A_DAY;
+  const changesPerSecond = CHANGES_PER_DAY / SECONDS_PER_DAY;
   const future = {
-    hosts: FUTURE_HOSTS,
+    hosts: PROJECTED_HOSTS,
     configurationPerSecond:
-      FUTURE_HOSTS * atRest.slope + changesPerSecond * perChange.slope * FUTURE_HOSTS,
-    hostListPerSecond: FUTURE_HOSTS * hostList.slope,
-    readsPerChange: FUTURE_HOSTS * perChange.slope,
+      PROJECTED_HOSTS * atRest.slope + changesPerSecond * perChange.slope * PROJECTED_HOSTS,
+    hostListPerSecond: PROJECTED_HOSTS * hostList.slope,
+    readsPerChange: PROJECTED_HOSTS * perChange.slope,
   };
   const toRow = (name: string, point: ReadPoint): (string | number)[] => [
     name,
@@ -63,27 +63,27 @@
     point.readsPerChange,
   ];
   return {
-    settings: { sizes, seconds, changes, changesADay: CHANGES_A_DAY },
+    settings: { sizes, seconds, changes, changesADay: CHANGES_PER_DAY },
     head: ['entry hosts', 'configuration reads/s', 'host list reads/s', 'reads a change'],
     rows: [
       ...points.map((point) => toRow(String(point.hosts), point)),
       ['slope a host', atRest.slope, hostList.slope, perChange.slope],
-      toRow(`${FUTURE_HOSTS} by the slopes`, future),
+      toRow(`${PROJECTED_HOSTS} by the slopes`, future),
     ],
     figures: { points, atRest, hostList, perChange, future },
   };
 }
 
-async function readPoint(hosts: number, seconds: number, changes: number): Promise<ReadPoint> {
+async function measurePoint(hosts: number, seconds: number, changes: number): Promise<ReadPoint> {
   const fleet = await startFleet({ entryHostCount: hosts, engineCount: 1 });
   try {
-    await waitMs(SETTLE_MS);
+    await sleep(SETTLE_MS);
     const configuration = await readCount(fleet.configuration);
     const hostList = await readCount(fleet.hostList);
-    await waitMs(seconds * MS_PER_SECOND);
+    await sleep(seconds * MS_PER_SECOND);
     const configurationAfter = await readCount(fleet.configuration);
     const hostListAfter = await readCount(fleet.hostList);
-    const readsPerChange = await readChanges(fleet, changes);
+    const readsPerChange = await measureReadsPerChange(fleet, changes);
     return {
       hosts,
       configurationPerSecond: (configurationAfter - configuration) / seconds,
@@ -95,14 +95,14 @@
   }
 }
 
-/** Changes come half a second apart, so each of them wakes every watch. */
-async function readChanges(fleet: Fleet, changes: number): Promise<number> {
+/** Counts reads per change. Changes are half a second apart, so that each one completes every watch. */
+async function measureReadsPerChange(fleet: Fleet, changes: number): Promise<number> {
   const [contract] = fleet.parts.options.shape.contracts;
   if (!contract) throw new Error('Cannot publish: the shape has no contract');
   const before = await readCount(fleet.configuration);
   for (let change = 0; change < changes; change += 1) {
     await fleet.publishContract({ ...contract, weight: 1 + change });
-    await waitMs(MS_PER_SECOND / 2);
+    await sleep(MS_PER_SECOND / 2);
   }
   return ((await readCount(fleet.configuration)) - before) / changes;
 }
--- a/bench/configuration_spread.ts
+++ b/bench/configuration_spread.ts
@@ -1,5 +1,5 @@
 /**
- * Bench: from publishing to in force on every entry host.
+ * Bench: time from publishing a configuration until it is in effect on every entry host.
  *
  * @module
  */
@@ -7,82 +7,82 @@
 import type { Fleet } from '../test/fleet/mod.js';
 import { readNumber } from './bench.js';
 import type { BenchOptions, BenchResult } from './bench.js';
-import { readAdmin, readMetricSum, waitMs } from './_entry_host_probe.js';
+import { readAdmin, readMetricSum, sleep } from './_entry_host_probe.js';
 import { computeLatency } from './_statistics.js';
 
-const SPREAD_LIMIT_MS = 30_000;
-/** Changes come one by one; closer ones wait for the next read that a host may make. */
-const PAUSE_MS = 1500;
+const APPLY_TIMEOUT_MS = 30_000;
+/** Interval between changes; with a shorter one, a change waits for a host's next allowed read. */
+const PUBLISH_INTERVAL_MS = 1500;
 
-/** One publishing and when it came into force where. */
-interface Publishing {
+/** Delays of one published change until it is in effect. */
+interface PublishDelays {
   readonly slowestMs: number;
   readonly byHostMs: Readonly<Record<string, number>>;
 }
 
 /**
- * Publishes contracts, first with the service within everybody's reach, then
- * with half of the entry hosts cut from it.
+ * Publishes contracts, first while every entry host reaches the configuration service, then with
+ * half of the entry hosts disconnected from it.
  *
  * @param options - `--hosts`, `--changes`
- * @returns time until in force on the slowest host
+ * @returns time until each change is in effect on the slowest host
  */
 export async function runConfigurationSpread(options: BenchOptions): Promise<BenchResult> {
   const entryHostCount = readNumber(options, 'hosts', 8);
   const changes = readNumber(options, 'changes', 15);
   const fleet = await startFleet({ entryHostCount });
-  const proxy = new CutProxy(getTarget(fleet.configuration.url));
-  let moved: readonly EntryHost[] = [];
+  const proxy = new CutProxy(parseTarget(fleet.configuration.url));
+  let proxiedHosts: readonly EntryHost[] = [];
   try {
     await proxy.open();
     const half = Math.floor(entryHostCount / 2);
-    moved = await startBehind(proxy, fleet.entryHosts.slice(half));
-    const hosts = [...fleet.entryHosts.slice(0, half), ...moved];
+    proxiedHosts = await restartBehindProxy(proxy, fleet.entryHosts.slice(half));
+    const hosts = [...fleet.entryHosts.slice(0, half), ...proxiedHosts];
     const all = await publishMany(fleet, hosts, changes);
     proxy.setFault(LinkFault.Cut);
-    await waitMs(PAUSE_MS);
+    await sleep(PUBLISH_INTERVAL_MS);
     const cut = await publishMany(fleet, hosts, changes);
-    const cutIds = moved.map(({ id }) => id);
+    const cutIds = proxiedHosts.map(({ id }) => id);
     return buildResult({ entryHostCount, changes }, all, cut, cutIds);
   } finally {
-    moved.forEach((host) => host.kill('SIGKILL'));
-    await Promise.all(moved.map((host) => host.waitExit()));
+    proxiedHosts.forEach((host) => host.kill('SIGKILL'));
+    await Promise.all(proxiedHosts.map((host) => host.waitExit()));
     await fleet.stop();
     await proxy.close();
   }
 }
 
-function getTarget(url: string): { host: string; port: number } {
+function parseTarget(url: string): { host: string; port: number } {
   const { hostname, port } = new URL(url);
   return { host: hostname, port: Number(port) };
 }
 
-/** Starts entry hosts anew so that they read the configuration through a proxy. */
-async function startBehind(
+/** Restarts entry hosts so that they read the configuration through a proxy. */
+async function restartBehindProxy(
   proxy: CutProxy,
   hosts: readonly EntryHost[],
 ): Promise<readonly EntryHost[]> {
   hosts.forEach((host) => host.kill('SIGKILL'));
   await Promise.all(hosts.map((host) => host.waitExit()));
-  const moved = hosts.map((host) => {
+  const restarted = hosts.map((host) => {
     const { spec } = host.facts;
-    const at = spec.args.indexOf('--configuration-url') + 1;
-    const args = spec.args.map((arg, index) => (index === at ? proxy.url : arg));
+    const urlIndex = spec.args.indexOf('--configuration-url') + 1;
+    const args = spec.args.map((arg, index) => (index === urlIndex ? proxy.url : arg));
     return new EntryHost({ ...host.facts, spec: { ...spec, args } }, host.adminUrl, host.listed);
   });
-  await Promise.all(moved.map((host) => host.start()));
-  return moved;
+  await Promise.all(restarted.map((host) => host.start()));
+  return restarted;
 }
 
 async function publishMany(
   fleet: Fleet,
   hosts: readonly EntryHost[],
   changes: number,
-): Promise<readonly Publishing[]> {
-  const publishings: Publishing[] = [];
+): Promise<readonly PublishDelays[]> {
+  const publishings: PublishDelays[] = [];
   for (let change = 0; change < changes; change += 1) {
     publishings.push(await publishOne(fleet, hosts, change));
-    await waitMs(PAUSE_MS);
+    await sleep(PUBLISH_INTERVAL_MS);
   }
   return publishings;
 }
@@ -91,18 +91,18 @@
   fleet: Fleet,
   hosts: readonly EntryHost[],
   change: number,
-): Promise<Publishing> {
+): Promise<PublishDelays> {
   const { contracts } = fleet.parts.options.shape;
   const contract = contracts[change % contracts.length] as (typeof contracts)[number];
   const publishedAtMs = Date.now();
   const revision = await fleet.publishContract({ ...contract, weight: 1 + (change % 50) });
-  const isInForce = async (): Promise<boolean> => {
+  const isInEffect = async (): Promise<boolean> => {
     const states = await Promise.all(
       hosts.map((host) => readAdmin<{ revision: number }>(host, '/v1/configuration')),
     );
     return states.every((state) => state.revision >= revision);
   };
-  await waitUntil(isInForce, { subject: `revision ${revision}`, limitMs: SPREAD_LIMIT_MS });
+  await waitUntil(isInEffect, { subject: `revision ${revision}`, limitMs: APPLY_TIMEOUT_MS });
   const delays = await Promise.all(
     hosts.map(async (host) => {
       const atMs = await readMetricSum(host, 'configuration_in_force_at_ms');
@@ -117,11 +117,11 @@
 
 function buildResult(
   settings: BenchResult['settings'],
-  all: readonly Publishing[],
-  cut: readonly Publishing[],
+  all: readonly PublishDelays[],
+  cut: readonly PublishDelays[],
   cutIds: readonly string[],
 ): BenchResult {
-  const listDelays = (publishings: readonly Publishing[], isCut: boolean): number[] =>
+  const listDelays = (publishings: readonly PublishDelays[], isCut: boolean): number[] =>
     publishings.flatMap(({ byHostMs }) =>
       Object.entries(byHostMs).flatMap(([id, ms]) => (cutIds.includes(id) === isCut ? [ms] : [])),
     );
--- a/bench/continue_cost.ts
+++ b/bench/continue_cost.ts
@@ -1,5 +1,5 @@
 /**
- * Bench: what the 100-continue proof costs at the last hop.
+ * Bench: latency that the 100-continue handshake adds at the backend server.
  *
  * @module
  */
@@ -7,33 +7,33 @@
 import type { EntryHost, Fleet } from '../test/fleet/mod.js';
 import { readNumber } from './bench.js';
 import type { BenchOptions, BenchResult } from './bench.js';
-import { createAgent, sendGood } from './_call.js';
+import { createAgent, sendExpectingOk } from './_call.js';
 import { acquireRequestId, pickAccount, sendPlain } from './_caller_call.js';
 import { computeLatency } from './_statistics.js';
 
 const WARM_UP_CALLS = 300;
-const PLAIN_FLAGS = ['--latency-ms', '0'];
+const PLAIN_SERVER_FLAGS = ['--latency-ms', '0'];
 
 /**
- * Calls to a service that honours 100-continue and to one that does not, which
- * gets a fresh connection for each call as every call without a body does,
- * beside a direct call, in turn.
+ * Sends calls in turn directly to a backend server, through a service that honours 100-continue, and
+ * through one that does not. The last gets a new connection for each call, as does every call
+ * without a body.
  *
  * @param options - `--calls`
- * @returns p50 and p99 of each
+ * @returns p50 and p99 of each way to call
  */
 export async function runContinueCost(options: BenchOptions): Promise<BenchResult> {
   const calls = readNumber(options, 'calls', 500);
-  const common = { entryHostCount: 1, engineCount: 1, plainServerFlags: PLAIN_FLAGS };
-  const honouring = await startFleet({ ...common, plainHonoursContinue: true });
-  const other = await startFleet({ ...common, plainHonoursContinue: false }).catch(
+  const common = { entryHostCount: 1, engineCount: 1, plainServerFlags: PLAIN_SERVER_FLAGS };
+  const continueFleet = await startFleet({ ...common, plainHonoursContinue: true });
+  const reconnectFleet = await startFleet({ ...common, plainHonoursContinue: false }).catch(
     async (error: unknown) => {
-      await honouring.stop();
+      await continueFleet.stop();
       throw error;
     },
   );
   try {
-    const times = await runCalls(calls, honouring, other);
+    const times = await runCalls(calls, continueFleet, reconnectFleet);
     const figures = [...times].map(([name, values]) => ({ name, ...computeLatency(values) }));
     return {
       settings: { calls },
@@ -42,30 +42,30 @@
       figures,
     };
   } finally {
-    await Promise.all([honouring.stop(), other.stop()]);
+    await Promise.all([continueFleet.stop(), reconnectFleet.stop()]);
   }
 }
 
 async function runCalls(
   calls: number,
-  honouring: Fleet,
-  other: Fleet,
+  continueFleet: Fleet,
+  reconnectFleet: Fleet,
 ): Promise<Map<string, number[]>> {
   const agent = createAgent();
   const times = new Map<string, number[]>();
-  const direct = honouring.findBackendServer('plain-1').url;
+  const direct = continueFleet.findBackendServer('plain-1').url;
   const post = { method: 'POST', path: '/notices', body: '{"notice":1}' };
   const ways: readonly (readonly [string, () => Promise<{ totalMs: number }>])[] = [
     [
       'POST direct, kept connection',
-      () => sendGood({ ...post, url: `${direct}${post.path}`, agent }),
+      () => sendExpectingOk({ ...post, url: `${direct}${post.path}`, agent }),
     ],
     [
       'GET without a body: fresh connection',
-      () => sendOne(honouring, { method: 'GET', path: '/status' }),
+      () => sendOne(continueFleet, { method: 'GET', path: '/status' }),
     ],
-    ['POST: 100-continue, kept connection', () => sendOne(honouring, post)],
-    ['POST: fresh connection, no 100', () => sendOne(other, post)],
+    ['POST: 100-continue, kept connection', () => sendOne(continueFleet, post)],
+    ['POST: fresh connection, no 100', () => sendOne(reconnectFleet, post)],
   ];
   async function sendOne(
     fleet: Fleet,
--- a/bench/dead_peer.ts
+++ b/bench/dead_peer.ts
@@ -1,5 +1,5 @@
 /**
- * Bench: how soon a dead or frozen entry host is noticed.
+ * Bench: time until a dead or paused entry host is detected.
  *
  * @module
  */
@@ -7,24 +7,24 @@
 import type { EntryHost, Fleet } from '../test/fleet/mod.js';
 import { readNumber } from './bench.js';
 import type { BenchOptions, BenchResult } from './bench.js';
-import { readAdmin, waitMs } from './_entry_host_probe.js';
+import { readAdmin, sleep } from './_entry_host_probe.js';
 import { computeLatency } from './_statistics.js';
 
-const NOTICE_LIMIT_MS = 30_000;
+const DETECTION_TIMEOUT_MS = 30_000;
 const SETTLE_MS = 2500;
 const VICTIM = 'entry-4';
 
-/** What `GET /v1/entry-hosts` tells of one. */
+/** One entry of the response to `GET /v1/entry-hosts`. */
 interface HostRow {
   readonly identity: { readonly id: string };
   readonly state: string;
 }
 
 /**
- * Kills and freezes one of four entry hosts, again and again.
+ * Repeatedly kills and pauses one of four entry hosts.
  *
  * @param options - `--rounds`
- * @returns time until each of the others no longer takes it for live
+ * @returns time until each other entry host no longer reports it as live
  */
 export async function runDeadPeer(options: BenchOptions): Promise<BenchResult> {
   const rounds = readNumber(options, 'rounds', 5);
@@ -33,12 +33,16 @@
   try {
     const victim = fleet.findEntryHost(VICTIM);
     for (let round = 0; round < rounds; round += 1) {
-      times['killed (SIGKILL)']?.push(...(await readNotices(fleet, () => victim.kill('SIGKILL'))));
+      times['killed (SIGKILL)']?.push(
+        ...(await measureDetectionMs(fleet, () => victim.kill('SIGKILL'))),
+      );
       await victim.restart();
-      await waitLive(fleet);
-      times['frozen (SIGSTOP)']?.push(...(await readNotices(fleet, () => victim.kill('SIGSTOP'))));
+      await waitUntilLive(fleet);
+      times['frozen (SIGSTOP)']?.push(
+        ...(await measureDetectionMs(fleet, () => victim.kill('SIGSTOP'))),
+      );
       victim.kill('SIGCONT');
-      await waitLive(fleet);
+      await waitUntilLive(fleet);
     }
   } finally {
     fleet.findEntryHost(VICTIM).kill('SIGCONT');
@@ -57,29 +61,35 @@
   };
 }
 
-async function readNotices(fleet: Fleet, act: () => void): Promise<readonly number[]> {
+async function measureDetectionMs(
+  fleet: Fleet,
+  injectFault: () => void,
+): Promise<readonly number[]> {
   const others = fleet.entryHosts.filter(({ id }) => id !== VICTIM);
   const startMs = performance.now();
-  act();
+  injectFault();
   return Promise.all(
     others.map(async (host) => {
       await waitUntil(async () => !(await isSeenLive(host)), {
         subject: `${host.id} to notice`,
-        limitMs: NOTICE_LIMIT_MS,
+        limitMs: DETECTION_TIMEOUT_MS,
       });
       return performance.now() - startMs;
     }),
   );
 }
 
-async function waitLive(fleet: Fleet): Promise<void> {
+async function waitUntilLive(fleet: Fleet): Promise<void> {
   const others = fleet.entryHosts.filter(({ id }) => id !== VICTIM);
   await Promise.all(
     others.map((host) =>
-      waitUntil(() => isSeenLive(host), { subject: `${VICTIM} live`, limitMs: NOTICE_LIMIT_MS }),
+      waitUntil(() => isSeenLive(host), {
+        subject: `${VICTIM} live`,
+        limitMs: DETECTION_TIMEOUT_MS,
+      }),
     ),
   );
-  await waitMs(SETTLE_MS);
+  await sleep(SETTLE_MS);
 }
 
 async function isSeenLive(host: EntryHost): Promise<boolean> {
--- a/bench/dispatcher_time.ts
+++ b/bench/dispatcher_time.ts
@@ -1,5 +1,5 @@
 /**
- * Bench: what the wait for a slot adds when there is room.
+ * Bench: latency of a slot request while slots are free.
  *
  * @module
  */
@@ -14,9 +14,9 @@
 const QUANTILES = ['0.5', '0.99'];
 
 /**
- * Sends calls one at a time through each of three entry hosts, so that nothing
- * ever waits for room, and reads how long their owners waited for a slot: one
- * entry host is the dispatcher itself, the others ask it over their link.
+ * Sends calls one at a time through each of three entry hosts, so that a slot is always free, and
+ * reads how long each call's owner waited for its slot. One entry host is the dispatcher itself; the
+ * others send it a request over their link.
  *
  * @param options - `--calls`
  * @returns p50 and p99 of the wait at each entry host
--- a/bench/forward_cost.ts
+++ b/bench/forward_cost.ts
@@ -1,5 +1,5 @@
 /**
- * Bench: what passing a call to its owner costs.
+ * Bench: latency added by forwarding a call to its owner.
  *
  * @module
  */
@@ -14,11 +14,11 @@
 const WARM_UP_CALLS = 300;
 
 /**
- * Sends calls to their owner and to the other entry host, in turn. Either may
- * be the service's dispatcher, so each host is the owner of half of them.
+ * Sends calls in turn to their owner and to the other entry host. Either host may be the service's
+ * dispatcher, so each is the owner of half of the calls.
  *
  * @param options - `--calls`
- * @returns p50 and p99 of both
+ * @returns p50 and p99 of both ways to call
  */
 export async function runForwardCost(options: BenchOptions): Promise<BenchResult> {
   const calls = readNumber(options, 'calls', 500);
--- a/bench/leaving_notice.ts
+++ b/bench/leaving_notice.ts
@@ -1,5 +1,5 @@
 /**
- * Bench: how soon a leaving backend server gets no new work.
+ * Bench: time until a draining backend server receives no new work.
  *
  * @module
  */
@@ -8,33 +8,34 @@
 import type { Fleet } from '../test/fleet/mod.js';
 import { readNumber } from './bench.js';
 import type { BenchOptions, BenchResult } from './bench.js';
-import { readAdmin, waitMs } from './_entry_host_probe.js';
+import { readAdmin, sleep } from './_entry_host_probe.js';
 import { computeLatency } from './_statistics.js';
 import { buildWideShape } from './_wide_shape.js';
 
 const VICTIM = 'plain-2';
-const NOTICE_LIMIT_MS = 10_000;
+const PROPAGATION_TIMEOUT_MS = 10_000;
 const ROUND_MS = 4000;
 const MS_PER_SECOND = 1000;
 
-/** What `GET /v1/backend-servers` tells of one. */
+/** One entry of the response to `GET /v1/backend-servers`. */
 interface BackendRow {
   readonly id: string;
   readonly leaving: boolean;
 }
 
-/** One order to leave. */
-interface Leaving {
+/** One period in which the server drains, with wall-clock times in milliseconds. */
+interface DrainPeriod {
   readonly orderedAtMs: number;
   readonly livedAgainAtMs: number;
+  /** Time from the order until every entry host lists the server as draining. */
   readonly everybodyKnowsMs: number;
 }
 
 /**
- * Marks a plain server as leaving under load, and live again.
+ * Repeatedly marks a plain server as draining under load, and then as live again.
  *
  * @param options - `--rounds`, `--rate`
- * @returns time until everybody knows, and until the last start of work there
+ * @returns time until every entry host knows, and until the last start of work on the server
  */
 export async function runLeavingNotice(options: BenchOptions): Promise<BenchResult> {
   const rounds = readNumber(options, 'rounds', 5);
@@ -78,18 +79,18 @@
   }
 }
 
-async function runRounds(fleet: Fleet, rounds: number): Promise<readonly Leaving[]> {
-  const leavings: Leaving[] = [];
+async function runRounds(fleet: Fleet, rounds: number): Promise<readonly DrainPeriod[]> {
+  const leavings: DrainPeriod[] = [];
   for (let round = 0; round < rounds; round += 1) {
-    await waitMs(ROUND_MS);
+    await sleep(ROUND_MS);
     const orderedAtMs = Date.now();
     await fleet.setHostState(VICTIM, 'leaving');
-    await waitUntil(() => hasEverybodyNoticed(fleet), {
+    await waitUntil(() => isKnownEverywhere(fleet), {
       subject: `${VICTIM} leaving`,
-      limitMs: NOTICE_LIMIT_MS,
+      limitMs: PROPAGATION_TIMEOUT_MS,
     });
     const everybodyKnowsMs = Date.now() - orderedAtMs;
-    await waitMs(ROUND_MS - everybodyKnowsMs);
+    await sleep(ROUND_MS - everybodyKnowsMs);
     const livedAgainAtMs = Date.now();
     await fleet.setHostState(VICTIM, 'live');
     leavings.push({ orderedAtMs, livedAgainAtMs, everybodyKnowsMs });
@@ -97,7 +98,7 @@
   return leavings;
 }
 
-async function hasEverybodyNoticed(fleet: Fleet): Promise<boolean> {
+async function isKnownEverywhere(fleet: Fleet): Promise<boolean> {
   const views = await Promise.all(
     fleet.entryHosts.map((host) => readAdmin<readonly BackendRow[]>(host, '/v1/backend-servers')),
   );
@@ -106,7 +107,7 @@
 
 function buildResult(
   settings: BenchResult['settings'],
-  leavings: readonly Leaving[],
+  leavings: readonly DrainPeriod[],
   lastStarts: readonly number[],
   unanswered: number,
 ): BenchResult {
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,5 +1,5 @@
 /**
- * Program: `npm run bench` lists the benches, `npm run bench -- NAME` runs one.
+ * Program `npm run bench`: lists the benches; `npm run bench -- NAME` runs one.
  *
  * @module
  */
@@ -17,13 +17,13 @@
   process.stdout.write(`${line}\n`);
 }
 
-/** `--name value` and `--name=value`; every flag has a value. */
+/** Parses flags of the form `--name value` or `--name=value`; every flag needs a value. */
 function parseFlags(args: readonly string[]): ReadonlyMap<string, string> {
   const flags = new Map<string, string>();
   for (let index = 0; index < args.length; index += 1) {
     const arg = args[index] as string;
     const match = /^--([a-z-]+)(?:=(.*))?$/.exec(arg);
-    if (!match) throw new Error(`Cannot use "${arg}": it is no flag`);
+    if (!match) throw new Error(`Cannot use "${arg}": it is not a flag`);
     const value = match[2] ?? args[index + 1];
     if (value === undefined) throw new Error(`Cannot use "${arg}": its value is missing`);
     if (match[2] === undefined) index += 1;
@@ -48,7 +48,7 @@
   printLine(formatTable(result.head, result.rows));
   const machine = { cores: availableParallelism(), loadBefore, loadAfter: loadavg() };
   printLine(
-    `${seconds.toFixed(0)} s; load of the machine before and after: ` +
+    `${seconds.toFixed(0)} s; load average before and after: ` +
       `${loadBefore[0]?.toFixed(1)}, ${machine.loadAfter[0]?.toFixed(1)} on ${machine.cores} cores`,
   );
   const jsonFile = flags.get('json');
@@ -69,13 +69,13 @@
   }
   const bench = BENCHES.find((each) => each.name === name);
   if (!bench) {
-    process.stderr.write(`Cannot run bench "${name}": there is none of that name\n`);
+    process.stderr.write(`Cannot run bench "${name}": no bench has that name\n`);
     return EXIT_USAGE;
   }
   const note = (line: string): void => {
     process.stderr.write(`${line}\n`);
   };
-  await runBench(bench, { flags: parseFlags(args), note });
+  await runBench(bench, { flags: parseFlags(args), reportProgress: note });
   return 0;
 }
 
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -1,5 +1,5 @@
 /**
- * Benches: the experiments under overload and faults.
+ * Benches: goodput and guarantees under overload and faults.
  *
  * @module
  */
@@ -16,10 +16,10 @@
 import type { OverloadSummary } from './_overload_summary.js';
 
 const DEFAULT_SEEDS = ['1', '2', '3'];
-const WHOLE_SERVICE = 16;
+const DEFAULT_GROUP_SIZE = 16;
 const STRATEGIES = ['dispatcher', 'two-choices', 'fixed-shares', 'first-come'];
 
-/** One way that is compared with the others. */
+/** One compared configuration of the entry hosts. */
 interface Variant {
   readonly label: string;
   readonly entryHostFlags: readonly string[];
@@ -27,16 +27,16 @@
 }
 
 /**
- * Cases × strategies × seeds.
+ * Compares dispatch strategies over all cases and seeds.
  *
  * @param options - `--cases`, `--strategies`, `--seeds`, `--seconds` and the fleet's size
- * @returns one row a case and strategy
+ * @returns one row per case and strategy
  */
 export function runOverload(options: BenchOptions): Promise<BenchResult> {
   const variants = readList(options, 'strategies', STRATEGIES).map((strategy) => ({
     label: strategy,
     entryHostFlags: ['--strategy', strategy],
-    dispatchGroupSize: readNumber(options, 'group-size', WHOLE_SERVICE),
+    dispatchGroupSize: readNumber(options, 'group-size', DEFAULT_GROUP_SIZE),
   }));
   return runVariants(
     options,
@@ -46,10 +46,10 @@
 }
 
 /**
- * One dispatcher a backend server against one a service.
+ * Compares dispatch group sizes, from one dispatcher per backend server to one per service.
  *
  * @param options - as {@link runOverload}; `--group-sizes`
- * @returns one row a case and group size
+ * @returns one row per case and group size
  */
 export function runGroupSize(options: BenchOptions): Promise<BenchResult> {
   const variants = readList(options, 'group-sizes', ['1', '4', '16']).map((size) => ({
@@ -61,16 +61,16 @@
 }
 
 /**
- * Waiting against a reserve of slots for higher tiers.
+ * Compares waiting for slots with reserving a fraction of them for higher tiers.
  *
  * @param options - as {@link runOverload}; `--reserves`
- * @returns one row a case and reserve
+ * @returns one row per case and reserve
  */
 export function runReserve(options: BenchOptions): Promise<BenchResult> {
   const variants = readList(options, 'reserves', ['0', '0.125', '0.25']).map((reserve) => ({
     label: `reserve ${reserve}`,
     entryHostFlags: ['--reserve-fraction', reserve],
-    dispatchGroupSize: WHOLE_SERVICE,
+    dispatchGroupSize: DEFAULT_GROUP_SIZE,
   }));
   return runVariants(options, variants, ['steady-0.7', 'overload-1.3', 'burst']);
 }
@@ -94,10 +94,10 @@
   for (const overloadCase of cases) {
     for (const variant of variants) {
       const runOptions = { ...settings, ...variant, shape, overloadCase };
-      const ofSeeds = await runSeeds(options, runOptions, seeds);
-      reports.push(...ofSeeds);
-      if (ofSeeds.length > 0) {
-        summaries.push(buildOverloadSummary(overloadCase.name, variant.label, ofSeeds));
+      const seedReports = await runSeeds(options, runOptions, seeds);
+      reports.push(...seedReports);
+      if (seedReports.length > 0) {
+        summaries.push(buildOverloadSummary(overloadCase.name, variant.label, seedReports));
       }
     }
   }
@@ -116,7 +116,7 @@
   };
 }
 
-/** A run that fails is told and left out; it must not take the others with it. */
+/** Runs one variant with each seed. A failed run is reported and skipped, so that others continue. */
 async function runSeeds(
   options: BenchOptions,
   runOptions: Omit<OverloadRunOptions, 'seed'>,
@@ -126,11 +126,11 @@
   for (const seed of seeds) {
     try {
       const report = await runOverloadCase({ ...runOptions, seed });
-      options.note(formatText(report));
+      options.reportProgress(formatText(report));
       reports.push(report);
     } catch (error) {
       const name = `${runOptions.overloadCase.name} · ${runOptions.label} · seed ${seed}`;
-      options.note(`NOT RUN: ${name}: ${(error as Error).message}`);
+      options.reportProgress(`NOT RUN: ${name}: ${(error as Error).message}`);
       process.exitCode = 1;
     }
   }
@@ -141,7 +141,7 @@
   const found = OVERLOAD_CASES.find((each) => each.name === name);
   if (!found) {
     const names = OVERLOAD_CASES.map((each) => each.name).join(', ');
-    throw new Error(`Cannot run case "${name}": it is none of ${names}`);
+    throw new Error(`Cannot run case "${name}": it must be one of ${names}`);
   }
   return found;
 }
--- a/bench/registry.ts
+++ b/bench/registry.ts
@@ -1,5 +1,5 @@
 /**
- * Every bench by name.
+ * Lists every bench by name.
  *
  * @module
  */
@@ -24,106 +24,106 @@
 import { runThroughputOneHost } from './throughput_one_host.js';
 import { runWideFleet } from './wide_fleet.js';
 
-/** All benches, in the order of the pages. */
+/** All benches, in the order in which they are listed. */
 export const BENCHES: readonly Bench[] = [
   {
     name: 'added-latency',
-    description: 'the whole path against a direct call to the stand-in, p50 and p99',
+    description: 'latency of calls through an entry host against a direct call, p50 and p99',
     run: runAddedLatency,
   },
   {
     name: 'continue-cost',
-    description: 'the 100-continue proof against none and against a fresh connection',
+    description: 'latency of the 100-continue handshake against a new connection for each call',
     run: runContinueCost,
   },
   {
     name: 'forward-cost',
-    description: 'a call sent to its owner against one passed on to it',
+    description: 'latency of a call sent to its owner against one forwarded to it',
     run: runForwardCost,
   },
   {
     name: 'dispatcher-time',
-    description: 'what the wait for a slot adds when there is room, p50 and p99',
+    description: 'latency of a slot request while slots are free, p50 and p99',
     run: runDispatcherTime,
   },
   {
     name: 'throughput-one-host',
-    description: 'most requests a second through one entry host',
+    description: 'maximum requests per second through one entry host',
     run: runThroughputOneHost,
   },
   {
     name: 'configuration-spread',
-    description: 'from publishing to in force on eight entry hosts, all reading or half cut off',
+    description: 'time until a change is in effect on eight entry hosts, all or half connected',
     run: runConfigurationSpread,
   },
   {
     name: 'configuration-reads',
-    description: 'reads a second at the platform against entry hosts, and at 410 by the slope',
+    description: 'platform reads per second by number of entry hosts, projected to 410',
     run: runConfigurationReads,
   },
   {
     name: 'silent-link',
-    description: 'how soon a link that went silent without closing is noticed, by kind of link',
+    description: 'detection time of a link that goes silent without closing, by kind of link',
     run: runSilentLink,
   },
   {
     name: 'dead-peer',
-    description: 'how soon a killed or frozen entry host is noticed',
+    description: 'detection time of a killed or paused entry host',
     run: runDeadPeer,
   },
   {
     name: 'leaving-notice',
-    description: 'how soon a leaving backend server gets no new work',
+    description: 'time until a draining backend server receives no new work',
     run: runLeavingNotice,
   },
   {
     name: 'answer-memory',
-    description: 'memory a kept answer, small and larger ones',
+    description: 'memory per retained answer, for small and large answers',
     run: runAnswerMemory,
   },
   {
     name: 'overload',
-    description: 'cases × strategies × seeds: goodput by tier, wasted prefill, broken promises',
+    description: 'goodput by tier, wasted prefill and violated guarantees by case and strategy',
     run: runOverload,
   },
   {
     name: 'group-size',
-    description: 'one dispatcher a backend server against one a service',
+    description: 'dispatch group sizes: one dispatcher per backend server up to one per service',
     run: runGroupSize,
   },
   {
     name: 'reserve',
-    description: 'waiting against a reserve of slots for higher tiers',
+    description: 'waiting for slots against reserving slots for higher tiers',
     run: runReserve,
   },
   {
     name: 'capacity-peers',
-    description: 'control at rest against the number of entry hosts',
+    description: 'control traffic without calls, by number of entry hosts',
     run: runCapacityPeers,
   },
   {
     name: 'capacity-requests',
-    description: 'messages, processor time and memory against requests a second',
+    description: 'messages, CPU time and memory, by requests per second',
     run: runCapacityRequests,
   },
   {
     name: 'capacity-accounts',
-    description: 'messages and memory against client accounts',
+    description: 'messages and memory, by number of client accounts',
     run: runCapacityAccounts,
   },
   {
     name: 'capacity-backends',
-    description: 'control against the number of backend servers',
+    description: 'control traffic, by number of backend servers',
     run: runCapacityBackends,
   },
   {
     name: 'wide-fleet',
-    description: 'what an entry host costs as one of many, at rest, by its role',
+    description: 'resource usage of an entry host in a large fleet without calls, by role',
     run: runWideFleet,
   },
   {
     name: 'capacity-answers',
-    description: 'memory against kept answers of one size',
+    description: 'memory by number of retained answers of one size',
     run: (options) =>
       runAnswerMemory({ ...options, flags: new Map([['sizes', '1000'], ...options.flags]) }),
   },
--- a/bench/silent_link.ts
+++ b/bench/silent_link.ts
@@ -1,5 +1,5 @@
 /**
- * Bench: how soon a link that went silent without closing is noticed.
+ * Bench: time until a link that goes silent without closing is detected.
  *
  * @module
  */
@@ -9,40 +9,48 @@
 import type { BenchOptions, BenchResult } from './bench.js';
 import { createAgent, sendTimed } from './_call.js';
 import { acquireRequestId, pickAccount } from './_caller_call.js';
-import type { CallerSettings } from './_caller_call.js';
-import { readAdmin, readMetricSum, waitMs } from './_entry_host_probe.js';
+import type { CallerContext } from './_caller_call.js';
+import { readAdmin, readMetricSum, sleep } from './_entry_host_probe.js';
 import { computeLatency } from './_statistics.js';
 
-const NOTICE_LIMIT_MS = 60_000;
+const DETECTION_TIMEOUT_MS = 60_000;
 const SETTLE_MS = 4000;
-const WARM_CALLS = 8;
+const WARM_UP_CALLS = 8;
 
-/** One kind of link. */
-interface SilentCase {
+/** One kind of link to silence. */
+interface LinkCase {
   readonly name: string;
-  /** Makes it silent. @returns how long until it was noticed, and what became of the work */
-  readonly run: (fleet: Fleet, caller: CallerSettings) => Promise<SilentSample>;
+  /** Silences the link. @returns the detection time and the outcome of the affected work */
+  readonly run: (fleet: Fleet, caller: CallerContext) => Promise<DetectionSample>;
 }
 
-/** One silence. */
-interface SilentSample {
+/** Result of silencing a link once. */
+interface DetectionSample {
+  /** Time until the silence was detected, in milliseconds. */
   readonly noticedMs: number;
+  /** Outcome of the affected work. */
   readonly work: string;
 }
 
-const CASES: readonly SilentCase[] = [
-  { name: 'peer: link replaced', run: runPeer },
-  { name: 'peer: call on its way to its owner', run: runForwarded },
-  { name: 'configuration service: change in force', run: runConfiguration },
-  { name: 'backend server: POST on kept connections', run: (f, c) => runBackend(f, c, 'POST') },
-  { name: 'backend server: GET on a fresh connection', run: (f, c) => runBackend(f, c, 'GET') },
+const CASES: readonly LinkCase[] = [
+  { name: 'peer: link replaced', run: measurePeerLink },
+  { name: 'peer: call on its way to its owner', run: measureForwardedCall },
+  { name: 'configuration service: change in force', run: measureConfigurationService },
+  {
+    name: 'backend server: POST on kept connections',
+    run: (f, c) => measureBackendServer(f, c, 'POST'),
+  },
+  {
+    name: 'backend server: GET on a fresh connection',
+    run: (f, c) => measureBackendServer(f, c, 'GET'),
+  },
 ];
 
 /**
- * Silences old connections of each kind while new ones work.
+ * Silences the existing connections of each kind of link while new connections work.
  *
  * @param options - `--rounds`
- * @returns time until noticed, by kind of link
+ * @returns detection time by kind of link
  */
 export async function runSilentLink(options: BenchOptions): Promise<BenchResult> {
   const rounds = readNumber(options, 'rounds', 5);
@@ -53,15 +61,15 @@
     proxied: { peers: true, configuration: true },
   });
   const agent = createAgent();
-  const samples = new Map<string, SilentSample[]>();
+  const samples = new Map<string, DetectionSample[]>();
   try {
     const caller = { account: pickAccount(fleet), agent };
     for (const each of CASES) {
-      options.note(each.name);
-      const list: SilentSample[] = [];
+      options.reportProgress(each.name);
+      const list: DetectionSample[] = [];
       for (let round = 0; round < rounds; round += 1) {
         list.push(await each.run(fleet, caller));
-        await waitMs(SETTLE_MS);
+        await sleep(SETTLE_MS);
       }
       samples.set(each.name, list);
     }
@@ -88,49 +96,49 @@
   };
 }
 
-function formatWork(list: readonly SilentSample[]): string {
+function formatWork(list: readonly DetectionSample[]): string {
   const counts = new Map<string, number>();
   list.forEach(({ work }) => counts.set(work, (counts.get(work) ?? 0) + 1));
   return [...counts].map(([work, count]) => `${work} × ${count}`).join(', ');
 }
 
-/** All links between entry hosts go silent. */
-async function runPeer(fleet: Fleet): Promise<SilentSample> {
-  const before = await readReplaced(fleet);
+/** Silences all links between entry hosts until one is replaced. */
+async function measurePeerLink(fleet: Fleet): Promise<DetectionSample> {
+  const before = await sumReplacedLinks(fleet);
   const startMs = performance.now();
-  setPeerSilent(fleet);
-  await waitUntil(async () => (await readReplaced(fleet)) > before, {
+  silencePeerLinks(fleet);
+  await waitUntil(async () => (await sumReplacedLinks(fleet)) > before, {
     subject: 'a replaced link',
-    limitMs: NOTICE_LIMIT_MS,
+    limitMs: DETECTION_TIMEOUT_MS,
   });
   return { noticedMs: performance.now() - startMs, work: 'replaced' };
 }
 
-/** A call with an ID of entry-2 is sent to entry-1 right after the link went silent. */
-async function runForwarded(fleet: Fleet, caller: CallerSettings): Promise<SilentSample> {
+/** Sends a call whose ID belongs to entry-2 to entry-1 right after their link went silent. */
+async function measureForwardedCall(fleet: Fleet, caller: CallerContext): Promise<DetectionSample> {
   const owner = fleet.findEntryHost('entry-2');
   const requestId = await acquireRequestId(owner, caller);
-  setPeerSilent(fleet);
+  silencePeerLinks(fleet);
   return sendStatus(fleet.findEntryHost('entry-1'), fleet, caller, { requestId, method: 'GET' });
 }
 
-/** Either end may have dialled the link that is used, so no proxy may be left out. */
-function setPeerSilent(fleet: Fleet): void {
+/** Silences peer links at every proxy, since either end may have dialed the link in use. */
+function silencePeerLinks(fleet: Fleet): void {
   fleet.entryHosts.forEach(({ proxy }) => {
     proxy?.setFault(LinkFault.SilentOld);
     proxy?.setFault(LinkFault.None);
   });
 }
 
-async function readReplaced(fleet: Fleet): Promise<number> {
+async function sumReplacedLinks(fleet: Fleet): Promise<number> {
   const counts = await Promise.all(
     fleet.entryHosts.map((host) => readMetricSum(host, 'peer_links_replaced_total')),
   );
   return counts.reduce((sum, count) => sum + count, 0);
 }
 
-/** Every watch goes silent, so nobody can hear of the change from a peer. */
-async function runConfiguration(fleet: Fleet): Promise<SilentSample> {
+/** Silences every host's watch, so that no host can learn of the change from a peer. */
+async function measureConfigurationService(fleet: Fleet): Promise<DetectionSample> {
   const { proxy } = fleet.configuration;
   proxy?.setFault(LinkFault.SilentOld);
   proxy?.setFault(LinkFault.None);
@@ -138,24 +146,24 @@
   const [contract] = fleet.parts.options.shape.contracts;
   if (!contract) throw new Error('Cannot publish: the shape has no contract');
   const revision = await fleet.publishContract({ ...contract, weight: 1 + (Date.now() % 90) });
-  const isInForce = async (): Promise<boolean> => {
+  const isInEffect = async (): Promise<boolean> => {
     const states = await Promise.all(
       fleet.entryHosts.map((host) => readAdmin<{ revision: number }>(host, '/v1/configuration')),
     );
     return states.every((state) => state.revision >= revision);
   };
-  await waitUntil(isInForce, { subject: `revision ${revision}`, limitMs: NOTICE_LIMIT_MS });
+  await waitUntil(isInEffect, { subject: `revision ${revision}`, limitMs: DETECTION_TIMEOUT_MS });
   return { noticedMs: performance.now() - startMs, work: 'in force' };
 }
 
-/** Connections that the entry host keeps to the plain server go silent. */
-async function runBackend(
+/** Silences the connections that the entry host keeps open to the plain server. */
+async function measureBackendServer(
   fleet: Fleet,
-  caller: CallerSettings,
+  caller: CallerContext,
   method: string,
-): Promise<SilentSample> {
+): Promise<DetectionSample> {
   const host = fleet.findEntryHost('entry-1');
-  for (let call = 0; call < WARM_CALLS; call += 1) {
+  for (let call = 0; call < WARM_UP_CALLS; call += 1) {
     const requestId = await acquireRequestId(host, caller);
     await sendStatus(host, fleet, caller, { requestId, method });
   }
@@ -169,12 +177,12 @@
 async function sendStatus(
   host: EntryHost,
   fleet: Fleet,
-  caller: CallerSettings,
+  caller: CallerContext,
   call: { requestId: string; method: string },
-): Promise<SilentSample> {
+): Promise<DetectionSample> {
   const service = fleet.parts.options.shape.plainService;
   const path = call.method === 'GET' ? '/status' : '/notices';
-  const answer = await sendTimed({
+  const response = await sendTimed({
     url: `${host.url}/v1/services/${service}${path}`,
     method: call.method,
     headers: {
@@ -185,7 +193,7 @@
     body: call.method === 'GET' ? undefined : '{"notice":1}',
     agent: caller.agent,
   });
-  const code = /"code":"([a-z_]+)"/.exec(answer.text)?.[1];
-  const work = answer.status === 200 ? 'answered' : `${answer.status} ${code}`;
-  return { noticedMs: answer.totalMs, work };
+  const code = /"code":"([a-z_]+)"/.exec(response.text)?.[1];
+  const work = response.status === 200 ? 'answered' : `${response.status} ${code}`;
+  return { noticedMs: response.totalMs, work };
 }
--- a/bench/throughput_one_host.ts
+++ b/bench/throughput_one_host.ts
@@ -1,5 +1,5 @@
 /**
- * Bench: most requests a second through one entry host.
+ * Bench: maximum requests per second through one entry host.
  *
  * @module
  */
@@ -9,17 +9,17 @@
 import type { BenchOptions, BenchResult } from './bench.js';
 import { createAgent } from './_call.js';
 import { acquireRequestId, pickAccount, sendPlain } from './_caller_call.js';
-import type { CallerSettings } from './_caller_call.js';
-import { computeRates, readProcessUse } from './_entry_host_probe.js';
+import type { CallerContext } from './_caller_call.js';
+import { computeRates, readProcessUsage } from './_entry_host_probe.js';
 import { computeLatency } from './_statistics.js';
 import { buildWideShape } from './_wide_shape.js';
 
 const MS_PER_SECOND = 1000;
-/** Long enough, with many callers, that the host's code is compiled. */
+/** Long enough, with many callers, for the host's code to be JIT-compiled. */
 const WARM_UP_SECONDS = 5;
 const WARM_UP_CALLERS = 32;
 
-/** One measured way. */
+/** Throughput with one number of callers; the order of the members is that of the columns. */
 interface Throughput {
   readonly name: string;
   readonly callers: number;
@@ -32,10 +32,10 @@
 }
 
 /**
- * Closed-loop callers at one entry host before two plain servers.
+ * Runs closed-loop callers against one entry host with two plain servers.
  *
  * @param options - `--seconds` for each row
- * @returns requests a second with and without an ID
+ * @returns requests per second with and without a request ID
  */
 export async function runThroughputOneHost(options: BenchOptions): Promise<BenchResult> {
   const seconds = readNumber(options, 'seconds', 8);
@@ -47,7 +47,7 @@
     }
     for (const withId of [false, true]) {
       for (const callers of [1, 16, 64]) {
-        options.note(`${callers} callers, ${withId ? 'with ID' : 'bare'}`);
+        options.reportProgress(`${callers} callers, ${withId ? 'with ID' : 'bare'}`);
         figures.push(await runCallers(fleet, callers, withId, seconds));
       }
     }
@@ -71,7 +71,7 @@
   };
 }
 
-/** Account limits are far above what one host can do: they are not what is measured. */
+/** Starts a fleet whose account limits are too high to affect the throughput of one host. */
 function startThroughputFleet(): Promise<Fleet> {
   return startFleet({
     shape: buildWideShape(MOULINET),
@@ -93,16 +93,16 @@
   const caller = { account: pickAccount(fleet), agent: createAgent() };
   const service = fleet.parts.options.shape.plainService;
   const times: number[] = [];
-  const before = readProcessUse(host.pid);
-  const toolBefore = process.cpuUsage();
+  const before = readProcessUsage(host.pid);
+  const benchUsageBefore = process.cpuUsage();
   const endMs = performance.now() + seconds * MS_PER_SECOND;
   await Promise.all(
     Array.from({ length: callers }, () =>
       runCaller(host, caller, { service, withId, endMs, times }),
     ),
   );
-  const after = readProcessUse(host.pid);
-  const tool = process.cpuUsage(toolBefore);
+  const after = readProcessUsage(host.pid);
+  const benchUsage = process.cpuUsage(benchUsageBefore);
   caller.agent.destroy();
   const elapsed = (after.atMs - before.atMs) / MS_PER_SECOND;
   const rates = computeRates(before, after);
@@ -115,13 +115,13 @@
     p99,
     hostCpuShare: rates.cpuShare,
     hostCpuMsPerRequest: (rates.cpuShare * elapsed * MS_PER_SECOND) / times.length,
-    toolCpuShare: (tool.user + tool.system) / 1e6 / elapsed,
+    toolCpuShare: (benchUsage.user + benchUsage.system) / 1e6 / elapsed,
   };
 }
 
 async function runCaller(
   host: EntryHost,
-  caller: CallerSettings,
+  caller: CallerContext,
   work: { service: string; withId: boolean; endMs: number; times: number[] },
 ): Promise<void> {
   const call = { service: work.service, method: 'GET', path: '/status' };
--- a/bench/wide_fleet.ts
+++ b/bench/wide_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Bench: what it costs an entry host to be one of many, without any calls.
+ * Bench: resource usage of an entry host in a large fleet without calls.
  *
  * @module
  */
@@ -10,26 +10,26 @@
 import type { DirectSettings } from '../src/commands/direct_settings.js';
 import { readNumber } from './bench.js';
 import type { BenchOptions, BenchResult } from './bench.js';
-import { computeRates, readProcessUse, waitMs } from './_entry_host_probe.js';
-import type { ProcessRate } from './_entry_host_probe.js';
+import { computeRates, readProcessUsage, sleep } from './_entry_host_probe.js';
+import type { UsageRate } from './_entry_host_probe.js';
 import { computeMean } from './_statistics.js';
 
-/** Availability zones that the entry hosts are spread over. */
+/** Number of availability zones that the entry hosts are spread over. */
 const ZONES = 5;
 
-/** One entry host of so many is strong, as in the users' mixed fleets. */
-const STRONG_EVERY = 12;
+/** One in this many entry hosts has a large CPU quota, as in the users' mixed fleets. */
+const LARGE_HOST_INTERVAL = 12;
 
-/** Processor cores of the strong ones and of the others. */
-const STRONG_CORES = 1;
-const WEAK_CORES = 0.324;
+/** CPU cores of the entry hosts with a large quota, and of the others. */
+const LARGE_HOST_CORES = 1;
+const SMALL_HOST_CORES = 0.324;
 
-/** Time between two changes of some backend server's entry, in milliseconds: a rolling release. */
-const CHANGE_MS = 1_000;
+/** Interval between changes of backend server entries in milliseconds, as in a rolling release. */
+const CHANGE_INTERVAL_MS = 1_000;
 
 const MS_PER_SECOND = 1_000;
 
-/** What an entry host does for the others. */
+/** Role of an entry host in the distribution of reports. */
 enum FleetRole {
   Member = 'member',
   Relay = 'relay',
@@ -37,11 +37,11 @@
 
 interface HostFigures {
   readonly role: FleetRole;
-  readonly rate: ProcessRate;
+  readonly rate: UsageRate;
   readonly messagesPerSecond: number;
 }
 
-/** The size that is measured. */
+/** Size of the measured fleet. */
 interface FleetSize {
   readonly hosts: number;
   readonly servers: number;
@@ -49,11 +49,11 @@
 }
 
 /**
- * Starts entry hosts as processes, lets them find each other, and reads what each uses.
+ * Starts entry hosts as processes, lets them discover each other, and measures the usage of each.
  *
  * @param options - `--hosts`, `--servers`, `--accounts`, `--settle` and `--seconds`;
- *   `--profile DIR` has every entry host write a profile of its processor time there
- * @returns a row a role
+ *   `--profile DIR` makes every entry host write a CPU profile to that folder
+ * @returns one row per role
  */
 export async function runWideFleet(options: BenchOptions): Promise<BenchResult> {
   const size: FleetSize = {
@@ -72,20 +72,20 @@
     await fleet.start(0, []);
     fleet.store.put('op/config', buildWideConfiguration(size.accounts));
     const stopChanges = startChanges(fleet, size.servers);
-    await fleet.startEntries(size.hosts, buildHostChanges);
-    options.note(`${size.hosts} entry hosts started; ${settleS} s to find each other`);
-    await waitMs(settleS * MS_PER_SECOND);
+    await fleet.startEntries(size.hosts, buildHostSettings);
+    options.reportProgress(`${size.hosts} entry hosts started; ${settleS} s for discovery`);
+    await sleep(settleS * MS_PER_SECOND);
     const figures = await measureHosts(fleet, seconds);
     stopChanges();
-    if (profileFolder !== undefined) await endByItself(fleet);
+    if (profileFolder !== undefined) await stopGracefully(fleet);
     return buildResult({ ...size, settleS, seconds }, figures);
   } finally {
     await fleet.stop();
   }
 }
 
-/** A process that is killed writes no profile. */
-async function endByItself({ entries }: PlatformFleet): Promise<void> {
+/** Stops the entry hosts by SIGTERM, since a killed process writes no CPU profile. */
+async function stopGracefully({ entries }: PlatformFleet): Promise<void> {
   entries.forEach(({ process }) => process.kill('SIGTERM'));
   await Promise.all(entries.map(({ exited }) => exited));
 }
@@ -102,7 +102,7 @@
   return { ...buildConfiguration(1), tenants };
 }
 
-/** Entries change one after the other; each change travels to all entry hosts. */
+/** Changes backend server entries in turn; each change is distributed to all entry hosts. */
 function startChanges({ store }: PlatformFleet, servers: number): () => void {
   let changes = 0;
   const write = (index: number): void => {
@@ -122,29 +122,29 @@
   const timer = setInterval(() => {
     changes += 1;
     write(changes % servers);
-  }, CHANGE_MS);
+  }, CHANGE_INTERVAL_MS);
   return () => clearInterval(timer);
 }
 
-/** Entry hosts in several availability zones, few of them strong. */
-function buildHostChanges(index: number): Partial<DirectSettings> {
-  const isStrong = index % STRONG_EVERY === 0;
+/** Builds the settings of an entry host: its availability zone and its CPU quota. */
+function buildHostSettings(index: number): Partial<DirectSettings> {
+  const isLarge = index % LARGE_HOST_INTERVAL === 0;
   return {
     availabilityZone: `hall-${index % ZONES}`,
-    coreShare: isStrong ? STRONG_CORES : WEAK_CORES,
+    coreShare: isLarge ? LARGE_HOST_CORES : SMALL_HOST_CORES,
   };
 }
 
 async function measureHosts(fleet: PlatformFleet, seconds: number): Promise<HostFigures[]> {
   const entries = fleet.entries.filter(({ process }) => process.exitCode === null);
   const before = await Promise.all(entries.map(readMessages));
-  const usedBefore = entries.map(({ process }) => readProcessUse(process.pid ?? 0));
-  await waitMs(seconds * MS_PER_SECOND);
-  const usedAfter = entries.map(({ process }) => readProcessUse(process.pid ?? 0));
+  const usageBefore = entries.map(({ process }) => readProcessUsage(process.pid ?? 0));
+  await sleep(seconds * MS_PER_SECOND);
+  const usageAfter = entries.map(({ process }) => readProcessUsage(process.pid ?? 0));
   const after = await Promise.all(entries.map(readMessages));
   return entries.map((_, index) => {
-    const from = usedBefore[index];
-    const to = usedAfter[index];
+    const from = usageBefore[index];
+    const to = usageAfter[index];
     if (!from || !to) throw new Error('Cannot compare readings: one is missing');
     const messages = (after[index]?.messages ?? 0) - (before[index]?.messages ?? 0);
     return {
@@ -168,15 +168,16 @@
 
 function buildResult(settings: object, figures: readonly HostFigures[]): BenchResult {
   const rows = Object.values(FleetRole).flatMap((role) => {
-    const own = figures.filter((figure) => figure.role === role);
-    if (own.length === 0) return [];
-    const average = (read: (figure: HostFigures) => number): number => computeMean(own.map(read));
+    const roleFigures = figures.filter((figure) => figure.role === role);
+    if (roleFigures.length === 0) return [];
+    const average = (read: (figure: HostFigures) => number): number =>
+      computeMean(roleFigures.map(read));
     return [
       [
         role,
-        own.length,
+        roleFigures.length,
         average(({ rate }) => rate.cpuShare).toFixed(4),
-        Math.max(...own.map(({ rate }) => rate.cpuShare)).toFixed(4),
+        Math.max(...roleFigures.map(({ rate }) => rate.cpuShare)).toFixed(4),
         average(({ messagesPerSecond }) => messagesPerSecond).toFixed(1),
         Math.round(average(({ rate }) => rate.readBytesPerSecond)),
         Math.round(average(({ rate }) => rate.writtenBytesPerSecond)),
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,6 +1,6 @@
 /**
- * Builds `dist/monsoonhall`: one bundle, put into a copy of the Node binary as
- * a single executable application.
+ * Builds `dist/monsoonhall`, a single executable application: a copy of the Node binary into which
+ * the bundled program is injected.
  */
 import { execFileSync } from 'node:child_process';
 import {
@@ -20,8 +20,8 @@
 
 const FOLDER = 'dist';
 const BINARY = path.join(FOLDER, 'monsoonhall');
-/** Where Node looks for the application; fixed by Node's documentation. */
-const FUSE = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
+/** Marker by which Node finds the injected application; its value is fixed by Node. */
+const SEA_FUSE = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
 
 async function buildBundle(file) {
   await esbuild.build({
@@ -38,10 +38,10 @@
   });
 }
 
-/** Has Node prepare the bundle. */
-function writeBlob(work, bundle) {
-  const config = path.join(work, 'sea-config.json');
-  const output = path.join(work, 'monsoonhall.blob');
+/** Runs Node to convert the bundle to a blob, and returns the blob's bytes. */
+function writeBlob(workFolder, bundle) {
+  const config = path.join(workFolder, 'sea-config.json');
+  const output = path.join(workFolder, 'monsoonhall.blob');
   const settings = { main: bundle, output, disableExperimentalSEAWarning: true };
   writeFileSync(config, JSON.stringify(settings));
   execFileSync(process.execPath, ['--experimental-sea-config', config], { stdio: 'pipe' });
@@ -49,19 +49,19 @@
 }
 
 mkdirSync(FOLDER, { recursive: true });
-// A folder of its own, and a move at the end: two builds at once don't meet,
-// and a running copy of the binary is not written to.
-const work = mkdtempSync(path.join(FOLDER, 'build-'));
+// Each build uses its own folder and moves the binary at the end, so that concurrent builds don't
+// collide and a running binary is not overwritten.
+const workFolder = mkdtempSync(path.join(FOLDER, 'build-'));
 try {
-  const bundle = path.join(work, 'monsoonhall.cjs');
+  const bundle = path.join(workFolder, 'monsoonhall.cjs');
   await buildBundle(bundle);
-  const blob = writeBlob(work, bundle);
-  const unfinished = path.join(work, 'monsoonhall');
+  const blob = writeBlob(workFolder, bundle);
+  const unfinished = path.join(workFolder, 'monsoonhall');
   copyFileSync(process.execPath, unfinished);
   chmodSync(unfinished, 0o755);
-  await inject(unfinished, 'NODE_SEA_BLOB', blob, { sentinelFuse: FUSE });
+  await inject(unfinished, 'NODE_SEA_BLOB', blob, { sentinelFuse: SEA_FUSE });
   renameSync(unfinished, BINARY);
 } finally {
-  rmSync(work, { recursive: true, force: true });
+  rmSync(workFolder, { recursive: true, force: true });
 }
 process.stdout.write(`${BINARY}\n`);
--- a/scripts/bundle_platform.mjs
+++ b/scripts/bundle_platform.mjs
@@ -1,4 +1,4 @@
-/** Builds `target/monsoonhall.mjs`: the entry host as the platform runs it, in one file. */
+/** Builds `target/monsoonhall.mjs`, the entry host that the platform runs, as one file. */
 import esbuild from 'esbuild';
 import { leaveOutNativeParts } from './leave_out_native_parts.mjs';
 
@@ -10,11 +10,11 @@
   platform: 'node',
   target: 'node20',
   plugins: [leaveOutNativeParts],
-  // Libraries in CommonJS call `require` for Node's own modules.
+  // Bundled CommonJS libraries call `require` for Node's built-in modules.
   banner: {
     js: "import { createRequire as createRequireOfBundle } from 'node:module'; const require = createRequireOfBundle(import.meta.url);",
   },
-  // A restarted process is ready sooner the less there is to parse; names stay for stack traces.
+  // Less code to parse makes a restarted process ready sooner. Identifiers are kept for stack traces.
   minifyWhitespace: true,
   minifySyntax: true,
   logLevel: 'warning',
--- a/scripts/compile.mjs
+++ b/scripts/compile.mjs
@@ -1,6 +1,6 @@
 /**
- * Compiles each TypeScript file to `build/`, one JavaScript module a file, so
- * that tests, benches and the demo run on plain Node without a loader.
+ * Compiles each TypeScript file to one JavaScript module in `build/`, so that tests, benches and the
+ * demo run on plain Node without a loader.
  */
 import { readdirSync, rmSync, statSync } from 'node:fs';
 import path from 'node:path';
--- a/scripts/leave_out_native_parts.mjs
+++ b/scripts/leave_out_native_parts.mjs
@@ -1,7 +1,7 @@
 /**
- * Native parts of libraries, which a bundle can't hold. Each library catches the
- * error and uses its own JavaScript; left to `require`, Node would print a warning
- * at every start.
+ * esbuild plugin that replaces native addons, which a bundle can't contain, by modules that throw.
+ * Each library catches the error and falls back to JavaScript. With a plain `require`, Node would
+ * print a warning at every start.
  */
 export const leaveOutNativeParts = {
   name: 'leave-out-native-parts',
--- a/scripts/run.mjs
+++ b/scripts/run.mjs
@@ -1,4 +1,4 @@
-/** Runs one of the project's programs from a fresh clone: installs, compiles, starts. */
+/** Runs one of the project's programs: installs missing packages, compiles and starts it. */
 import { spawnSync, spawn } from 'node:child_process';
 import { existsSync } from 'node:fs';
 
@@ -16,7 +16,9 @@
 const [name, ...rest] = process.argv.slice(2);
 const program = PROGRAMS[name];
 if (!program) {
-  process.stderr.write(`Cannot run "${name}": it is none of ${Object.keys(PROGRAMS).join(', ')}\n`);
+  process.stderr.write(
+    `Cannot run "${name}": it must be one of ${Object.keys(PROGRAMS).join(', ')}\n`,
+  );
   process.exit(2);
 }
 if (!existsSync('node_modules/.package-lock.json')) runStep('npm', ['ci', '--ignore-scripts']);
@@ -25,8 +27,8 @@
 ['SIGINT', 'SIGTERM'].forEach((signal) => process.on(signal, () => child.kill(signal)));
 child.on('exit', (code) => process.exit(code ?? 1));
 
-// npm that is killed tells nobody: the program would go on without anyone to
-// stop it. The parent's process ID changes then.
+// If npm is killed, this process gets no signal and the program would keep running. A changed parent
+// process ID reveals that npm is gone.
 const parentPid = process.ppid;
 setInterval(() => {
   if (process.ppid !== parentPid) child.kill('SIGINT');
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,6 +1,6 @@
 /**
- * The whole verdict: installs what is missing, compiles, runs every test file
- * with tap, honours KNOWN-RED.txt and ends with `N passed, N failed`.
+ * Runs the test suite: installs missing packages, compiles, runs every test file with tap, tolerates
+ * the failures listed in KNOWN-RED.txt, and prints `N passed, N failed` as its last line.
  */
 import { spawn, spawnSync } from 'node:child_process';
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
@@ -15,7 +15,7 @@
   if (result.status !== 0) process.exit(result.status ?? 1);
 }
 
-/** Reads KNOWN-RED.txt: a line each of `test name, command and seed, what was seen, issue`. */
+/** Reads KNOWN-RED.txt. Each line is `test name, command and seed, what was seen, issue`. */
 function readKnownRed() {
   if (!existsSync('KNOWN-RED.txt')) return [];
   return readFileSync('KNOWN-RED.txt', 'utf8')
@@ -31,8 +31,8 @@
 }
 
 /**
- * Counts the innermost assertions' parents: each flat `t.test()` is one test.
- * They stand one level (four spaces) below their file in the TAP stream.
+ * Counts the result of one TAP line. Each top-level `t.test()` of a file is one test; its line is
+ * indented by one level (four spaces) below the line of its file.
  */
 function countTest(line) {
   const match = /^ {4}(not ok|ok) \d+ - (.*?)(?: # (?!time=)(SKIP|TODO).*| # time=.*| \{)?$/.exec(
@@ -48,7 +48,7 @@
   if (file) tally.failedFiles.push(file[1]);
 }
 
-/** Passing assertions are left out; failures keep their diagnostics. */
+/** Whether a TAP line is printed: omits passing assertions and keeps diagnostics of failures. */
 function isWorthShowing(line) {
   if (/^\s*(ok \d|#|\d+\.\.\d+|\}|$)/.test(line)) return /^( {4})?ok \d/.test(line);
   return !line.startsWith('TAP version');
@@ -97,12 +97,12 @@
 knownRed.forEach((line) => process.stdout.write(`known red: ${line}\n`));
 tally.skipped.forEach((name) => process.stdout.write(`skipped: ${name}\n`));
 newFailures.forEach((name) => process.stdout.write(`failed: ${name}\n`));
-// A file that fails without a failed test crashed, timed out or ran no test.
-const crashed = exitCode !== 0 && tally.failed.length === 0;
-if (crashed)
+// A file that fails without a failed test has crashed, timed out or run no test.
+const hasCrashed = exitCode !== 0 && tally.failed.length === 0;
+if (hasCrashed)
   process.stdout.write(`failed without a failed test: ${tally.failedFiles.join(', ')}\n`);
-const failedCount = tally.failed.length + (crashed ? Math.max(1, tally.failedFiles.length) : 0);
-const green =
-  newFailures.length === 0 && !crashed && tally.skipped.length === 0 && tally.passed > 0;
+const failedCount = tally.failed.length + (hasCrashed ? Math.max(1, tally.failedFiles.length) : 0);
+const isSuccess =
+  newFailures.length === 0 && !hasCrashed && tally.skipped.length === 0 && tally.passed > 0;
 process.stdout.write(`${tally.passed} passed, ${failedCount} failed\n`);
-process.exit(green ? 0 : 1);
+process.exit(isSuccess ? 0 : 1);
