--- a/bench/_caller_call.ts
+++ b/bench/_caller_call.ts
@@ -19,6 +19,7 @@
   readonly service: string;
   readonly method: string;
   readonly path: string;
+  /** ID to send with the call. Default: none. */
   readonly requestId?: string;
   readonly body?: string;
 }
--- a/bench/_capacity_point.ts
+++ b/bench/_capacity_point.ts
@@ -8,6 +8,7 @@
 import { computeRates, readMetricSum, readProcessUsage, sleep } from './_entry_host_probe.js';
 import { fitLine, computeMean } from './_statistics.js';
 
+/** Pause after the metrics are read, so that the reads don't count as usage. */
 const SETTLE_MS = 500;
 
 /** Usage at one load: means over the entry hosts. */
@@ -25,6 +26,7 @@
   readonly readBytesPerSecond: number;
 }
 
+/** Table columns: member of a point, title and conversion factor. */
 const COLUMNS = [
   ['cpuShare', '% of a core', 100],
   ['residentBytes', 'resident MiB', 1 / 2 ** 20],
--- a/bench/_entry_host_probe.ts
+++ b/bench/_entry_host_probe.ts
@@ -10,6 +10,7 @@
 
 const CLOCK_TICKS_PER_SECOND = 100;
 const PAGE_BYTES = 4096;
+/** Fields of `/proc/PID/stat`, counted after the command name, and of `/proc/PID/statm`. */
 const UTIME_FIELD = 11;
 const STIME_FIELD = 12;
 const RESIDENT_FIELD = 1;
--- a/bench/_many_backends.ts
+++ b/bench/_many_backends.ts
@@ -12,7 +12,9 @@
 import type { BackendServerDocument, Fleet } from '../test/fleet/mod.js';
 import { readAdmin } from './_entry_host_probe.js';
 
+/** Time limit for the fleet document to take effect on every entry host. */
 const APPLY_TIMEOUT_MS = 10_000;
+/** Number of engines that share one child process. */
 const ENGINES_PER_PROCESS = 100;
 const ENGINES_PROGRAM = fileURLToPath(new URL('../standin/engines_main.js', import.meta.url));
 
--- a/bench/_overload_cases.ts
+++ b/bench/_overload_cases.ts
@@ -23,7 +23,9 @@
   readonly mustProxyPeers: boolean;
 }
 
+/** Factor by which the slow engine's durations grow. */
 const SLOW_FACTOR = 10;
+/** Load of cases with faults, as a multiple of the capacity. */
 const FAULT_MULTIPLE = 0.9;
 
 function buildSteady(name: string, multiple: number): OverloadCase {
--- a/bench/_overload_summary.ts
+++ b/bench/_overload_summary.ts
@@ -26,16 +26,25 @@
   readonly inDeadline: Spread;
   /** Output tokens of answers within their deadline. */
   readonly goodTokens: Spread;
+  /** Wasted share of the prefill work, in percent. */
   readonly wastedPrefillPercent: Spread;
+  /** Prefill tokens computed for undelivered answers, in percent of all computed ones. */
   readonly unreceivedPercent: Spread;
   /** Time to first byte by tier, in milliseconds. */
   readonly firstByte: Readonly<Record<string, { p50: Spread; p95: Spread; p99: Spread }>>;
+  /** Number of refused requests by tier. */
   readonly refused: Readonly<Record<string, Spread>>;
+  /** Shed requests soon after which work of a lower tier started. */
   readonly inversions: number;
+  /** Requests refused for lack of capacity. */
   readonly shed: number;
+  /** Request IDs that ran more than once. */
   readonly doubles: number;
+  /** Requests that were refused as `not_run` although they ran. */
   readonly falseNotRun: number;
+  /** Requests whose caller got no final response. */
   readonly lost: number;
+  /** Answers that were truncated or belonged to another request. */
   readonly wrong: number;
 }
 
--- a/bench/answer_memory.ts
+++ b/bench/answer_memory.ts
@@ -17,6 +17,7 @@
 const CALLER_COUNT = 24;
 const SETTLE_MS = 3000;
 const WARM_UP_ANSWERS = 1500;
+/** Limits high enough that the entry host discards no answer during the bench. */
 const ANSWER_BYTES = '1073741824';
 const ANSWER_LIFETIME_MS = '3600000';
 
@@ -24,6 +25,7 @@
 interface MemoryPoint {
   readonly answers: number;
   readonly residentBytes: number;
+  /** Size of the retained bodies, as reported by the entry host. */
   readonly keptAnswerBytes: number;
 }
 
--- a/bench/configuration_reads.ts
+++ b/bench/configuration_reads.ts
@@ -19,6 +19,7 @@
 /** Rates of reads at one number of entry hosts. */
 interface ReadPoint {
   readonly hosts: number;
+  /** Reads of the configuration, without changes. */
   readonly configurationPerSecond: number;
   readonly hostListPerSecond: number;
   readonly readsPerChange: number;
@@ -95,7 +96,10 @@
   }
 }
 
-/** Counts reads per change. Changes are half a second apart, so that each one completes every watch. */
+/**
+ * Counts platform reads per change. Changes are half a second apart, so that each one completes
+ * every watch.
+ */
 async function measureReadsPerChange(fleet: Fleet, changes: number): Promise<number> {
   const [contract] = fleet.parts.options.shape.contracts;
   if (!contract) throw new Error('Cannot publish: the shape has no contract');
--- a/bench/configuration_spread.ts
+++ b/bench/configuration_spread.ts
@@ -16,7 +16,9 @@
 
 /** Delays of one published change until it is in effect. */
 interface PublishDelays {
+  /** Delay of the slowest entry host. */
   readonly slowestMs: number;
+  /** Delays by entry host ID. */
   readonly byHostMs: Readonly<Record<string, number>>;
 }
 
--- a/bench/leaving_notice.ts
+++ b/bench/leaving_notice.ts
@@ -26,6 +26,7 @@
 /** One period in which the server drains, with wall-clock times in milliseconds. */
 interface DrainPeriod {
   readonly orderedAtMs: number;
+  /** Time at which the server was marked as live again. */
   readonly livedAgainAtMs: number;
   /** Time from the order until every entry host lists the server as draining. */
   readonly everybodyKnowsMs: number;
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -116,7 +116,7 @@
   };
 }
 
-/** Runs one variant with each seed. A failed run is reported and skipped, so that others continue. */
+/** Runs one variant with each seed. A failed run is reported and skipped; later runs continue. */
 async function runSeeds(
   options: BenchOptions,
   runOptions: Omit<OverloadRunOptions, 'seed'>,
--- a/bench/throughput_one_host.ts
+++ b/bench/throughput_one_host.ts
@@ -26,8 +26,10 @@
   readonly requestsPerSecond: number;
   readonly p50: number;
   readonly p99: number;
+  /** CPU time of the entry host, as a fraction of one core. */
   readonly hostCpuShare: number;
   readonly hostCpuMsPerRequest: number;
+  /** CPU time of this bench, as a fraction of one core. */
   readonly toolCpuShare: number;
 }
 
--- a/bench/wide_fleet.ts
+++ b/bench/wide_fleet.ts
@@ -31,10 +31,13 @@
 
 /** Role of an entry host in the distribution of reports. */
 enum FleetRole {
+  /** Sends only its own reports. */
   Member = 'member',
+  /** Also forwards the reports of other entry hosts. */
   Relay = 'relay',
 }
 
+/** Measured usage of one entry host. */
 interface HostFigures {
   readonly role: FleetRole;
   readonly rate: UsageRate;
--- a/demo/_caller.ts
+++ b/demo/_caller.ts
@@ -27,6 +27,7 @@
   readonly run: RunStatus;
   /** Backoff that a refusal asks for; 0 if the request is not worth retrying. */
   readonly retryAfterMs: number;
+  /** Monotonic time of the first response byte; 0 if none arrived. */
   readonly firstByteAtMs: number;
   /** Number of times that the caller reconnected. */
   readonly reconnects: number;
@@ -46,9 +47,11 @@
   readonly retryAfterMs: number;
 }
 
+/** Start of the event with which a stream reports a refusal. */
 const ERROR_EVENT_START = 'data: {"error"';
 const MAX_CONNECTIONS_PER_REQUEST = 6;
 const RECONNECT_DELAY_MS = 100;
+/** Time for which IDs are not used if their owner refused a connection. */
 const AVOID_REFUSING_HOST_MS = 5000;
 
 /** Outcome of a request whose first connection was refused: the caller retries with a new ID. */
@@ -156,27 +159,27 @@
     const assignment = await this.#acquireAssignment(work.number, signal).catch(() => undefined);
     if (!assignment) return this.#buildOutcome(new PartialResponse('', ['']), { kind: 'lost' });
     const others = assignment.entryHosts.map((host) => host.url);
-    const response = new PartialResponse(assignment.id, [assignment.entryHost.url, ...others]);
+    const partial = new PartialResponse(assignment.id, [assignment.entryHost.url, ...others]);
     let refusal: Refusal | undefined;
-    while (response.connections < MAX_CONNECTIONS_PER_REQUEST && !signal.aborted) {
+    while (partial.connections < MAX_CONNECTIONS_PER_REQUEST && !signal.aborted) {
       try {
-        const result = await this.#sendOnce(work, response, signal);
-        if (result === 'whole') return this.#checkAnswer(work, response);
+        const result = await this.#sendOnce(work, partial, signal);
+        if (result === 'whole') return this.#checkAnswer(work, partial);
         refusal = result ?? refusal;
-        if (refusal && !this.#mayResume(refusal, response)) break;
+        if (refusal && !this.#mayResume(refusal, partial)) break;
       } catch (error) {
         // A refused connection transfers no bytes, so a request with this ID can't have run.
-        if (response.connections === 0 && isConnectionRefused(error)) {
-          this.#refusedAtMs.set(response.url, performance.now());
-          return this.#buildOutcome(response, NEVER_SENT);
+        if (partial.connections === 0 && isConnectionRefused(error)) {
+          this.#refusedAtMs.set(partial.url, performance.now());
+          return this.#buildOutcome(partial, NEVER_SENT);
         }
         // The connection broke before the response head: try the next entry host.
       }
-      response.connections += 1;
+      partial.connections += 1;
       await sleep(RECONNECT_DELAY_MS);
     }
     return this.#buildOutcome(
-      response,
+      partial,
       refusal ? { kind: 'refused', ...refusal } : { kind: 'lost' },
     );
   }
@@ -218,8 +221,8 @@
   }
 
   /** Whether a refused stream may resume at another entry host, which needs the stream's ID. */
-  #mayResume(refusal: Refusal, response: PartialResponse): boolean {
-    return refusal.run !== 'not_run' && response.streamId !== '' && response.connections < 2;
+  #mayResume(refusal: Refusal, partial: PartialResponse): boolean {
+    return refusal.run !== 'not_run' && partial.streamId !== '' && partial.connections < 2;
   }
 
   /**
@@ -258,28 +261,28 @@
     return headers;
   }
 
-  #checkAnswer(work: Work, response: PartialResponse): RequestOutcome {
+  #checkAnswer(work: Work, partial: PartialResponse): RequestOutcome {
     let isCorrect = false;
     try {
-      isCorrect = work.isCorrectAnswer(response.bytes.toString());
+      isCorrect = work.isCorrectAnswer(partial.bytes.toString());
     } catch {
       // A body that can't be parsed is truncated.
     }
-    return this.#buildOutcome(response, { kind: 'answered', isCorrect, run: 'ran' });
+    return this.#buildOutcome(partial, { kind: 'answered', isCorrect, run: 'ran' });
   }
 
   #buildOutcome(
-    response: PartialResponse,
+    partial: PartialResponse,
     changes: Partial<RequestOutcome> & Pick<RequestOutcome, 'kind'>,
   ): RequestOutcome {
     return {
-      requestId: response.requestId,
+      requestId: partial.requestId,
       isCorrect: false,
       code: '',
       run: 'may_have_run',
       retryAfterMs: 0,
-      firstByteAtMs: response.firstByteAtMs,
-      reconnects: response.connections,
+      firstByteAtMs: partial.firstByteAtMs,
+      reconnects: partial.connections,
       ...changes,
     };
   }
--- a/demo/_shape_run.ts
+++ b/demo/_shape_run.ts
@@ -24,11 +24,14 @@
   readonly timeScale: number;
 }
 
+/** Number of client accounts that send work. */
 const ACCOUNT_COUNT = 3;
 const MS_PER_SECOND = 1000;
 const PROGRESS_INTERVAL_MS = 2000;
+/** Start and end of the burst, as fractions of the run. */
 const BURST_START_FRACTION = 0.4;
 const BURST_END_FRACTION = 0.6;
+/** Time at which an entry host is killed, as a fraction of the run. */
 const KILL_FRACTION = 0.5;
 
 /** Sends the work of one run and collects its outcomes. */
--- a/demo/_work.ts
+++ b/demo/_work.ts
@@ -50,6 +50,7 @@
 
 const CHARACTERS_PER_TOKEN = 4;
 const CHARACTERS_PER_BLOCK = 256;
+/** Longest shared prefix: four cache blocks. */
 const MAX_PREFIX_CHARACTERS = 1024;
 const NO_TOKENS: TokenRange = { least: 0, most: 0 };
 
--- a/scripts/run.mjs
+++ b/scripts/run.mjs
@@ -27,8 +27,8 @@
 ['SIGINT', 'SIGTERM'].forEach((signal) => process.on(signal, () => child.kill(signal)));
 child.on('exit', (code) => process.exit(code ?? 1));
 
-// If npm is killed, this process gets no signal and the program would keep running. A changed parent
-// process ID reveals that npm is gone.
+// If npm is killed, this process gets no signal and the program would keep running. A changed ID of
+// the parent process shows that npm has exited.
 const parentPid = process.ppid;
 setInterval(() => {
   if (process.ppid !== parentPid) child.kill('SIGINT');
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -98,6 +98,7 @@
     }
   }
 
+  /** Stops sending calls; calls in flight continue. */
   stop(): void {
     this.#isRunning = false;
   }
--- a/soak/checks.ts
+++ b/soak/checks.ts
@@ -136,7 +136,7 @@
   });
 }
 
-/** Calls at a host whose planned stop is the only fault at the time must get complete responses. */
+/** Checks that calls at a host get complete responses if its planned stop is the only fault. */
 function checkStops({ calls, disturbances }: SoakRecord): string[] {
   return disturbances
     .filter(({ kind }) => kind === FaultKind.HostStopped)
--- a/soak/fault_table.ts
+++ b/soak/fault_table.ts
@@ -13,6 +13,7 @@
 /** Reverts a fault; undefined if the fault is instantaneous. */
 type Revert = (() => void) | undefined;
 
+/** Injects one kind of fault into the host or replica with an index. */
 type InjectFault = (fleet: SoakFleet, index: number) => Revert;
 
 function getHost(fleet: SoakFleet, index: number): SoakHost {
@@ -64,6 +65,7 @@
   };
 }
 
+/** Injector of each kind of fault. */
 const FAULT_INJECTORS: Readonly<Record<FaultKind, InjectFault>> = {
   [FaultKind.HostKilled]: runOnce((fleet, index) =>
     fleet.endHost(getHost(fleet, index), 'SIGKILL'),
--- a/soak/run_soak.ts
+++ b/soak/run_soak.ts
@@ -38,8 +38,11 @@
   /** One line per violated guarantee. */
   readonly broken: readonly string[];
   readonly calls: number;
+  /** Calls with a complete response of status 200. */
   readonly served: number;
+  /** Calls refused with status 429 or 503. */
   readonly refused: number;
+  /** Calls without a response whose caller did not disconnect. */
   readonly unanswered: number;
   readonly faults: readonly PlannedFault[];
 }
@@ -53,6 +56,7 @@
 /** Length in milliseconds of the final phase without faults. */
 const CALM_PHASE_MS = 3_000;
 
+/** Interval between readiness queries, in milliseconds. */
 const READY_POLL_MS = 100;
 
 /**
--- a/soak/soak_fleet.ts
+++ b/soak/soak_fleet.ts
@@ -53,6 +53,7 @@
 export interface SoakReplica {
   replica: TestReplica;
   readonly proxy: CutProxy;
+  /** Port at which each incarnation listens. */
   readonly port: number;
   /** Whether the current incarnation is draining or crashed and its successor has not started. */
   isAway: boolean;
@@ -100,6 +101,7 @@
     return [...this.#formerRuns.flat(), ...this.replicas.flatMap(({ replica }) => replica.runs)];
   }
 
+  /** Starts the store, the replicas and the entry hosts. */
   async start(hosts: number, replicas: number): Promise<void> {
     await this.fleet.start(0, []);
     this.#publish();
@@ -159,11 +161,13 @@
     });
   }
 
+  /** Publishes a configuration with one more route. */
   addRoute(): void {
     this.#addedRoutes += 1;
     this.#publish();
   }
 
+  /** Publishes a configuration without the revocable key; has no effect after the first call. */
   revokeKey(): void {
     if (this.revokedAtMs !== Infinity) return;
     this.revokedAtMs = performance.now();
