--- a/demo/_journey.ts
+++ b/demo/_journey.ts
@@ -1,64 +1,64 @@
 /**
- * One piece of work from its arrival to its end, over all its requests.
+ * Sends one piece of work with retries, and describes its outcome.
  *
  * @module
  */
-import type { Caller, Ending } from './_caller.js';
+import type { Caller, RequestOutcome } from './_caller.js';
 import type { Work } from './_work.js';
 
-/** How a piece of work ended. */
-export interface Journey {
+/** Outcome of a piece of work. */
+export interface WorkOutcome {
   readonly work: Work;
   readonly accountId: string;
-  /** One for each request ID that the caller used, in order. */
-  readonly endings: readonly Ending[];
-  /** From arrival to the whole answer, in milliseconds. */
+  /** One outcome for each request ID that the caller used, in order. */
+  readonly requestOutcomes: readonly RequestOutcome[];
+  /** Time from arrival to the last outcome, in milliseconds. */
   readonly totalMs: number;
-  /** From arrival to the first byte of the answer, in milliseconds. */
+  /** Time from arrival to the first byte of the last response, in milliseconds. */
   readonly firstByteMs: number;
 }
 
 const MAX_REQUESTS_PER_WORK = 4;
-/** A caller hears something by then, or the request counts as lost. */
+/** Time past the deadline after which a request without a response counts as lost. */
 const GRACE_MS = 10_000;
 
-/** Work may be sent again under a new ID where nothing ran, or where running twice does no harm. */
-function maySendAgain(work: Work, ending: Ending): boolean {
-  if (ending.kind !== 'refused') return false;
-  return ending.run === 'not_run' ? ending.retryAfterMs > 0 : work.repeatable;
+/** Whether work may be retried under a new ID: nothing ran, or the work is repeatable. */
+function mayRetry(work: Work, outcome: RequestOutcome): boolean {
+  if (outcome.kind !== 'refused') return false;
+  return outcome.run === 'not_run' ? outcome.retryAfterMs > 0 : work.repeatable;
 }
 
-function waitFor(durationMs: number): Promise<void> {
+function sleep(durationMs: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, durationMs);
   });
 }
 
 /**
- * Sends a piece of work until it is answered or may not be sent again.
+ * Sends a piece of work, and retries it until it is answered or may not be retried.
  *
- * @param caller - whose work
- * @param work - what to send
- * @returns how it ended
+ * @param caller - the caller that sends it
+ * @param work - the work to send
+ * @returns the outcome
  */
-export async function runJourney(caller: Caller, work: Work): Promise<Journey> {
+export async function sendWithRetries(caller: Caller, work: Work): Promise<WorkOutcome> {
   const startMs = performance.now();
-  const giveUp = new AbortController();
-  const timer = setTimeout(() => giveUp.abort(), work.deadlineMs + GRACE_MS);
-  const endings: Ending[] = [];
-  while (endings.length < MAX_REQUESTS_PER_WORK && !giveUp.signal.aborted) {
-    const ending = await caller.send(work, giveUp.signal);
-    endings.push(ending);
-    const isLate = performance.now() - startMs + ending.retryAfterMs > work.deadlineMs;
-    if (isLate || !maySendAgain(work, ending)) break;
-    await waitFor(ending.retryAfterMs);
+  const timeout = new AbortController();
+  const timer = setTimeout(() => timeout.abort(), work.deadlineMs + GRACE_MS);
+  const requestOutcomes: RequestOutcome[] = [];
+  while (requestOutcomes.length < MAX_REQUESTS_PER_WORK && !timeout.signal.aborted) {
+    const outcome = await caller.send(work, timeout.signal);
+    requestOutcomes.push(outcome);
+    const isLate = performance.now() - startMs + outcome.retryAfterMs > work.deadlineMs;
+    if (isLate || !mayRetry(work, outcome)) break;
+    await sleep(outcome.retryAfterMs);
   }
   clearTimeout(timer);
   return {
     work,
     accountId: caller.account.id,
-    endings,
+    requestOutcomes,
     totalMs: performance.now() - startMs,
-    firstByteMs: (endings.at(-1)?.firstByteAtMs ?? 0) - startMs,
+    firstByteMs: (requestOutcomes.at(-1)?.firstByteAtMs ?? 0) - startMs,
   };
 }
