--- a/src/adapters/admin_http/_admin_routes.ts
+++ b/src/adapters/admin_http/_admin_routes.ts
@@ -6,27 +6,29 @@
 import type { HttpExchange, Route } from '../http_common/mod.js';
 import type { AdminSources } from './admin_sources.js';
 
-/** Bodies of operators count together. */
-const BODY_HOLDER = 'operators';
+/** Holder name in the body budget; all operators share one entry. */
+const BODY_BUDGET_HOLDER = 'operators';
 
-const METRICS_TYPE = 'text/plain; version=0.0.4; charset=utf-8';
+const METRICS_CONTENT_TYPE = 'text/plain; version=0.0.4; charset=utf-8';
 
-/** What a route does, and whether it asks for the key first. */
+/** A route's handler, and whether the route requires the administration key. */
 export interface AdminRoute {
   readonly needsKey: boolean;
   readonly handle: (http: HttpExchange, sources: AdminSources) => void | Promise<void>;
 }
 
-/** All routes. */
+/** All routes of the administration listener. */
 export const ADMIN_ROUTES: readonly Route<AdminRoute>[] = [
-  buildReading('health', '/v1/health', (sources) => sources.getHealth(), false),
+  buildReadRoute('health', '/v1/health', (sources) => sources.getHealth(), false),
   buildRoute('GET', 'readiness', '/v1/readiness', { needsKey: false, handle: handleReadiness }),
-  buildReading('configuration', '/v1/configuration', (sources) => sources.getConfiguration()),
-  buildReading('entry_hosts', '/v1/entry-hosts', (sources) => sources.listEntryHosts()),
-  buildReading('backend_servers', '/v1/backend-servers', (sources) => sources.listBackendServers()),
-  buildReading('queues', '/v1/queues', (sources) => sources.listQueues()),
-  buildReading('refusals', '/v1/refusals', (sources) => sources.listRefusals()),
-  buildReading('status', '/v1/status', buildStatus),
+  buildReadRoute('configuration', '/v1/configuration', (sources) => sources.getConfiguration()),
+  buildReadRoute('entry_hosts', '/v1/entry-hosts', (sources) => sources.listEntryHosts()),
+  buildReadRoute('backend_servers', '/v1/backend-servers', (sources) =>
+    sources.listBackendServers(),
+  ),
+  buildReadRoute('queues', '/v1/queues', (sources) => sources.listQueues()),
+  buildReadRoute('refusals', '/v1/refusals', (sources) => sources.listRefusals()),
+  buildReadRoute('status', '/v1/status', buildStatus),
   buildRoute('GET', 'metrics', '/metrics', { needsKey: true, handle: handleMetrics }),
   buildRoute('POST', 'contract_check', '/v1/contracts/check', {
     needsKey: true,
@@ -43,7 +45,7 @@
   return { name, method, pattern, handler };
 }
 
-function buildReading(
+function buildReadRoute(
   name: string,
   pattern: string,
   read: (sources: AdminSources) => unknown,
@@ -54,7 +56,7 @@
   return buildRoute('GET', name, pattern, { needsKey, handle });
 }
 
-/** Everything together, so that `monsoonhall status` needs one call. */
+/** Combines all reports, so that `monsoonhall status` needs a single request. */
 function buildStatus(sources: AdminSources): unknown {
   return {
     health: sources.getHealth(),
@@ -73,10 +75,10 @@
 }
 
 async function handleMetrics(http: HttpExchange, sources: AdminSources): Promise<void> {
-  http.sendText(200, await sources.getMetricsText(), { 'content-type': METRICS_TYPE });
+  http.sendText(200, await sources.getMetricsText(), { 'content-type': METRICS_CONTENT_TYPE });
 }
 
 async function handleContractCheck(http: HttpExchange, sources: AdminSources): Promise<void> {
-  const text = await http.readBody(BODY_HOLDER);
-  http.sendJson(200, sources.checkContract(text.toString('utf8')));
+  const body = await http.readBody(BODY_BUDGET_HOLDER);
+  http.sendJson(200, sources.checkContract(body.toString('utf8')));
 }
--- a/src/adapters/admin_http/admin_listener.ts
+++ b/src/adapters/admin_http/admin_listener.ts
@@ -1,5 +1,5 @@
 /**
- * The administration listener.
+ * The HTTP listener that operators use to read the state of an entry host.
  *
  * @module
  */
@@ -19,20 +19,20 @@
 
 /** Options of {@link AdminListener}. */
 export interface AdminListenerOptions {
-  /** The operators' key; never empty. */
+  /** Bearer key that operators send; must not be empty. */
   readonly adminKey: string;
   readonly log: EventLog;
   readonly limits: HttpLimits;
   readonly sources: AdminSources;
 }
 
-/** Answers operators. */
+/** Serves the administration API to operators. */
 export class AdminListener {
   readonly #options: AdminListenerOptions;
 
   readonly #listener: HttpListener;
 
-  /** @param options - the key, the limits and the sources of the answers */
+  /** @param options - the key, the log, the HTTP limits and the sources of the reports */
   constructor(options: AdminListenerOptions) {
     if (options.adminKey === '') {
       throw new TypeError('Cannot create the administration listener: its key is empty');
@@ -48,41 +48,41 @@
   /**
    * Starts listening.
    *
-   * @param host - IP number
-   * @param port - port; 0 for any free one
-   * @returns the port
+   * @param host - IP address to listen on
+   * @param port - port to listen on; 0 selects a free port
+   * @returns the port in use
    */
   start(host: string, port: number): Promise<{ port: number }> {
     return this.#listener.start(host, port);
   }
 
-  /** @returns when the running answers are given and the last connection is closed */
+  /** @returns a promise that resolves once in-flight answers are sent and all connections closed */
   stop(): Promise<void> {
     return this.#listener.stop();
   }
 
   async #handle(http: HttpExchange): Promise<void> {
-    let name = 'none';
+    let routeName = 'none';
     try {
       const target = parseRequestTarget(http.request.url ?? '/');
       const { route } = findRoute(ADMIN_ROUTES, http.request.method ?? 'GET', target, (allowed) => {
         http.response.setHeader('allow', allowed.join(', '));
       });
-      name = route.name;
+      routeName = route.name;
       if (route.handler.needsKey) this.#authenticate(http);
       await route.handler.handle(http, this.#options.sources);
     } catch (thrown) {
       const error = toSchedulerError(thrown);
-      this.#logRefusal(error, name);
+      this.#logRefusal(error, routeName);
       http.sendError(error);
     }
   }
 
   #authenticate(http: HttpExchange): void {
-    const given = parseBearerKey(http.getHeader('authorization'));
-    if (given !== undefined && compareSecrets(given, this.#options.adminKey)) return;
+    const received = parseBearerKey(http.getHeader('authorization'));
+    if (received !== undefined && compareSecrets(received, this.#options.adminKey)) return;
     throw new SchedulerError(ErrorKind.Unauthenticated, {
-      message: 'Cannot take the request: the administration key is missing or wrong',
+      message: 'Cannot accept the request: the administration key is missing or wrong',
     });
   }
 
--- a/src/adapters/admin_http/admin_listener_test.ts
+++ b/src/adapters/admin_http/admin_listener_test.ts
@@ -42,7 +42,7 @@
   return { status: answer.status, text: await answer.text() };
 }
 
-t.test('AdminListener answers each route', async (t) => {
+t.test('AdminListener answers every route', async (t) => {
   const { url } = await startListener(t);
   const cases: [string, string, string, number, unknown][] = [
     ['GET', '/v1/health', '', 200, { id: 'entry-1' }],
@@ -64,7 +64,7 @@
   t.match(JSON.parse(check.text), { ok: true });
 });
 
-t.test('AdminListener refuses from the table', async (t) => {
+t.test('AdminListener refuses requests with the status and code of the error table', async (t) => {
   const { url, log } = await startListener(t);
   const cases: [string, string, string, number, string, string?][] = [
     ['GET', '/v1/status', '', 401, 'unauthenticated'],
--- a/src/adapters/admin_http/mod.ts
+++ b/src/adapters/admin_http/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The administration listener: what this entry host believes and does, for
- * operators and their tools, and a dry run of contracts. It changes nothing. Use it as
+ * The administration listener: read-only reports on this entry host for operators and
+ * their tools, and a dry run of contract documents. Use it as
  * `await new AdminListener({ adminKey, log, limits, sources }).start(host, port)`.
  *
  * @module
--- a/src/adapters/backend_http/_answer.ts
+++ b/src/adapters/backend_http/_answer.ts
@@ -1,5 +1,5 @@
 /**
- * Answers of backend servers as the port describes them.
+ * Converts HTTP responses of backend servers to answers of the client port.
  *
  * @module
  */
@@ -11,18 +11,18 @@
 
 const NO_BODY_STATUSES = new Set([204, 304]);
 
-/** Header of a backend server that proves a refusal before anything ran. */
+/** Response header by which a backend server states that it did not run the call. */
 const RUN_OUTCOME_HEADER = 'run-outcome';
 
 /**
- * Builds the port's answer of an HTTP answer.
+ * Converts an HTTP response to an answer of the port.
  *
- * @param message - the answer, its head read
- * @param idleTimeoutMs - longest silence inside the body, in milliseconds
+ * @param message - the response, of which the head has been read
+ * @param idleTimeoutMs - longest pause within the body, in milliseconds
  * @returns the answer
  */
 export function toBackendAnswer(message: IncomingMessage, idleTimeoutMs: number): BackendAnswer {
-  const headers = toPlainHeaders(message.headers);
+  const headers = joinHeaders(message.headers);
   return {
     status: message.statusCode ?? 0,
     headers,
@@ -33,25 +33,25 @@
 }
 
 /**
- * @param message - an answer
- * @returns whether the backend server says that nothing has run
+ * @param message - a response
+ * @returns whether the backend server states that it did not run the call
  */
 export function hasNotRun(message: IncomingMessage): boolean {
   return message.headers[RUN_OUTCOME_HEADER] === 'not_run';
 }
 
-function toPlainHeaders(headers: IncomingHttpHeaders): Record<string, string> {
-  const plain: Record<string, string> = {};
+function joinHeaders(headers: IncomingHttpHeaders): Record<string, string> {
+  const joined: Record<string, string> = {};
   Object.entries(headers).forEach(([name, value]) => {
-    if (value !== undefined) plain[name] = Array.isArray(value) ? value.join(', ') : value;
+    if (value !== undefined) joined[name] = Array.isArray(value) ? value.join(', ') : value;
   });
-  return plain;
+  return joined;
 }
 
 /**
- * Reads a body. A connection whose far end was lost on the way gives neither
- * bytes nor an error; the idle limit turns that into a failure, so that the
- * stream can be resumed over a new connection.
+ * Reads a body. A connection whose peer has become unreachable yields neither bytes nor an
+ * error; the idle timeout turns that into a failure, so that the stream can be resumed over
+ * a new connection.
  */
 async function* readBody(
   message: IncomingMessage,
@@ -62,7 +62,7 @@
     return;
   }
   message.setTimeout(idleTimeoutMs, () => {
-    message.destroy(new Error(`the body was silent for ${idleTimeoutMs} ms`));
+    message.destroy(new Error(`no byte of the body arrived for ${idleTimeoutMs} ms`));
   });
   try {
     for await (const chunk of message) yield chunk as Uint8Array;
@@ -70,6 +70,9 @@
     throw new BackendCallError(BackendCallStage.Answering, formatReason(error), { cause: error });
   }
   if (!message.complete) {
-    throw new BackendCallError(BackendCallStage.Answering, 'the connection closed too early');
+    throw new BackendCallError(
+      BackendCallStage.Answering,
+      'the connection closed before the end of the body',
+    );
   }
 }
--- a/src/adapters/backend_http/_exchange.ts
+++ b/src/adapters/backend_http/_exchange.ts
@@ -1,6 +1,6 @@
 /**
- * One exchange on one connection, with the hand-over of the body apart from
- * the sending of the head.
+ * Sends one call over one connection; the body is handed over in a step separate from
+ * sending the request head.
  *
  * @module
  */
@@ -11,25 +11,25 @@
 import { BackendCallError, BackendCallStage } from '../../ports/mod.js';
 import type { BackendCall } from '../../ports/mod.js';
 
-/** Where an exchange goes. */
+/** The connection that an exchange uses. */
 export interface ExchangeTarget {
-  /** Undefined takes a connection of its own. */
+  /** Connection pool; undefined opens a new connection for this exchange only. */
   readonly agent: http.Agent | undefined;
   readonly connectTimeoutMs: number;
 }
 
-/** A head's exchange failed; says whether the connection had been used before. */
+/** The exchange failed before the response head arrived. */
 export class ExchangeError extends BackendCallError {
   /**
-   * @param stage - how far it had come
-   * @param message - what happened
-   * @param onOldConnection - whether the connection had been used before
-   * @param cause - the error underneath
+   * @param stage - stage that the call had reached
+   * @param message - description of the failure
+   * @param isReusedConnection - whether an earlier call had used the connection
+   * @param cause - the underlying error
    */
   constructor(
     stage: BackendCallStage,
     message: string,
-    readonly onOldConnection: boolean,
+    readonly isReusedConnection: boolean,
     cause?: unknown,
   ) {
     super(stage, message, { cause });
@@ -37,12 +37,12 @@
 }
 
 /**
- * Sends a call that must be proved to have a living backend server before its
- * body leaves (`Expect: 100-continue`).
+ * Sends a call with `Expect: 100-continue`, so that the backend server proves that it is
+ * reachable before the body is handed over.
  *
  * @param call - the call
- * @param target - where it goes
- * @returns the answer, head read
+ * @param target - the connection to use
+ * @returns the response, of which the head has been read
  * @throws ExchangeError
  */
 export function exchangeWithContinue(
@@ -50,10 +50,10 @@
   target: ExchangeTarget,
 ): Promise<IncomingMessage> {
   return new Promise((resolve, reject) => {
-    let handedOver = false;
+    let isHandedOver = false;
     const request = startRequest(call, target.agent, { expect: '100-continue' });
     const fail = (message: string, cause?: unknown): void => {
-      const stage = handedOver ? BackendCallStage.AfterHandOver : BackendCallStage.BeforeHandOver;
+      const stage = isHandedOver ? BackendCallStage.AfterHandOver : BackendCallStage.BeforeHandOver;
       reject(new ExchangeError(stage, message, request.reusedSocket, cause));
       request.destroy();
     };
@@ -63,21 +63,21 @@
     request.on('continue', () => {
       clearTimeout(timer);
       if (!call.mayHandOver()) {
-        fail('the call was taken back before its body left');
+        fail('the call was cancelled before its body was handed over');
         return;
       }
-      handedOver = true;
+      isHandedOver = true;
       call.onHandOver();
       timer = startHeadTimer(call, fail);
       request.end(call.body);
     });
     request.on('response', (message) => {
       clearTimeout(timer);
-      if (handedOver) {
+      if (isHandedOver) {
         resolve(message);
         return;
       }
-      // A final answer in place of the 100: the body was not wanted.
+      // A final response in place of 100 Continue: the server refuses the call without its body.
       message.resume();
       fail(`refused with status ${message.statusCode} before the body`);
     });
@@ -90,15 +90,15 @@
 }
 
 /**
- * Sends a call on a connection of its own, since its backend server can't
- * prove beforehand that an old one still works.
+ * Sends a call without `Expect: 100-continue`, over a new connection, since nothing proves
+ * beforehand that a reused connection still works.
  *
  * @param call - the call
- * @param target - where it goes; its agent is not used
- * @returns the answer, head read
+ * @param target - the connect timeout; its agent is not used
+ * @returns the response, of which the head has been read
  * @throws ExchangeError
  */
-export async function exchangeDirectly(
+export async function exchangeWithoutContinue(
   call: BackendCall,
   target: ExchangeTarget,
 ): Promise<IncomingMessage> {
@@ -107,7 +107,7 @@
     socket.destroy();
     throw new ExchangeError(
       BackendCallStage.BeforeHandOver,
-      'the call was taken back before it left',
+      'the call was cancelled before it was handed over',
       false,
     );
   }
@@ -131,14 +131,14 @@
   });
 }
 
-/** A head that does not come may be lost on a connection that went silent after the hand-over. */
+/** Bounds the wait for the response head, since the connection may fail after the hand-over. */
 function startHeadTimer(
   call: BackendCall,
   fail: (message: string) => void,
 ): NodeJS.Timeout | undefined {
   const { headTimeoutMs } = call;
   if (headTimeoutMs === undefined) return undefined;
-  return setTimeout(() => fail(`no head within ${headTimeoutMs} ms`), headTimeoutMs);
+  return setTimeout(() => fail(`no response head within ${headTimeoutMs} ms`), headTimeoutMs);
 }
 
 function startRequest(
--- a/src/adapters/backend_http/http_backend_server_client.ts
+++ b/src/adapters/backend_http/http_backend_server_client.ts
@@ -1,5 +1,5 @@
 /**
- * The adapter of the last hop.
+ * Client for the HTTP/1.1 API of backend servers.
  *
  * @module
  */
@@ -17,12 +17,12 @@
   ResumePoint,
 } from '../../ports/mod.js';
 import { hasNotRun, toBackendAnswer } from './_answer.js';
-import { exchangeDirectly, ExchangeError, exchangeWithContinue } from './_exchange.js';
+import { exchangeWithoutContinue, ExchangeError, exchangeWithContinue } from './_exchange.js';
 
 const DEFAULT_CONNECT_TIMEOUT_MS = 1000;
 const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 const DEFAULT_REPORT_TIMEOUT_MS = 1000;
-const IDLE_CONNECTION_MS = 30_000;
+const IDLE_CONNECTION_TIMEOUT_MS = 30_000;
 const MAX_REPORT_BYTES = 1_048_576;
 
 const LOAD_SCHEMA = z.object({
@@ -36,13 +36,13 @@
   ),
 });
 
-/** Options of the client. */
+/** Options of {@link HttpBackendServerClient}. */
 export interface HttpBackendServerClientOptions {
-  /** Longest wait for a connection, in milliseconds. Default 1000. */
+  /** Longest time to open a connection, in milliseconds. Default: 1000. */
   readonly connectTimeoutMs?: number;
-  /** Longest silence inside an answer's body, in milliseconds. Default 15000. */
+  /** Longest pause within the body of an answer, in milliseconds. Default: 15000. */
   readonly idleTimeoutMs?: number;
-  /** Longest wait for a load report or cache events, in milliseconds. Default 1000. */
+  /** Longest wait for a load report, cache events or a cancellation, in ms. Default: 1000. */
   readonly reportTimeoutMs?: number;
 }
 
@@ -54,10 +54,10 @@
 
   readonly #reportTimeoutMs: number;
 
-  /** Connections to each backend server, kept open between calls. */
+  /** Pools of idle connections, by the URL of the backend server. */
   readonly #agents = new Map<string, http.Agent>();
 
-  /** @param options - time limits */
+  /** @param options - timeouts */
   constructor(options: HttpBackendServerClientOptions = {}) {
     super();
     this.#connectTimeoutMs = options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS;
@@ -119,34 +119,34 @@
     return CACHE_EVENTS_SCHEMA.parse(report).events;
   }
 
-  /** Closes idle connections. */
+  /** Closes all pooled connections. */
   close(): void {
     this.#agents.forEach((agent) => agent.destroy());
     this.#agents.clear();
   }
 
   async #exchange(call: BackendCall): Promise<IncomingMessage> {
-    const { agent, connectTimeoutMs } = this.#findTarget(call.backendServer);
+    const { agent, connectTimeoutMs } = this.#getTarget(call.backendServer);
     if (!call.honoursContinue || call.body.length === 0) {
-      return exchangeDirectly(call, { agent: undefined, connectTimeoutMs });
+      return exchangeWithoutContinue(call, { agent: undefined, connectTimeoutMs });
     }
     try {
       return await exchangeWithContinue(call, { agent, connectTimeoutMs });
     } catch (error) {
-      if (!mayTryNewConnection(error) || !call.mayHandOver()) throw error;
-      // The far end of the old connection may be lost: everything sent on it
-      // vanishes while new connections work. The others are as old, so they go.
+      if (!mayRetryOnNewConnection(error) || !call.mayHandOver()) throw error;
+      // The reused connection may be dead without a sign: everything sent on it is lost,
+      // while new connections work. Other idle connections are as old, so they are closed.
       closeIdleConnections(agent);
       return exchangeWithContinue(call, { agent: undefined, connectTimeoutMs });
     }
   }
 
-  #findTarget(backendServer: BackendServer): { agent: http.Agent; connectTimeoutMs: number } {
+  #getTarget(backendServer: BackendServer): { agent: http.Agent; connectTimeoutMs: number } {
     let agent = this.#agents.get(backendServer.url);
     if (!agent) {
       agent = new http.Agent({
         keepAlive: true,
-        timeout: IDLE_CONNECTION_MS,
+        timeout: IDLE_CONNECTION_TIMEOUT_MS,
         scheduling: 'lifo',
         noDelay: true,
       });
@@ -189,10 +189,10 @@
   }
 }
 
-function mayTryNewConnection(error: unknown): boolean {
+function mayRetryOnNewConnection(error: unknown): boolean {
   return (
     error instanceof ExchangeError &&
-    error.onOldConnection &&
+    error.isReusedConnection &&
     error.stage === BackendCallStage.BeforeHandOver
   );
 }
--- a/src/adapters/backend_http/http_backend_server_client_test.ts
+++ b/src/adapters/backend_http/http_backend_server_client_test.ts
@@ -1,6 +1,6 @@
 /**
- * The last hop against the stand-in engine: what each fault does to a call, and
- * whether what the client says of it is what the engine recorded.
+ * Tests the client against the stand-in engine: the effect of each fault on a call, and
+ * whether the stage that the client reports agrees with the runs that the engine recorded.
  *
  * @module
  */
@@ -17,18 +17,18 @@
 
 const CONTINUE_TIMEOUT_MS = 60;
 
-/** An engine and a client of it. */
-class Hop {
+/** A stand-in engine and a client that calls it. */
+class EngineFixture {
   readonly client = new HttpBackendServerClient({ connectTimeoutMs: 500, idleTimeoutMs: 300 });
 
-  handOvers = 0;
+  handOverCount = 0;
 
   private constructor(
     readonly engine: ModelEngine,
     readonly url: string,
   ) {}
 
-  static async start(t: Test, honoursContinue = true): Promise<Hop> {
+  static async start(t: Test, honoursContinue = true): Promise<EngineFixture> {
     const engine = new ModelEngine({
       id: 'engine-1',
       service: 'monsoon-llm',
@@ -43,12 +43,12 @@
       cacheEventLagMs: 0,
       timeScale: 1,
     });
-    const hop = new Hop(engine, await engine.open({ host: '127.0.0.1', port: 0 }));
+    const fixture = new EngineFixture(engine, await engine.open({ host: '127.0.0.1', port: 0 }));
     t.teardown(async () => {
-      hop.client.close();
+      fixture.client.close();
       await engine.close();
     });
-    return hop;
+    return fixture;
   }
 
   async setFault(order: Partial<FaultOrder>): Promise<void> {
@@ -83,14 +83,14 @@
       continueTimeoutMs: CONTINUE_TIMEOUT_MS,
       mayHandOver: () => true,
       onHandOver: () => {
-        this.handOvers += 1;
+        this.handOverCount += 1;
       },
       signal: new AbortController().signal,
       ...options,
     });
   }
 
-  /** Dispatches a call and reads its answer; tells the stage where that failed. */
+  /** Dispatches a call; returns the text of its answer, or the stage at which it failed. */
   async run(options: Partial<BackendCall> = {}): Promise<BackendCallStage | string> {
     try {
       const answer = await this.dispatch(options);
@@ -112,116 +112,115 @@
   readonly name: string;
   readonly order: Partial<FaultOrder>;
   readonly stage: BackendCallStage;
-  readonly runs: number;
+  readonly runCount: number;
 }
 
 const FAULT_CASES: readonly FaultCase[] = [
   {
-    name: 'an engine that refuses before the body',
+    name: 'an engine that refuses before the body is sent',
     order: { kind: FaultKind.Refuse },
     stage: BackendCallStage.BeforeHandOver,
-    runs: 0,
+    runCount: 0,
   },
   {
-    name: 'an engine that is silent on every connection',
+    name: 'an engine that never responds on any connection',
     order: { kind: FaultKind.Silent },
     stage: BackendCallStage.BeforeHandOver,
-    runs: 0,
+    runCount: 0,
   },
   {
-    name: 'an engine that never answers 100',
+    name: 'an engine that never sends 100 Continue',
     order: { kind: FaultKind.NoContinue },
     stage: BackendCallStage.BeforeHandOver,
-    runs: 0,
+    runCount: 0,
   },
   {
-    name: 'an engine that dies inside its answer',
+    name: 'an engine that crashes within its answer',
     order: { kind: FaultKind.DieMidway, factor: 200 },
     stage: BackendCallStage.Answering,
-    runs: 1,
+    runCount: 1,
   },
 ];
 
-FAULT_CASES.forEach(({ name, order, stage, runs }) => {
-  t.test(`dispatch() tells the truth about ${name}`, async (t) => {
-    const hop = await Hop.start(t);
-    await hop.setFault(order);
-    t.equal(await hop.run(), stage);
-    t.equal(await hop.countRuns(), runs);
-    t.equal(hop.handOvers, runs);
+FAULT_CASES.forEach(({ name, order, stage, runCount }) => {
+  t.test(`dispatch() reports the right stage for ${name}`, async (t) => {
+    const fixture = await EngineFixture.start(t);
+    await fixture.setFault(order);
+    t.equal(await fixture.run(), stage);
+    t.equal(await fixture.countRuns(), runCount);
+    t.equal(fixture.handOverCount, runCount);
   });
 });
 
-t.test('dispatch() tells the truth about an engine that is gone', async (t) => {
-  const hop = await Hop.start(t);
-  await hop.engine.close();
-  t.equal(await hop.run(), BackendCallStage.BeforeHandOver);
-  t.equal(hop.handOvers, 0);
+t.test('dispatch() reports the right stage for an engine that is down', async (t) => {
+  const fixture = await EngineFixture.start(t);
+  await fixture.engine.close();
+  t.equal(await fixture.run(), BackendCallStage.BeforeHandOver);
+  t.equal(fixture.handOverCount, 0);
 });
 
-t.test('dispatch() runs a call once when its old connection has gone silent', async (t) => {
-  // Symptom: a notice reached its recipient twice. Sequence: the first call left
-  // an open connection behind; something between the ends forgot it; the second
-  // call went out on it, nothing came back, and it was sent again. Cause: the
-  // body was sent before the connection had shown that it lives.
-  const hop = await Hop.start(t);
-  t.match(await hop.run(), /\[DONE\]/);
-  await hop.setFault({ kind: FaultKind.Silent, oldConnectionsOnly: true });
-  t.match(await hop.run(), /\[DONE\]/, 'the second call goes out on a new connection');
-  t.equal(await hop.countRuns(), 2);
-  t.equal(hop.handOvers, 2);
+t.test('dispatch() runs a call once when its reused connection no longer delivers', async (t) => {
+  // Guards against a call that runs twice: a network device drops an idle connection without
+  // notifying its ends, the next call is sent over it, no reply arrives and the call is sent
+  // again. The body was handed over before the connection had proved to be alive.
+  const fixture = await EngineFixture.start(t);
+  t.match(await fixture.run(), /\[DONE\]/);
+  await fixture.setFault({ kind: FaultKind.Silent, oldConnectionsOnly: true });
+  t.match(await fixture.run(), /\[DONE\]/, 'the second call uses a new connection');
+  t.equal(await fixture.countRuns(), 2);
+  t.equal(fixture.handOverCount, 2);
 });
 
-t.test('dispatch() hands nothing over once the call was taken back', async (t) => {
-  const hop = await Hop.start(t);
-  t.equal(await hop.run({ mayHandOver: () => false }), BackendCallStage.BeforeHandOver);
+t.test('dispatch() hands over nothing once the call is cancelled', async (t) => {
+  const fixture = await EngineFixture.start(t);
+  t.equal(await fixture.run({ mayHandOver: () => false }), BackendCallStage.BeforeHandOver);
   t.equal(
-    await hop.run({ mayHandOver: () => false, honoursContinue: false }),
+    await fixture.run({ mayHandOver: () => false, honoursContinue: false }),
     BackendCallStage.BeforeHandOver,
   );
-  t.equal(await hop.countRuns(), 0);
+  t.equal(await fixture.countRuns(), 0);
 });
 
-t.test('dispatch() works without 100-continue, on a connection of its own', async (t) => {
-  const hop = await Hop.start(t, false);
-  t.match(await hop.run({ honoursContinue: false }), /\[DONE\]/);
-  t.equal(hop.handOvers, 1);
+t.test('dispatch() works without 100-continue, over a new connection', async (t) => {
+  const fixture = await EngineFixture.start(t, false);
+  t.match(await fixture.run({ honoursContinue: false }), /\[DONE\]/);
+  t.equal(fixture.handOverCount, 1);
 });
 
-t.test('dispatch() says after hand-over when the caller ends it there', async (t) => {
-  const hop = await Hop.start(t);
-  await hop.setFault({ kind: FaultKind.Slow, factor: 1000 });
+t.test('dispatch() reports AfterHandOver when it is aborted after the hand-over', async (t) => {
+  const fixture = await EngineFixture.start(t);
+  await fixture.setFault({ kind: FaultKind.Slow, factor: 1000 });
   const controller = new AbortController();
-  const running = hop.run({
+  const running = fixture.run({
     signal: controller.signal,
     onHandOver: () => setImmediate(() => controller.abort()),
   });
   t.equal(await running, BackendCallStage.AfterHandOver);
 });
 
-t.test('resume() gives the rest of a stream and starts nothing', async (t) => {
-  const hop = await Hop.start(t);
-  const answer = await hop.dispatch();
+t.test('resume() returns the rest of a stream without another run', async (t) => {
+  const fixture = await EngineFixture.start(t);
+  const answer = await fixture.dispatch();
   const whole = await readText(answer);
   const streamId = answer.streamId ?? '';
-  const rest = await hop.client.resume({
-    backendServer: hop.server,
+  const rest = await fixture.client.resume({
+    backendServer: fixture.server,
     streamId,
     offset: 100,
     signal: new AbortController().signal,
   });
   t.equal(await readText(rest), whole.slice(100));
-  t.equal(await hop.countRuns(), 1);
+  t.equal(await fixture.countRuns(), 1);
 });
 
 t.test('resume() finds a stream by the ID of its request', async (t) => {
-  // Symptom: "may have run" for a report that the engine was writing. Sequence:
-  // the connection went silent between the body and the head. Cause: the name
-  // of the stream stood in the head only.
-  const hop = await Hop.start(t);
-  const whole = await readText(await hop.dispatch());
-  const found = await hop.client.resume({
-    backendServer: hop.server,
+  // Guards against "may have run" for an answer that the engine is still producing: the
+  // connection fails between the hand-over of the body and the response head, and only the
+  // head holds the ID of the stream.
+  const fixture = await EngineFixture.start(t);
+  const whole = await readText(await fixture.dispatch());
+  const found = await fixture.client.resume({
+    backendServer: fixture.server,
     streamId: 'request-1',
     offset: 0,
     signal: new AbortController().signal,
@@ -230,7 +229,7 @@
 });
 
 [true, false].forEach((honoursContinue) => {
-  t.test(`dispatch() gives up a head that does not come (100: ${honoursContinue})`, async (t) => {
+  t.test(`dispatch() times out without a response head (100: ${honoursContinue})`, async (t) => {
     const server = createServer();
     const answer = (_request: unknown, response: ServerResponse): void => response.writeContinue();
     server.on('checkContinue', answer);
@@ -241,22 +240,22 @@
       server.closeAllConnections();
       server.close();
     });
-    const hop = await Hop.start(t);
+    const fixture = await EngineFixture.start(t);
     const { port } = server.address() as AddressInfo;
-    const stage = await hop.run({
-      backendServer: { ...hop.server, url: `http://127.0.0.1:${port}` },
+    const stage = await fixture.run({
+      backendServer: { ...fixture.server, url: `http://127.0.0.1:${port}` },
       headTimeoutMs: CONTINUE_TIMEOUT_MS,
       honoursContinue,
     });
     t.equal(stage, BackendCallStage.AfterHandOver);
-    t.equal(hop.handOvers, 1);
+    t.equal(fixture.handOverCount, 1);
   });
 });
 
-t.test('resume() refuses a stream that is not there', async (t) => {
-  const hop = await Hop.start(t);
-  const resumed = hop.client.resume({
-    backendServer: hop.server,
+t.test('resume() rejects for an unknown stream', async (t) => {
+  const fixture = await EngineFixture.start(t);
+  const resumed = fixture.client.resume({
+    backendServer: fixture.server,
     streamId: 'unknown',
     offset: 0,
     signal: new AbortController().signal,
@@ -264,8 +263,8 @@
   t.match(await resumed.catch((error: unknown) => error), { stage: BackendCallStage.Answering });
 });
 
-t.test('readLoad() and readCacheEvents() give what the engine reports', async (t) => {
-  const hop = await Hop.start(t);
-  t.same(await hop.client.readLoad(hop.server), { running: 0, waiting: 0, leaving: false });
-  t.same(await hop.client.readCacheEvents(hop.server, 0), []);
+t.test('readLoad() and readCacheEvents() return what the engine reports', async (t) => {
+  const fixture = await EngineFixture.start(t);
+  t.same(await fixture.client.readLoad(fixture.server), { running: 0, waiting: 0, leaving: false });
+  t.same(await fixture.client.readCacheEvents(fixture.server, 0), []);
 });
--- a/src/adapters/backend_http/mod.ts
+++ b/src/adapters/backend_http/mod.ts
@@ -1,7 +1,7 @@
 /**
- * Calls to backend servers over Node's `http`: hands a body over only after
- * the backend server has answered 100, where its service honours that.
- * `new HttpBackendServerClient().dispatch(call)` gives the answer, head first.
+ * Calls backend servers over Node's `http`. The body of a call is handed over only after the
+ * backend server has sent 100 Continue, if its service supports that.
+ * `new HttpBackendServerClient().dispatch(call)` resolves once the response head has arrived.
  *
  * @module
  */
--- a/src/adapters/callers_http/_assign_route.ts
+++ b/src/adapters/callers_http/_assign_route.ts
@@ -1,12 +1,12 @@
 /**
- * `POST /v1/requests`.
+ * `POST /v1/requests`: issues request IDs.
  *
  * @module
  */
 import type { CallerExchange } from './_caller_exchange.js';
 
 /**
- * Gives out a request ID and the entry hosts to use with it.
+ * Issues a request ID, and lists the entry hosts to send the request to.
  *
  * @param exchange - the request
  */
--- a/src/adapters/callers_http/_caller_call.ts
+++ b/src/adapters/callers_http/_caller_call.ts
@@ -1,5 +1,5 @@
 /**
- * Callers' headers, and the calls made of them.
+ * Parses the headers of a caller's request and builds the call for the gateway.
  *
  * @module
  */
@@ -9,11 +9,11 @@
 import type { CallerExchange } from './_caller_exchange.js';
 
 /**
- * Headers that end here: the caller's key, which no backend server may learn;
- * the system's own, which a caller could forge towards a backend server; and
- * those that the next connection sets for itself.
+ * Request headers that are not forwarded to the backend server: the caller's key, which
+ * no backend server may learn; headers that only the system may set, since a caller could
+ * forge them; and headers that the connection to the backend server sets itself.
  */
-const HEADERS_NOT_PASSED_ON: ReadonlySet<string> = new Set([
+const EXCLUDED_HEADERS: ReadonlySet<string> = new Set([
   'authorization',
   'client-account',
   'content-length',
@@ -26,27 +26,27 @@
   'work-kind',
 ]);
 
-/** Any printable text without spaces; the owner knows the true form. */
-export const REQUEST_ID_FORM = /^[!-~]{1,512}$/;
+/** Printable ASCII without spaces; the owner of the request checks the exact format. */
+export const REQUEST_ID_PATTERN = /^[!-~]{1,512}$/;
 const MAX_NUMBER_DIGITS = 15;
 
-/** What a route adds to a call. */
-export interface CallParts {
+/** The parts of a call that depend on the route. */
+export interface RouteCallParts {
   readonly serviceId: string;
-  /** Path and query for the backend server. */
+  /** Path and query that are sent to the backend server. */
   readonly path: string;
   readonly body: Uint8Array;
 }
 
 /**
- * Builds a call out of a request.
+ * Builds the call for the gateway from a caller's request.
  *
  * @param exchange - the request
- * @param parts - what its route adds
+ * @param parts - the parts that depend on the route
  * @returns the call
  * @throws SchedulerError of kind MalformedRequest
  */
-export function buildCallerCall(exchange: CallerExchange, parts: CallParts): CallerCall {
+export function buildCallerCall(exchange: CallerExchange, parts: RouteCallParts): CallerCall {
   const { http, account, span } = exchange;
   return {
     ...parts,
@@ -54,46 +54,46 @@
     requestId: parseRequestId(http.getHeader('request-id')),
     workKind: http.getHeader('work-kind'),
     method: http.request.method ?? 'GET',
-    headers: pickEndToEndHeaders(http.request.headers, HEADERS_NOT_PASSED_ON),
+    headers: pickEndToEndHeaders(http.request.headers, EXCLUDED_HEADERS),
     deadlineMs: parseWholeNumber('Request-Deadline-Ms', http.getHeader('request-deadline-ms'), 1),
     traceparent: span.traceparent,
-    callerGone: http.callerGone,
+    callerGone: http.disconnectSignal,
   };
 }
 
 /**
- * Checks the form of a request ID; whether it is a true one, its owner finds out.
- * An ID comes back in answers' headers, where a control character would be refused.
+ * Checks the characters of a request ID; its owner checks whether the ID was issued. The ID
+ * is echoed in a response header, where Node rejects control characters.
  *
- * @param text - the ID as the caller sent it; undefined when it sent none
- * @returns the ID
+ * @param text - the ID as the caller sent it; undefined when the caller sent none
+ * @returns the ID, unchanged
  * @throws SchedulerError of kind RequestIdInvalid
  */
 export function parseRequestId<Text extends string | undefined>(text: Text): Text {
-  if (text === undefined || REQUEST_ID_FORM.test(text)) return text;
+  if (text === undefined || REQUEST_ID_PATTERN.test(text)) return text;
   throw new SchedulerError(ErrorKind.RequestIdInvalid, {
-    message: 'Cannot take the request ID: no ID has this form',
+    message: 'Cannot accept the request ID: it has characters that no request ID has',
   });
 }
 
 /**
- * Parses a whole number that a caller sent.
+ * Parses an integer that a caller sent.
  *
- * @param name - its name, for the error
- * @param text - the number in decimal; undefined when it was not sent
- * @param least - smallest number allowed
- * @returns the number; undefined when it was not sent
+ * @param name - name of the header or parameter, for the error message
+ * @param text - decimal digits; undefined when the caller sent no value
+ * @param min - smallest value allowed
+ * @returns the number; undefined when the caller sent no value
  * @throws SchedulerError of kind MalformedRequest
  */
 export function parseWholeNumber(
   name: string,
   text: string | undefined,
-  least: number,
+  min: number,
 ): number | undefined {
   if (text === undefined) return undefined;
   const isNumber = /^\d+$/.test(text) && text.length <= MAX_NUMBER_DIGITS;
-  if (isNumber && Number(text) >= least) return Number(text);
+  if (isNumber && Number(text) >= min) return Number(text);
   throw new SchedulerError(ErrorKind.MalformedRequest, {
-    message: `Cannot take ${name}: it is no whole number from ${least} on`,
+    message: `Cannot accept ${name}: it is not an integer of at least ${min}`,
   });
 }
--- a/src/adapters/callers_http/_caller_exchange.ts
+++ b/src/adapters/callers_http/_caller_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * What a route of the callers' listener works with.
+ * Types of the route handlers of the callers' listener.
  *
  * @module
  */
@@ -8,30 +8,30 @@
 import type { Clock, Span } from '../../ports/mod.js';
 import type { HttpExchange, RequestTarget } from '../http_common/mod.js';
 
-/** One authenticated request on its route. */
+/** One authenticated request, as a route handler receives it. */
 export interface CallerExchange {
   readonly http: HttpExchange;
   readonly gateway: RequestGateway;
   readonly clock: Clock;
   readonly account: AccountContract;
   readonly target: RequestTarget;
-  /** Values of the route's named segments. */
+  /** Values of the named segments of the route's pattern. */
   readonly params: Readonly<Record<string, string>>;
-  /** The span of this hop. */
+  /** Trace span of the request on this entry host. */
   readonly span: Span;
   /**
-   * Notes that from here on the gateway knows of the request, and what it says
-   * of the run holds. Called right before the gateway is asked.
+   * Records that the request is handed to the gateway; from then on, the run outcome in
+   * the gateway's errors is accurate. Called right before the call to the gateway.
    */
-  readonly noteHandOver: () => void;
-  /** How long the caller may take no byte of an answer that waits for it, in milliseconds. */
+  readonly recordHandOver: () => void;
+  /** Longest time that the caller may read no byte of a pending answer, in milliseconds. */
   readonly answerStallTimeoutMs: number;
 }
 
-/** Answers one request. */
+/** Handles one authenticated request. */
 export type CallerHandler = (exchange: CallerExchange) => Promise<void>;
 
-/** What a route does, and whether it asks for a key first. */
+/** A route's handler, and whether the route requires an API key. */
 export type CallerRoute =
   | { readonly needsKey: true; readonly handle: CallerHandler }
   | { readonly needsKey: false; readonly handle: (http: HttpExchange) => Promise<void> };
--- a/src/adapters/callers_http/_cancel_route.ts
+++ b/src/adapters/callers_http/_cancel_route.ts
@@ -1,5 +1,5 @@
 /**
- * `DELETE /v1/requests/{id}`.
+ * `DELETE /v1/requests/{id}`: cancels requests.
  *
  * @module
  */
@@ -7,13 +7,13 @@
 import type { CallerExchange } from './_caller_exchange.js';
 
 /**
- * Cancels a request and tells its state after.
+ * Cancels a request and answers with its resulting state.
  *
  * @param exchange - the request
  */
 export async function handleCancel(exchange: CallerExchange): Promise<void> {
   const { http, gateway, account, params } = exchange;
   const requestId = parseRequestId(params.id ?? '');
-  exchange.noteHandOver();
+  exchange.recordHandOver();
   http.sendJson(200, await gateway.cancel(account, requestId), { 'request-id': requestId });
 }
--- a/src/adapters/callers_http/_chat_completion_body.ts
+++ b/src/adapters/callers_http/_chat_completion_body.ts
@@ -1,5 +1,5 @@
 /**
- * The part of a chat completion's body that the listener has to understand.
+ * Validates the fields of a chat completion request that the listener reads.
  *
  * @module
  */
@@ -14,34 +14,34 @@
   stream: z.boolean().nullish(),
 });
 
-/** A chat completion's body; fields that are not named pass unread. */
+/** Body of a chat completion request; fields outside the schema are kept unchecked. */
 export type ChatCompletionBody = z.infer<typeof chatCompletionSchema>;
 
 /**
- * Parses a chat completion's body.
+ * Parses the body of a chat completion request.
  *
- * @param bytes - the body as it came
- * @returns its parts
- * @throws SchedulerError of kind MalformedRequest that names the wrong field
+ * @param bytes - the body as received
+ * @returns the parsed body
+ * @throws SchedulerError of kind MalformedRequest that names the invalid field
  */
 export function parseChatCompletionBody(bytes: Uint8Array): ChatCompletionBody {
   const parsed = chatCompletionSchema.safeParse(parseJson(bytes));
   if (parsed.success) return parsed.data;
   const issue = parsed.error.issues[0];
   const field = issue?.path.join('.') || 'body';
-  throw refuseBody(`${field}: ${issue?.message ?? 'not valid'}`);
+  throw createBodyError(`${field}: ${issue?.message ?? 'not valid'}`);
 }
 
 function parseJson(bytes: Uint8Array): unknown {
   try {
     return JSON.parse(new TextDecoder('utf-8', { fatal: true }).decode(bytes));
   } catch {
-    throw refuseBody('it is not JSON in UTF-8');
+    throw createBodyError('the body is not JSON in UTF-8');
   }
 }
 
-function refuseBody(reason: string): SchedulerError {
+function createBodyError(reason: string): SchedulerError {
   return new SchedulerError(ErrorKind.MalformedRequest, {
-    message: `Cannot take the chat completion: ${reason}`,
+    message: `Cannot accept the chat completion: ${reason}`,
   });
 }
--- a/src/adapters/callers_http/_chat_completion_route.ts
+++ b/src/adapters/callers_http/_chat_completion_route.ts
@@ -1,5 +1,5 @@
 /**
- * `POST /v1/chat/completions`.
+ * `POST /v1/chat/completions`: OpenAI-compatible chat completions.
  *
  * @module
  */
@@ -11,11 +11,11 @@
 
 const CHAT_COMPLETIONS_PATH = '/v1/chat/completions';
 
-/** Longest part of a caller's text that an error repeats, in characters. */
-const MAX_NAME_LENGTH = 100;
+/** Most characters of a caller's text that an error message repeats. */
+const MAX_ECHOED_CHARACTERS = 100;
 
 /**
- * Passes a chat completion on, byte for byte, to the service of its model.
+ * Forwards a chat completion unchanged to the service that serves its model.
  *
  * @param exchange - the request
  */
@@ -25,11 +25,11 @@
   const serviceId = exchange.gateway.findServiceOfModel(model);
   if (serviceId === undefined) {
     throw new SchedulerError(ErrorKind.UnknownModel, {
-      message: `Cannot find the model ${JSON.stringify(model.slice(0, MAX_NAME_LENGTH))}`,
+      message: `Cannot find the model ${JSON.stringify(model.slice(0, MAX_ECHOED_CHARACTERS))}`,
     });
   }
   const path = `${CHAT_COMPLETIONS_PATH}${exchange.target.search}`;
   const call = buildCallerCall(exchange, { serviceId, path, body });
-  exchange.noteHandOver();
+  exchange.recordHandOver();
   await sendAnswer(exchange, await exchange.gateway.submit(call));
 }
--- a/src/adapters/callers_http/_health_route.ts
+++ b/src/adapters/callers_http/_health_route.ts
@@ -1,12 +1,12 @@
 /**
- * `GET /v1/health`.
+ * `GET /v1/health`: liveness of the listener.
  *
  * @module
  */
 import type { HttpExchange } from '../http_common/mod.js';
 
 /**
- * Says that the listener answers.
+ * Answers with status 200 while the listener runs.
  *
  * @param http - the request
  */
--- a/src/adapters/callers_http/_models_route.ts
+++ b/src/adapters/callers_http/_models_route.ts
@@ -1,12 +1,12 @@
 /**
- * `GET /v1/models`.
+ * `GET /v1/models`: OpenAI-compatible list of models.
  *
  * @module
  */
 import type { CallerExchange } from './_caller_exchange.js';
 
 /**
- * Lists the models that the account may use, in the OpenAI form.
+ * Lists the models that the client account may use, in the OpenAI format.
  *
  * @param exchange - the request
  */
--- a/src/adapters/callers_http/_read_route.ts
+++ b/src/adapters/callers_http/_read_route.ts
@@ -1,5 +1,5 @@
 /**
- * `GET /v1/requests/{id}`.
+ * `GET /v1/requests/{id}`: states and answers of requests.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { sendAnswer } from './_send_answer.js';
 
 /**
- * Tells a request's state or, with `?offset=N`, gives its answer's bytes from there.
+ * Returns the state of a request or, with `?offset=N`, its answer from that byte on.
  *
  * @param exchange - the request
  */
@@ -16,7 +16,7 @@
   const { http, gateway, account, params, target } = exchange;
   const requestId = parseRequestId(params.id ?? '');
   const offset = parseWholeNumber('offset', target.query.get('offset') ?? undefined, 0);
-  exchange.noteHandOver();
+  exchange.recordHandOver();
   if (offset === undefined) {
     const report = await gateway.readState(account, requestId);
     http.sendJson(200, report, { 'request-id': requestId });
@@ -26,7 +26,7 @@
     offset,
     backendServer: target.query.get('backendServer') || undefined,
     streamId: target.query.get('streamId') || undefined,
-    callerGone: http.callerGone,
+    callerGone: http.disconnectSignal,
   });
   await sendAnswer(exchange, answer);
 }
--- a/src/adapters/callers_http/_request_recorder.ts
+++ b/src/adapters/callers_http/_request_recorder.ts
@@ -1,5 +1,5 @@
 /**
- * What the callers' listener tells logs, metrics and traces of one request.
+ * Reports the requests of the callers' listener to logs, metrics and traces.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import { Hop } from '../../ports/mod.js';
 import type { Clock, EventLog, Metrics, Span, Tracer } from '../../ports/mod.js';
 
-/** Route name of requests that were refused before any route was found. */
+/** Route name of requests that are refused before a route is found. */
 const NO_ROUTE = 'none';
 
-/** Where a request is reported to. */
+/** Ports that requests are reported to. */
 export interface RecorderPorts {
   readonly log: EventLog;
   readonly metrics: Metrics;
@@ -20,9 +20,9 @@
   readonly clock: Clock;
 }
 
-/** Records one request. */
+/** Records the route, account and result of one request. */
 export class RequestRecorder {
-  /** The span of this hop. */
+  /** Trace span of the request on this entry host. */
   readonly span: Span;
 
   readonly #ports: RecorderPorts;
@@ -34,8 +34,8 @@
   #accountId: string | undefined;
 
   /**
-   * @param ports - where to report to
-   * @param traceparent - the hop before, if the caller named one
+   * @param ports - ports to report to
+   * @param traceparent - trace context of the caller, if it sent one
    */
   constructor(ports: RecorderPorts, traceparent?: string) {
     this.#ports = ports;
@@ -43,23 +43,23 @@
     this.span = ports.tracer.startSpan(Hop.EntryHost, traceparent);
   }
 
-  /** @param route - the route that the request took */
-  noteRoute(route: string): void {
+  /** @param route - name of the route that the request matched */
+  recordRoute(route: string): void {
     this.#route = route;
     this.span.setAttributes({ route });
   }
 
-  /** @param account - whose request it is */
-  noteAccount(account: AccountContract): void {
+  /** @param account - client account that sent the request */
+  recordAccount(account: AccountContract): void {
     this.#accountId = account.accountId;
     this.span.setAttributes({ account: account.accountId });
   }
 
   /**
-   * Records a request that was answered.
+   * Records that the request was answered, and ends its span.
    *
    * @param status - HTTP status code
-   * @param requestId - its ID, where it has one
+   * @param requestId - its ID, if it has one
    */
   recordAnswer(status: number, requestId: string | undefined): void {
     const { log, metrics, clock } = this.#ports;
@@ -78,10 +78,10 @@
   }
 
   /**
-   * Records a request that was refused or failed.
+   * Records that the request was refused or failed, and ends its span.
    *
-   * @param error - why
-   * @param requestId - its ID, where it has one
+   * @param error - the refusal or failure
+   * @param requestId - its ID, if it has one
    */
   recordRefusal(error: SchedulerError, requestId: string | undefined): void {
     recordRefusal(this.#ports, error, {
@@ -94,11 +94,11 @@
 }
 
 /**
- * Records a refusal.
+ * Records a refusal in the log and the metrics.
  *
- * @param ports - where to report to
- * @param error - why
- * @param fields - what is known of the request
+ * @param ports - ports to report to
+ * @param error - the refusal or failure
+ * @param fields - properties of the request that are known so far
  */
 export function recordRefusal(
   ports: RecorderPorts,
--- a/src/adapters/callers_http/_routes.ts
+++ b/src/adapters/callers_http/_routes.ts
@@ -13,7 +13,7 @@
 import { handleRead } from './_read_route.js';
 import { handleService } from './_service_route.js';
 
-/** All routes, most specific first. */
+/** All routes of the callers' listener, most specific first. */
 export const CALLER_ROUTES: readonly Route<CallerRoute>[] = [
   {
     name: 'health',
--- a/src/adapters/callers_http/_send_answer.ts
+++ b/src/adapters/callers_http/_send_answer.ts
@@ -1,5 +1,5 @@
 /**
- * Answers on their way to the caller.
+ * Sends answers to callers with backpressure, and reports answers that break off.
  *
  * @module
  */
@@ -8,44 +8,44 @@
 import { pickEndToEndHeaders } from '../http_common/mod.js';
 import type { HttpExchange } from '../http_common/mod.js';
 import type { CallerExchange } from './_caller_exchange.js';
-import { SseTail } from './_sse_tail.js';
+import { SseEventBuffer } from './_sse_event_buffer.js';
 
 /**
- * An answer's length is not passed on, since a resumed answer is shorter than
- * the length that its head names: the caller would wait for bytes that never
- * come, or take the next answer's first bytes for them. Chunks frame it instead.
+ * The length of an answer is not forwarded, since a resumed answer can be shorter than the
+ * length in its head: the caller would wait for bytes that never arrive, or read the first
+ * bytes of the next answer in their place. Chunked encoding frames the answer instead.
  */
-const CONTENT_LENGTH: ReadonlySet<string> = new Set(['content-length']);
-const NOTHING_LEFT_OUT: ReadonlySet<string> = new Set();
+const LENGTH_HEADERS: ReadonlySet<string> = new Set(['content-length']);
+const NO_HEADERS: ReadonlySet<string> = new Set();
 
 /**
- * Sends an answer's head, then its body no faster than the caller takes it.
+ * Sends the head of an answer, then its body no faster than the caller reads it.
  *
  * @param exchange - the request
  * @param answer - its answer
- * @throws SchedulerError when the answer breaks off; the caller has been told by then
+ * @throws SchedulerError when the answer breaks off, after the caller was notified
  */
 export async function sendAnswer(exchange: CallerExchange, answer: CallerAnswer): Promise<void> {
   const { http } = exchange;
   const isHead = http.request.method === 'HEAD';
-  const leftOut = isHead ? NOTHING_LEFT_OUT : CONTENT_LENGTH;
+  const excluded = isHead ? NO_HEADERS : LENGTH_HEADERS;
   http.sendHead(answer.status, {
-    ...pickEndToEndHeaders(answer.headers, leftOut),
+    ...pickEndToEndHeaders(answer.headers, excluded),
     'request-id': answer.requestId,
   });
-  const tail = isReadableEventStream(answer) ? new SseTail() : undefined;
+  const eventBuffer = isUncompressedEventStream(answer) ? new SseEventBuffer() : undefined;
   try {
-    await sendBody(exchange, answer.body, tail);
+    await sendBody(exchange, answer.body, eventBuffer);
   } catch (thrown) {
-    const error = toCutAnswer(thrown);
-    if (tail) closeWithErrorEvent(http, error);
-    else closeCutAnswer(http);
+    const error = toAnswerError(thrown);
+    if (eventBuffer) endWithErrorEvent(http, error);
+    else closeIncompleteAnswer(http);
     throw error;
   }
 }
 
-/** In a compressed stream no event could be found, nor one be added. */
-function isReadableEventStream({ headers }: CallerAnswer): boolean {
+/** In a compressed stream, events can't be told apart and no error event can be appended. */
+function isUncompressedEventStream({ headers }: CallerAnswer): boolean {
   const isEventStream = headers['content-type']?.startsWith('text/event-stream') ?? false;
   return isEventStream && headers['content-encoding'] === undefined;
 }
@@ -53,42 +53,41 @@
 async function sendBody(
   exchange: CallerExchange,
   body: AsyncIterable<Uint8Array>,
-  tail: SseTail | undefined,
+  eventBuffer: SseEventBuffer | undefined,
 ): Promise<void> {
   const { response } = exchange.http;
   const iterator = body[Symbol.asyncIterator]();
   try {
     for (;;) {
-      const next = await waitWhileCallerStays(exchange, iterator.next());
+      const next = await waitWhileConnected(exchange, iterator.next());
       if (next.done) break;
-      const bytes = tail ? tail.take(next.value) : next.value;
+      const bytes = eventBuffer ? eventBuffer.push(next.value) : next.value;
       if (bytes.length > 0 && !response.write(bytes)) await waitForDrain(exchange);
     }
   } catch (error) {
-    // Not awaited: a generator that waits for its next piece ends only after it.
+    // Not awaited: a generator that waits for its next chunk returns only after that chunk.
     iterator.return?.().catch(() => undefined);
     throw error;
   }
-  response.end(tail?.takeRest());
+  response.end(eventBuffer?.flush());
 }
 
-/** Waits for a step of the answer, but no longer than the caller is there. */
-function waitWhileCallerStays<Value>(
-  { http }: CallerExchange,
-  step: Promise<Value>,
-): Promise<Value> {
+/** Waits for a step of the answer; rejects as soon as the caller disconnects. */
+function waitWhileConnected<Value>({ http }: CallerExchange, step: Promise<Value>): Promise<Value> {
   return new Promise((resolve, reject) => {
-    const onGone = (): void => reject(refuseGoneCaller());
-    if (http.callerGone.aborted) onGone();
-    http.callerGone.addEventListener('abort', onGone, { once: true });
-    step.finally(() => http.callerGone.removeEventListener('abort', onGone)).then(resolve, reject);
+    const onDisconnect = (): void => reject(createDisconnectError());
+    if (http.disconnectSignal.aborted) onDisconnect();
+    http.disconnectSignal.addEventListener('abort', onDisconnect, { once: true });
+    step
+      .finally(() => http.disconnectSignal.removeEventListener('abort', onDisconnect))
+      .then(resolve, reject);
   });
 }
 
 /**
- * Waits until the caller has taken what was written. A caller that stops
- * reading without closing would otherwise hold its part of the kept answers,
- * and its connection, for ever.
+ * Waits until the caller has read what was written. Without the timeout, a caller that
+ * stops reading without closing would occupy its share of the answer buffers, and its
+ * connection, forever.
  */
 async function waitForDrain(exchange: CallerExchange): Promise<void> {
   const { http, clock, answerStallTimeoutMs } = exchange;
@@ -97,36 +96,36 @@
     http.response.once('drain', resolve);
   });
   try {
-    await waitWhileCallerStays(exchange, drained);
+    await waitWhileConnected(exchange, drained);
   } finally {
     timer.cancel();
   }
 }
 
-/** The head is out, so the request ran, whatever broke its answer off. */
-function toCutAnswer(thrown: unknown): SchedulerError {
+/** The head was already sent, so the request ran, whatever interrupted its answer. */
+function toAnswerError(thrown: unknown): SchedulerError {
   if (thrown instanceof SchedulerError) return thrown;
   return new SchedulerError(ErrorKind.AnswerCut, { cause: thrown });
 }
 
-/** Tells the reader of an event stream, in its own form, that the stream broke off. */
-function closeWithErrorEvent(http: HttpExchange, error: SchedulerError): void {
+/** Ends an event stream with an error event, so that the caller's parser sees the failure. */
+function endWithErrorEvent(http: HttpExchange, error: SchedulerError): void {
   http.response.end(`data: ${JSON.stringify(buildErrorBody(error))}\n\n`);
 }
 
 /**
- * Closes the connection of an answer that broke off. Ended in the ordinary way,
- * the first half would look like a whole answer. A missing last chunk shows the
- * cut; an HTTP/1.0 caller knows no chunks and sees it only by a reset.
+ * Closes the connection of an answer that broke off. If the response ended normally, its
+ * first part would look like a complete answer. In HTTP/1.1 the missing last chunk shows
+ * that the answer is incomplete; HTTP/1.0 has no chunks, so only a reset shows it.
  */
-function closeCutAnswer(http: HttpExchange): void {
+function closeIncompleteAnswer(http: HttpExchange): void {
   const { socket, httpVersion } = http.request;
   if (httpVersion === '1.0' && !('encrypted' in socket)) socket.resetAndDestroy();
   else socket.destroy();
 }
 
-function refuseGoneCaller(): SchedulerError {
+function createDisconnectError(): SchedulerError {
   return new SchedulerError(ErrorKind.CancelledAfterDispatch, {
-    message: 'Cannot send the answer: the caller is gone',
+    message: 'Cannot send the answer: the caller disconnected',
   });
 }
--- a/src/adapters/callers_http/_service_route.ts
+++ b/src/adapters/callers_http/_service_route.ts
@@ -1,5 +1,5 @@
 /**
- * `/v1/services/{service}/…`: calls to plain services.
+ * `/v1/services/{service}/…`: calls to services other than model inference.
  *
  * @module
  */
@@ -7,23 +7,23 @@
 import type { CallerExchange } from './_caller_exchange.js';
 import { sendAnswer } from './_send_answer.js';
 
-/** `/v1/services/{service}`, before the path for the backend server. */
+/** `/v1/services/{service}`, which precedes the path for the backend server. */
 const SERVICE_PREFIX = /^\/v1\/services\/[^/]+/;
 
 /**
- * Passes a call on whole: method, headers, query and body.
+ * Forwards a call with its method, headers, query and body.
  *
  * @param exchange - the request
  */
 export async function handleService(exchange: CallerExchange): Promise<void> {
   const { http, account, target, params } = exchange;
   const body = await http.readBody(account.accountId);
-  const rest = target.path.replace(SERVICE_PREFIX, '') || '/';
+  const backendPath = target.path.replace(SERVICE_PREFIX, '') || '/';
   const call = buildCallerCall(exchange, {
     serviceId: params.service ?? '',
-    path: `${rest}${target.search}`,
+    path: `${backendPath}${target.search}`,
     body,
   });
-  exchange.noteHandOver();
+  exchange.recordHandOver();
   await sendAnswer(exchange, await exchange.gateway.submit(call));
 }
--- a/src/adapters/callers_http/_test_fixture.ts
+++ b/src/adapters/callers_http/_test_fixture.ts
@@ -1,5 +1,5 @@
 /**
- * A real callers' listener before a small fake gateway, for this folder's tests.
+ * A callers' listener with a fake gateway, for the tests of this folder.
  *
  * @module
  */
@@ -25,7 +25,7 @@
 
 export const API_KEY = 'key-a';
 
-/** A good chat completion's body. */
+/** Body of a valid chat completion. */
 export const CHAT_BODY =
   '{"model":"monsoon-draft","messages":[{"role":"user","content":"x"}],"odd":1}';
 
@@ -38,7 +38,7 @@
   work: [],
 };
 
-/** Builds an answer out of pieces, which may include an error to break off with. */
+/** Builds an answer from chunks; an error among the chunks makes the body fail there. */
 export function buildAnswer(
   pieces: Iterable<string | Error> | AsyncIterable<string | Error>,
   type = 'application/json',
@@ -63,13 +63,13 @@
   };
 }
 
-/** Answers from the functions that a test sets, and keeps what it was asked. */
+/** A gateway that answers with a function set by the test, and records the calls it receives. */
 export class FakeGateway extends RequestGateway {
   readonly calls: CallerCall[] = [];
 
   readonly reads: ReadOptions[] = [];
 
-  /** What `submit` and `read` answer. */
+  /** Produces the answer of `submit` and `read`. */
   answer: (call: CallerCall | ReadOptions) => Promise<CallerAnswer> = async () =>
     buildAnswer(['{"ok":true}']);
 
@@ -116,7 +116,7 @@
   }
 }
 
-/** What a test works with. */
+/** The listener, its fakes and its address. */
 export interface Fixture {
   readonly listener: CallersListener;
   readonly gateway: FakeGateway;
@@ -127,13 +127,13 @@
   readonly url: string;
 }
 
-/** Starts a listener on a free port of the loopback interface; the test ends it. */
+/** Starts a listener on a free port of the loopback interface; the test's teardown stops it. */
 export async function startFixture(
   t: { teardown(end: () => unknown): void },
   limits: Partial<HttpLimits> = {},
   tls?: TlsIdentity,
 ): Promise<Fixture> {
-  const parts = {
+  const fakes = {
     gateway: new FakeGateway(),
     log: new FakeLog(),
     metrics: new FakeMetrics(),
@@ -141,23 +141,23 @@
     clock: new VirtualClock(),
   };
   const listener = new CallersListener({
-    ...parts,
+    ...fakes,
     limits: { ...DEFAULT_HTTP_LIMITS, ...limits },
     tls,
   });
   const { port } = await listener.start('127.0.0.1', 0);
   t.teardown(() => listener.stop());
-  return { ...parts, listener, port, url: `${tls ? 'https' : 'http'}://127.0.0.1:${port}` };
+  return { ...fakes, listener, port, url: `${tls ? 'https' : 'http'}://127.0.0.1:${port}` };
 }
 
-/** A bare connection, to send what no HTTP client would. */
+/** A raw TCP connection, to send bytes that no HTTP client would send. */
 export class RawConnection {
   readonly socket: Socket;
 
-  /** Settles with everything received, once the connection is closed. */
+  /** Resolves with all received text once the connection is closed. */
   readonly closed: Promise<string>;
 
-  /** Settles once the connection is open. */
+  /** Resolves once the connection is open. */
   readonly opened: Promise<void>;
 
   #received = '';
@@ -177,26 +177,26 @@
     });
   }
 
-  /** Waits until what was received fits the pattern. */
+  /** Waits until the received text matches the pattern. */
   async waitFor(pattern: RegExp): Promise<string> {
     while (!pattern.test(this.#received)) {
-      if (this.socket.closed) throw new Error(`closed after: ${this.#received}`);
+      if (this.socket.closed) throw new Error(`connection closed after: ${this.#received}`);
       await waitForTurn();
     }
     return this.#received;
   }
 }
 
-/** Sends text over a connection of its own and waits for the connection's end. */
+/** Sends text over a new connection, and resolves with the reply once that is closed. */
 export async function sendRaw(port: number, text: string): Promise<string> {
   const connection = new RawConnection(port);
   connection.socket.write(text, 'latin1');
   return connection.closed;
 }
 
-/** Builds a request in text form; its connection ends after the answer. */
+/** Formats an HTTP/1.1 request that asks the server to close the connection. */
 export function formatRequest(
-  line: string,
+  methodAndTarget: string,
   headers: Readonly<Record<string, string>> = {},
   body = '',
 ): string {
@@ -210,10 +210,10 @@
   const lines = Object.entries(all)
     .filter(([, value]) => value !== '')
     .map(([name, value]) => `${name}: ${value}\r\n`);
-  return `${line} HTTP/1.1\r\n${lines.join('')}\r\n${body}`;
+  return `${methodAndTarget} HTTP/1.1\r\n${lines.join('')}\r\n${body}`;
 }
 
-/** Builds a good chat completion in text form. */
+/** Formats a valid chat completion request. */
 export function formatChat(headers: Readonly<Record<string, string>> = {}): string {
   return formatRequest('POST /v1/chat/completions', headers, CHAT_BODY);
 }
--- a/src/adapters/callers_http/callers_listener.ts
+++ b/src/adapters/callers_http/callers_listener.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' listener.
+ * The HTTP listener that callers send their requests to.
  *
  * @module
  */
@@ -14,19 +14,19 @@
   toSchedulerError,
 } from '../http_common/mod.js';
 import type {
-  FoundRoute,
+  RouteMatch,
   HttpExchange,
   HttpLimits,
   RequestTarget,
   TlsIdentity,
 } from '../http_common/mod.js';
 import type { CallerRoute } from './_caller_exchange.js';
-import { correctRun } from './_correct_run.js';
+import { correctRunOutcome } from './_correct_run_outcome.js';
 import { recordRefusal, RequestRecorder } from './_request_recorder.js';
 import { CALLER_ROUTES } from './_routes.js';
 
-/** W3C trace context, version 00 (later versions may add fields behind). */
-const TRACEPARENT_FORM =
+/** `traceparent` of W3C Trace Context version 00; later versions may append fields. */
+const TRACEPARENT_PATTERN =
   /^(?!ff)[0-9a-f]{2}-(?!0{32})[0-9a-f]{32}-(?!0{16})[0-9a-f]{16}-[0-9a-f]{2}(-.*)?$/;
 
 /** Options of {@link CallersListener}. */
@@ -37,24 +37,24 @@
   readonly tracer: Tracer;
   readonly clock: Clock;
   readonly limits: HttpLimits;
-  /** Serves by https when given. */
+  /** Certificate and key for HTTPS; without them the listener serves plain HTTP. */
   readonly tls?: TlsIdentity | undefined;
 }
 
-/** Takes callers' requests, authenticates them and hands them to the gateway. */
+/** Authenticates callers' requests and hands them to the gateway. */
 export class CallersListener {
   readonly #options: CallersListenerOptions;
 
   readonly #listener: HttpListener;
 
-  /** @param options - the gateway, the limits, and the ports to report to */
+  /** @param options - the gateway, the HTTP limits and the ports to report to */
   constructor(options: CallersListenerOptions) {
     this.#options = options;
     this.#listener = new HttpListener({
       limits: options.limits,
       tls: options.tls,
       handle: (http) => this.#handle(http),
-      correctRefusal: correctRun,
+      correctRefusal: correctRunOutcome,
       onRefusal: (refusal) => recordRefusal(options, refusal),
     });
   }
@@ -62,23 +62,23 @@
   /**
    * Starts listening.
    *
-   * @param host - IP number
-   * @param port - port; 0 for any free one
-   * @returns the port
+   * @param host - IP address to listen on
+   * @param port - port to listen on; 0 selects a free port
+   * @returns the port in use
    */
   start(host: string, port: number): Promise<{ port: number }> {
     return this.#listener.start(host, port);
   }
 
-  /** Asks each caller, with its next answer, to close its connection; see {@link HttpListener.drain}. */
+  /** Closes each connection after its next answer; see {@link HttpListener.drain}. */
   drain(): void {
     this.#listener.drain();
   }
 
   /**
-   * Stops listening and waits for the running answers; cuts none.
+   * Stops listening and waits until in-flight answers are complete.
    *
-   * @returns when the last connection is closed
+   * @returns a promise that resolves once the last connection is closed
    */
   stop(): Promise<void> {
     return this.#listener.stop();
@@ -87,53 +87,55 @@
   async #handle(http: HttpExchange): Promise<void> {
     const recorder = new RequestRecorder(this.#options, findTraceparent(http));
     let isHandedOver = false;
-    const noteHandOver = (): void => {
+    const recordHandOver = (): void => {
       isHandedOver = true;
     };
     try {
-      await this.#run(http, recorder, noteHandOver);
-      const sentId = http.response.getHeader('request-id');
-      recorder.recordAnswer(http.response.statusCode, sentId?.toString());
+      await this.#route(http, recorder, recordHandOver);
+      const sentRequestId = http.response.getHeader('request-id');
+      recorder.recordAnswer(http.response.statusCode, sentRequestId?.toString());
     } catch (thrown) {
-      const raised = toSchedulerError(thrown);
-      const error = isHandedOver ? raised : correctRun(raised, http.request);
+      const original = toSchedulerError(thrown);
+      const error = isHandedOver ? original : correctRunOutcome(original, http.request);
       const requestId = error.requestId ?? http.getHeader('request-id');
       recorder.recordRefusal(error, requestId);
       http.sendError(error, requestId);
     }
   }
 
-  async #run(
+  async #route(
     http: HttpExchange,
     recorder: RequestRecorder,
-    noteHandOver: () => void,
+    recordHandOver: () => void,
   ): Promise<void> {
     const target = parseRequestTarget(http.request.url ?? '/');
     const { route, params } = findCallerRoute(http, target);
-    recorder.noteRoute(route.name);
+    recorder.recordRoute(route.name);
     if (!route.handler.needsKey) {
       await route.handler.handle(http);
       return;
     }
-    // Before the body is read: who has no key can't make us hold bytes.
+    // Precedes reading the body, so that callers without a key can't make the process buffer it.
     const { gateway, clock, limits } = this.#options;
     const account = gateway.authenticate(parseBearerKey(http.getHeader('authorization')));
-    recorder.noteAccount(account);
+    recorder.recordAccount(account);
     const { answerStallTimeoutMs = DEFAULT_HTTP_LIMITS.answerStallTimeoutMs } = limits;
     const { span } = recorder;
-    const known = { http, gateway, clock, account, target, params, span };
-    await route.handler.handle({ ...known, noteHandOver, answerStallTimeoutMs });
+    const context = { http, gateway, clock, account, target, params, span };
+    await route.handler.handle({ ...context, recordHandOver, answerStallTimeoutMs });
   }
 }
 
-function findCallerRoute(http: HttpExchange, target: RequestTarget): FoundRoute<CallerRoute> {
+function findCallerRoute(http: HttpExchange, target: RequestTarget): RouteMatch<CallerRoute> {
   return findRoute(CALLER_ROUTES, http.request.method ?? 'GET', target, (allowed) => {
     http.response.setHeader('allow', allowed.join(', '));
   });
 }
 
-/** A `traceparent` that is not well-formed counts as none, as W3C trace context asks. */
+/** Ignores a malformed `traceparent`, as W3C Trace Context requires. */
 function findTraceparent(http: HttpExchange): string | undefined {
   const traceparent = http.getHeader('traceparent');
-  return traceparent !== undefined && TRACEPARENT_FORM.test(traceparent) ? traceparent : undefined;
+  return traceparent !== undefined && TRACEPARENT_PATTERN.test(traceparent)
+    ? traceparent
+    : undefined;
 }
--- a/src/adapters/callers_http/callers_listener_limits_test.ts
+++ b/src/adapters/callers_http/callers_listener_limits_test.ts
@@ -11,10 +11,10 @@
 
 const CHAT = 'POST /v1/chat/completions';
 
-t.test('CallersListener ends slow headers and slow bodies with 408', async (t) => {
-  // Symptom: all connections are taken and nobody is served. A caller opens
-  // many, sends a few bytes on each and never ends a request. Cause: a
-  // connection without a time limit costs the attacker nothing.
+t.test('CallersListener answers slow headers and slow bodies with 408', async (t) => {
+  // Guards against slow-request attacks: a caller opens many connections, sends a few bytes
+  // on each and never completes a request. Without time limits these connections cost the
+  // caller nothing, and they occupy all that the listener admits.
   const { port } = await startFixture(t, { headerTimeoutMs: 200, requestTimeoutMs: 300 });
   const slow = [
     '',
@@ -24,11 +24,11 @@
   ];
   const answers = await Promise.all(slow.map((text) => sendRaw(port, text)));
   t.match(answers.slice(0, 3), [/^HTTP\/1.1 408/, /"request_timeout"/, /"run":"not_run"/]);
-  t.match(answers[3], /^HTTP\/1.1 401/, 'who has no key is told so before the body');
+  t.match(answers[3], /^HTTP\/1.1 401/, 'a missing key is refused before the body arrives');
   t.match(await sendRaw(port, formatChat()), /^HTTP\/1.1 200/);
 });
 
-t.test('CallersListener refuses connections over its limit and serves the rest', async (t) => {
+t.test('CallersListener refuses connections over its limit and serves the others', async (t) => {
   const { port } = await startFixture(t, { maxConnections: 300 });
   const open = Array.from({ length: 300 }, () => new RawConnection(port));
   await Promise.all(open.map(({ opened }) => opened));
@@ -42,7 +42,7 @@
     await waitForTurn();
     answer = await sendRaw(port, formatChat());
   } while (!answer.startsWith('HTTP/1.1 200'));
-  t.pass('a place that became free is given again');
+  t.pass('a closed connection makes room for a new one');
   open.forEach(({ socket }) => socket.destroy());
 });
 
@@ -56,10 +56,10 @@
   open.forEach(({ socket }) => socket.destroy());
 });
 
-t.test('CallersListener bounds the bodies that one account has held', async (t) => {
-  // Symptom: the process is killed for want of memory, or nobody but one account
-  // is served. Each body is within its limit, but hundreds come at once and wait
-  // for the queue. Cause: a limit for one body bounds no sum.
+t.test('CallersListener limits the total body bytes of one account', async (t) => {
+  // Guards against running out of memory, and against one account shutting out all others:
+  // hundreds of bodies wait for the queue at once. Each is within its own limit, but a limit
+  // per body does not limit their sum.
   const { port, gateway } = await startFixture(t, { maxTotalBodyBytes: 400 });
   const { answer } = gateway;
   let release = (): void => undefined;
@@ -75,48 +75,57 @@
   release();
   t.match(await first, /^HTTP\/1.1 200/);
   gateway.answer = answer;
-  t.match(await sendRaw(port, formatChat()), /^HTTP\/1.1 200/, 'the room is given back');
-});
-
-t.test('CallersListener says nothing of a running request when garbage follows it', async (t) => {
-  // Symptom: a caller reads "not run" of a request that runs. It sent a whole
-  // request and then broken bytes on the same connection; the refusal of those
-  // was read as the first request's answer. Cause: HTTP/1.1 answers go by order.
-  const { port, gateway } = await startFixture(t);
-  const aborted = new Promise((resolve) => {
-    gateway.answer = (call) =>
-      new Promise(() => {
-        call.callerGone.addEventListener('abort', resolve);
-      });
-  });
-  const answer = await sendRaw(
-    port,
-    `${formatChat({ connection: 'keep-alive' })}\x00garbage\r\n\r\n`,
+  t.match(
+    await sendRaw(port, formatChat()),
+    /^HTTP\/1.1 200/,
+    'the bytes of a finished request are released',
   );
-  t.equal(answer, '', 'the connection closes without a claim');
-  await aborted;
 });
 
-t.test('CallersListener lets go of a caller that sends on after its refusal', async (t) => {
-  // Symptom: connections of refused callers never end. Cause: the answer is
-  // given, the caller reads it and sends on, and only a time limit of minutes,
-  // or none at all, would end it.
-  const limits = { maxUnauthenticatedBodyBytes: 100, requestTimeoutMs: 600_000 };
-  const { port } = await startFixture(t, limits);
-  const endless = { authorization: '', 'content-length': '999999999', connection: 'keep-alive' };
-  for (const text of ['garbage\r\n\r\n', formatRequest(CHAT, endless)]) {
-    const rude = new RawConnection(port, { allowHalfOpen: true });
-    rude.socket.write(text);
-    await rude.waitFor(/^HTTP\/1.1 40[01]/);
-    while (!rude.socket.destroyed) {
-      rude.socket.write('more');
-      await waitForTurn();
+t.test(
+  'CallersListener makes no claim about a running request that invalid bytes follow',
+  async (t) => {
+    // Guards against "not run" for a request that is running: the caller sends a complete
+    // request and then invalid bytes on the same connection. HTTP/1.1 answers follow the order
+    // of requests, so the refusal of those bytes would be read as the first request's answer.
+    const { port, gateway } = await startFixture(t);
+    const aborted = new Promise((resolve) => {
+      gateway.answer = (call) =>
+        new Promise(() => {
+          call.callerGone.addEventListener('abort', resolve);
+        });
+    });
+    const answer = await sendRaw(
+      port,
+      `${formatChat({ connection: 'keep-alive' })}\x00garbage\r\n\r\n`,
+    );
+    t.equal(answer, '', 'the connection closes without an answer');
+    await aborted;
+  },
+);
+
+t.test(
+  'CallersListener closes the connection of a caller that keeps sending after a refusal',
+  async (t) => {
+    // Guards against connections of refused callers that never end: the caller reads the
+    // refusal and keeps sending, and only a timeout of minutes, or none, would close it.
+    const limits = { maxUnauthenticatedBodyBytes: 100, requestTimeoutMs: 600_000 };
+    const { port } = await startFixture(t, limits);
+    const endless = { authorization: '', 'content-length': '999999999', connection: 'keep-alive' };
+    for (const text of ['garbage\r\n\r\n', formatRequest(CHAT, endless)]) {
+      const connection = new RawConnection(port, { allowHalfOpen: true });
+      connection.socket.write(text);
+      await connection.waitFor(/^HTTP\/1.1 40[01]/);
+      while (!connection.socket.destroyed) {
+        connection.socket.write('more');
+        await waitForTurn();
+      }
+      t.match(await connection.closed, /"run":"not_run"/);
     }
-    t.match(await rude.closed, /"run":"not_run"/);
-  }
-});
+  },
+);
 
-t.test('CallersListener answers or closes whatever bytes come, and serves on', async (t) => {
+t.test('CallersListener answers or closes on any input, and continues to serve', async (t) => {
   const { port } = await startFixture(t, { headerTimeoutMs: 200, requestTimeoutMs: 200 });
   const good = formatChat();
   const piece = fc.oneof(
@@ -136,7 +145,7 @@
     fc.nat(good.length).map((length) => good.slice(0, length)),
     fc.nat(good.length).map((start) => good.slice(start)),
   );
-  // Twenty callers at once, since many of them end only by a time limit.
+  // Twenty callers run at once, since many of their connections end only by a timeout.
   const input = fc.array(piece, { maxLength: 6 }).map((pieces) => pieces.join(''));
   const callers = fc.array(input, { minLength: 20, maxLength: 20 });
   await fc.assert(
--- a/src/adapters/callers_http/callers_listener_openai_test.ts
+++ b/src/adapters/callers_http/callers_listener_openai_test.ts
@@ -17,30 +17,33 @@
   return new OpenAI({ baseURL: `${url}/v1`, apiKey, maxRetries });
 }
 
-t.test('openai client reads whole and streamed answers and the models', async (t) => {
-  const { url, gateway } = await startFixture(t);
-  const client = createClient(url);
-  gateway.answer = async () => buildAnswer(['{"choices":[{"message":{"content":', '"whole"}}]}']);
-  const whole = await client.chat.completions.create(CHAT);
-  t.equal(whole.choices[0]?.message.content, 'whole');
+t.test(
+  'openai client reads complete answers, streamed answers and the list of models',
+  async (t) => {
+    const { url, gateway } = await startFixture(t);
+    const client = createClient(url);
+    gateway.answer = async () => buildAnswer(['{"choices":[{"message":{"content":', '"whole"}}]}']);
+    const whole = await client.chat.completions.create(CHAT);
+    t.equal(whole.choices[0]?.message.content, 'whole');
 
-  const events = ['a', 'b'].map((content) => ({ choices: [{ delta: { content } }] }));
-  const text = `${events.map((event) => `data: ${JSON.stringify(event)}\n\n`).join('')}data: [DONE]\n\n`;
-  gateway.answer = async () => buildAnswer(text.split(/(?=[b:])/), 'text/event-stream');
-  const pieces: string[] = [];
-  for await (const event of await client.chat.completions.create({ ...CHAT, stream: true })) {
-    pieces.push(event.choices[0]?.delta.content ?? '');
-  }
-  t.same(pieces, ['a', 'b']);
+    const events = ['a', 'b'].map((content) => ({ choices: [{ delta: { content } }] }));
+    const text = `${events.map((event) => `data: ${JSON.stringify(event)}\n\n`).join('')}data: [DONE]\n\n`;
+    gateway.answer = async () => buildAnswer(text.split(/(?=[b:])/), 'text/event-stream');
+    const pieces: string[] = [];
+    for await (const event of await client.chat.completions.create({ ...CHAT, stream: true })) {
+      pieces.push(event.choices[0]?.delta.content ?? '');
+    }
+    t.same(pieces, ['a', 'b']);
 
-  const models = await client.models.list();
-  t.same(
-    models.data.map(({ id }) => id),
-    ['monsoon-draft'],
-  );
-});
+    const models = await client.models.list();
+    t.same(
+      models.data.map(({ id }) => id),
+      ['monsoon-draft'],
+    );
+  },
+);
 
-t.test('openai client raises its own error classes', async (t) => {
+t.test('openai client maps refusals to its own error classes', async (t) => {
   const { url, gateway } = await startFixture(t);
   const cases: [ErrorKind, new (...args: never[]) => Error][] = [
     [ErrorKind.Unauthenticated, AuthenticationError],
@@ -61,13 +64,13 @@
     t.ok(error instanceof errorClass, kind);
     t.match(error, { code: kind });
   }
-  const stranger = await createClient(url, 'wrong')
+  const unauthenticated = await createClient(url, 'wrong')
     .models.list()
     .catch((thrown: unknown) => thrown);
-  t.ok(stranger instanceof AuthenticationError);
+  t.ok(unauthenticated instanceof AuthenticationError);
 });
 
-t.test('openai client raises an error for a stream that breaks off', async (t) => {
+t.test('openai client throws when a stream breaks off', async (t) => {
   const { url, gateway } = await startFixture(t);
   const lost = new SchedulerError(ErrorKind.BackendServerLost);
   gateway.answer = async () =>
@@ -81,9 +84,9 @@
   t.match(error, { code: ErrorKind.BackendServerLost });
 });
 
-t.test('openai client does not repeat what must not be sent again', async (t) => {
-  // Symptom: work that may have run is sent three times. Cause: the library
-  // repeats each 5xx by itself, unless the answer tells it not to.
+t.test('openai client does not retry a request that must not be sent again', async (t) => {
+  // Guards against work that may have run being sent three times: the library retries
+  // every 5xx answer unless a header of the answer forbids it.
   const { url, gateway } = await startFixture(t);
   gateway.answer = async () => {
     throw new SchedulerError(ErrorKind.OwnerGone);
--- a/src/adapters/callers_http/callers_listener_streaming_test.ts
+++ b/src/adapters/callers_http/callers_listener_streaming_test.ts
@@ -6,29 +6,29 @@
 
 const SSE = 'text/event-stream; charset=utf-8';
 
-t.test('CallersListener ends a broken event stream with an error event', async (t) => {
-  // Symptom: the caller's parser fails on half an event. The engine died within
-  // an event; the error came right behind the half. Cause: pieces of a stream
-  // end anywhere, so a half event must not go out before its rest has come.
+t.test('CallersListener ends an interrupted event stream with an error event', async (t) => {
+  // Guards against a parser failure at the caller: the engine crashes within an event, and
+  // the error event directly follows the first half of that event. Chunks of a stream end
+  // anywhere, so an incomplete event must not be sent before the rest of it has arrived.
   const { port, gateway } = await startFixture(t);
   const lost = new SchedulerError(ErrorKind.BackendServerLost);
   gateway.answer = async () => buildAnswer(['data: {"a":1}\n', '\ndata: {"b', lost], SSE);
   const answer = await sendRaw(port, formatChat());
   const data = [...answer.matchAll(/^data: (.*)$/gm)].map(([, json]) => JSON.parse(json ?? ''));
   t.match(data, [{ a: 1 }, { error: { code: 'backend_server_lost', run: 'may_have_run' } }]);
-  t.match(answer, /\r\n0\r\n\r\n$/, 'the stream itself is whole');
+  t.match(answer, /\r\n0\r\n\r\n$/, 'the chunked encoding ends normally');
 });
 
-t.test('CallersListener cuts the connection of any other answer that breaks off', async (t) => {
-  // Symptom: half a report is taken for the whole. Cause: a broken answer that
-  // ends in the ordinary way looks whole.
+t.test('CallersListener drops the connection of any other answer that breaks off', async (t) => {
+  // Guards against half a report being taken for the complete one: an interrupted answer
+  // whose response ends normally looks complete.
   const { port, gateway, log } = await startFixture(t);
   gateway.answer = async () => buildAnswer(['{"half":', new Error('engine died')]);
   t.notMatch(await sendRaw(port, formatChat()), /\r\n0\r\n\r\n$/, 'the last chunk is missing');
   t.match(log.lines.at(-1)?.fields, { kind: ErrorKind.AnswerCut, run: 'ran' });
 
-  // Node's own client takes a reset that comes together with bytes for an
-  // ordinary end, so the answer breaks off only once its first half has arrived.
+  // Node's client takes a reset that arrives together with bytes for a normal end, so the
+  // answer breaks off only after its first half has arrived.
   const old = new RawConnection(port);
   gateway.answer = async () =>
     buildAnswer(
@@ -40,12 +40,16 @@
     );
   const reset = once(old.socket, 'error');
   old.socket.write(formatChat().replace('HTTP/1.1', 'HTTP/1.0'));
-  t.match(await reset, [{ code: 'ECONNRESET' }], 'HTTP/1.0 knows no chunks and gets a reset');
+  t.match(
+    await reset,
+    [{ code: 'ECONNRESET' }],
+    'HTTP/1.0 has no chunks, so the connection is reset',
+  );
 });
 
-t.test('CallersListener reads an answer no faster than its caller does', async (t) => {
-  // Symptom: memory grows with the answers of slow callers. Cause: what is
-  // written without waiting for 'drain' is kept by the process.
+t.test('CallersListener reads an answer no faster than its caller reads it', async (t) => {
+  // Guards against memory that grows with the answers of slow callers: the process buffers
+  // everything that is written without waiting for 'drain'.
   const { port, gateway, clock, log } = await startFixture(t);
   let produced = 0;
   async function* produce(): AsyncGenerator<string> {
@@ -63,17 +67,17 @@
     seen = produced;
     for (let turn = 0; turn < 200; turn += 1) await waitForTurn();
   }
-  t.ok(produced < 1000, `production stands still after ${produced} of 4000 pieces`);
+  t.ok(produced < 1000, `production pauses after ${produced} of 4000 chunks`);
   t.match(await sendRaw(port, formatChat().replace('/v1/chat/completions', '/v1/none')), /404/);
   await clock.advance(60_000);
   while (!log.lines.some(({ fields }) => fields.kind === ErrorKind.CancelledAfterDispatch)) {
     await waitForTurn();
   }
-  t.pass('a caller that takes nothing for a minute is let go');
+  t.pass('a caller that reads nothing for a minute is disconnected');
   slow.socket.destroy();
 });
 
-t.test('CallersListener tells the gateway when the caller is gone', async (t) => {
+t.test('CallersListener notifies the gateway when the caller disconnects', async (t) => {
   const { port, gateway } = await startFixture(t);
   const aborted = new Promise((resolve) => {
     gateway.answer = async (call) => {
@@ -93,22 +97,22 @@
   t.ok(await aborted);
 });
 
-t.test('CallersListener stops without cutting an answer', async (t) => {
-  // Symptom: a planned stop loses the end of answers. Sequence: an answer
-  // streams, the process is told to stop, connections are closed at once.
+t.test('CallersListener completes in-flight answers when it stops', async (t) => {
+  // Guards against truncated answers at a planned stop: the process is told to stop while an
+  // answer is being streamed, and closes all connections at once.
   const { port, gateway, listener } = await startFixture(t, {
     headerTimeoutMs: 200,
     requestTimeoutMs: 300,
   });
-  let goOn = (): void => undefined;
-  const told = new Promise<void>((resolve) => {
-    goOn = resolve;
+  let resume = (): void => undefined;
+  const resumed = new Promise<void>((resolve) => {
+    resume = resolve;
   });
   gateway.answer = async () =>
     buildAnswer(
       (async function* answer(): AsyncGenerator<string> {
         yield 'first';
-        await told;
+        await resumed;
         yield 'last';
       })(),
     );
@@ -118,12 +122,12 @@
   await Promise.all([running?.waitFor(/first/), idle?.opened, unfinished?.opened]);
   const stopped = listener.stop();
   await Promise.all([idle?.closed, unfinished?.closed]);
-  goOn();
+  resume();
   await stopped;
   t.match(await running?.closed, /first[^]*last\r\n0\r\n\r\n$/);
 });
 
-t.test('CallersListener asks callers to go elsewhere once it drains', async (t) => {
+t.test('CallersListener closes connections after the next answer while it drains', async (t) => {
   const { port, listener } = await startFixture(t);
   listener.drain();
   const answer = await sendRaw(port, formatChat({ connection: 'keep-alive' }));
--- a/src/adapters/callers_http/callers_listener_test.ts
+++ b/src/adapters/callers_http/callers_listener_test.ts
@@ -9,7 +9,7 @@
   startFixture,
 } from './_test_fixture.js';
 
-/** Time limits are out of reach, so that nothing here ends by one of them. */
+/** The timeouts are so long that no request of these tests ends by one of them. */
 const LIMITS = {
   maxBodyBytes: 200,
   maxHeaderBytes: 1024,
@@ -23,11 +23,11 @@
   readonly name: string;
   readonly text: string;
   readonly kind: ErrorKind;
-  /** What the answer says of the run, where the request names an ID; else the table's. */
+  /** Run outcome in the answer; default: the run outcome of the error table. */
   readonly run?: RunOutcome;
-  /** What the gateway throws. */
+  /** Error that the gateway throws. */
   readonly thrown?: Error;
-  /** What the answer's text has besides. */
+  /** Patterns that the raw answer must match as well. */
   readonly has?: readonly RegExp[];
 }
 
@@ -39,7 +39,7 @@
     has: [/^www-authenticate: Bearer\r$/m],
   },
   {
-    name: 'wrong key, and a body that waits for a 100',
+    name: 'wrong key and Expect: 100-continue',
     text: formatRequest(CHAT, {
       authorization: 'Bearer wrong',
       expect: '100-continue',
@@ -50,12 +50,12 @@
     has: [/^HTTP\/1.1 401/, /^connection: close\r$/m],
   },
   {
-    name: 'wrong key, and an endless body',
+    name: 'wrong key and an endless body',
     text: `${formatRequest(CHAT, { authorization: 'Bearer wrong', 'content-length': '99999', connection: '' })}${'x'.repeat(5000)}`,
     kind: ErrorKind.Unauthenticated,
   },
   {
-    name: 'key of another scheme',
+    name: 'key of another authentication scheme',
     text: formatRequest('GET /v1/models', { authorization: 'Basic a2V5LWE=' }),
     kind: ErrorKind.Unauthenticated,
   },
@@ -73,12 +73,12 @@
     kind: ErrorKind.MethodNotAllowed,
   },
   {
-    name: 'broken JSON',
+    name: 'invalid JSON',
     text: formatRequest(CHAT, {}, '{"model":'),
     kind: ErrorKind.MalformedRequest,
   },
   {
-    name: 'broken UTF-8',
+    name: 'invalid UTF-8',
     text: formatRequest(CHAT, {}, '"\xff"'),
     kind: ErrorKind.MalformedRequest,
   },
@@ -94,54 +94,58 @@
     kind: ErrorKind.UnknownModel,
   },
   {
-    name: 'announced body too long',
+    name: 'Content-Length over the body limit',
     text: formatRequest(CHAT, { 'content-length': '201', expect: '100-continue' }),
     kind: ErrorKind.BodyTooLarge,
     has: [/^HTTP\/1.1 413/],
   },
   {
-    name: 'chunked body too long',
+    name: 'chunked body over the body limit',
     text: `${formatRequest(CHAT, { 'content-length': '', 'transfer-encoding': 'chunked' })}ff\r\n${'x'.repeat(255)}\r\n0\r\n\r\n`,
     kind: ErrorKind.BodyTooLarge,
   },
   {
-    name: 'broken chunk',
+    name: 'invalid chunk',
     text: `${formatRequest(CHAT, { 'content-length': '', 'transfer-encoding': 'chunked' })}zz\r\n`,
     kind: ErrorKind.MalformedRequest,
   },
   {
-    name: 'two framings',
+    name: 'both Content-Length and Transfer-Encoding',
     text: formatRequest(CHAT, { 'transfer-encoding': 'chunked' }, CHAT_BODY),
     kind: ErrorKind.MalformedRequest,
   },
   {
-    name: 'header too long',
+    name: 'header over the header limit',
     text: formatRequest('GET /v1/models', { 'x-long': 'x'.repeat(5000) }),
     kind: ErrorKind.HeaderTooLarge,
   },
   {
-    name: 'no host',
+    name: 'no Host header',
     text: formatRequest('GET /v1/models', { host: '' }),
     kind: ErrorKind.MalformedRequest,
   },
   {
-    name: 'another expectation',
+    name: 'unknown expectation',
     text: formatRequest('GET /v1/models', { expect: 'wonders' }),
     kind: ErrorKind.MalformedRequest,
   },
-  { name: 'no HTTP', text: '\x16\x03\x01\x02\r\n\r\n', kind: ErrorKind.MalformedRequest },
   {
-    name: 'path out of its service',
+    name: 'bytes that are not HTTP',
+    text: '\x16\x03\x01\x02\r\n\r\n',
+    kind: ErrorKind.MalformedRequest,
+  },
+  {
+    name: 'path that escapes its service',
     text: formatRequest('GET /v1/services/case-app/status/%2e%2E%2fadmin'),
     kind: ErrorKind.MalformedRequest,
   },
   {
-    name: 'deadline that is no number',
+    name: 'deadline that is not an integer',
     text: formatChat({ 'request-deadline-ms': '1e3' }),
     kind: ErrorKind.MalformedRequest,
   },
   {
-    name: 'offset that is no number',
+    name: 'negative offset',
     text: formatRequest('GET /v1/requests/id-1?offset=-1'),
     kind: ErrorKind.MalformedRequest,
     run: RunOutcome.MayHaveRun,
@@ -158,21 +162,21 @@
     has: [/^x-should-retry: false\r$/m],
   },
   {
-    name: 'work that needs a request ID',
+    name: 'work kind that requires a request ID',
     text: formatChat(),
     kind: ErrorKind.RequestIdRequired,
     thrown: new SchedulerError(ErrorKind.RequestIdRequired, { requestId: 'fresh' }),
     has: [/^request-id: fresh\r$/m],
   },
   {
-    name: 'measured advice',
+    name: 'refusal with a retry-after time',
     text: formatChat({ 'request-id': 'id-7' }),
     kind: ErrorKind.TierClosed,
     thrown: new SchedulerError(ErrorKind.TierClosed, { retryAfterMs: 1200.5 }),
     has: [/^retry-after: 2\r$/m, /^retry-after-ms: 1201\r$/m, /^request-id: id-7\r$/m],
   },
   {
-    name: 'a fault of ours, which stays between us',
+    name: 'internal error, whose message is not disclosed',
     text: formatChat(),
     kind: ErrorKind.Internal,
     thrown: new TypeError('secret'),
@@ -180,7 +184,7 @@
   },
 ];
 
-t.test('CallersListener answers every error path from the table', async (t) => {
+t.test('CallersListener answers every error as the error table defines it', async (t) => {
   const { port, gateway, log } = await startFixture(t, LIMITS);
   for (const { name, text, kind, run, thrown, has = [] } of ERROR_CASES) {
     gateway.answer = async () => {
@@ -199,12 +203,12 @@
   t.match(
     await sendRaw(port, formatChat()),
     /^HTTP\/1.1 200 /,
-    'a good caller is served after all',
+    'a valid request is served afterwards',
   );
   t.notMatch(JSON.stringify(log.lines), /key-a/, 'no key is logged');
 });
 
-t.test('CallersListener passes a chat completion on byte for byte', async (t) => {
+t.test('CallersListener forwards a chat completion unchanged', async (t) => {
   const { port, gateway } = await startFixture(t);
   const answer = await sendRaw(
     port,
@@ -214,10 +218,14 @@
   t.equal(Buffer.from(gateway.calls[0]?.body ?? []).toString(), CHAT_BODY);
   t.match(answer, /^request-id: id-1\r$/m);
   t.match(answer, /^stream-id: s-1\r$/m);
-  t.notMatch(answer, /x-hop|content-length/, 'hop-by-hop headers and the length end here');
+  t.notMatch(
+    answer,
+    /x-hop|content-length/,
+    'hop-by-hop headers and Content-Length are not forwarded',
+  );
 });
 
-t.test('CallersListener passes a plain call on whole, without keys and own headers', async (t) => {
+t.test('CallersListener forwards a service call without keys and system headers', async (t) => {
   const { port, gateway } = await startFixture(t);
   const own = {
     'request-id': 'id-1',
@@ -232,10 +240,10 @@
   t.equal(call?.path, '/status%20a//b?c=%2F&c');
   t.same(call?.headers, { cookie: 'kept', 'x-own': 'kept' });
   t.equal(Buffer.from(call?.body ?? []).toString(), 'body');
-  t.match(call?.traceparent, /^00-/, 'a broken traceparent is replaced');
+  t.match(call?.traceparent, /^00-/, 'a malformed traceparent is replaced');
 });
 
-t.test('CallersListener gives IDs, states, and answers from an offset', async (t) => {
+t.test('CallersListener serves request IDs, states, and answers from an offset', async (t) => {
   const { port, gateway } = await startFixture(t);
   t.match(
     await sendRaw(port, formatRequest('POST /v1/requests', { 'idempotency-key': 'k' })),
@@ -249,31 +257,37 @@
   t.match(await sendRaw(port, formatRequest('GET /v1/health', { authorization: '' })), /200 OK/);
 });
 
-t.test('CallersListener sends 100 only after the key is known, then takes the body', async (t) => {
-  const { port } = await startFixture(t);
-  const answer = await sendRaw(port, formatChat({ expect: '100-continue' }));
-  t.match(answer, /^HTTP\/1.1 100 Continue\r\n\r\nHTTP\/1.1 200 OK/);
-});
+t.test(
+  'CallersListener sends 100 Continue once the key is checked, then reads the body',
+  async (t) => {
+    const { port } = await startFixture(t);
+    const answer = await sendRaw(port, formatChat({ expect: '100-continue' }));
+    t.match(answer, /^HTTP\/1.1 100 Continue\r\n\r\nHTTP\/1.1 200 OK/);
+  },
+);
 
-t.test('CallersListener says "not run" of no request that another copy may run', async (t) => {
-  // Symptom: work is done twice. A caller sends the second copy of a request
-  // while the first runs, the second is refused with "not run", the caller sends
-  // the work again under a new ID. Cause: the refusal knew only of its copy.
-  const limits = { maxBodyBytes: 200, requestTimeoutMs: 300, headerTimeoutMs: 200 };
-  const { port } = await startFixture(t, limits);
-  const own = { 'request-id': 'id-1' };
-  const copies = [
-    formatChat({ ...own, authorization: '' }),
-    formatChat({ ...own, 'content-length': '201' }),
-    formatChat({ ...own, 'request-deadline-ms': 'x' }),
-    formatChat({ ...own, host: '' }),
-    formatRequest(CHAT, own, '{'),
-    formatRequest(CHAT, { ...own, 'content-length': '9' }),
-    formatRequest('GET /v1/requests/id-1', { authorization: '' }),
-  ];
-  for (const copy of copies) {
-    const answer = await sendRaw(port, copy);
-    t.match(answer, /^HTTP\/1.1 4[^]*"run":"may_have_run"/, copy);
-    t.match(answer, /^request-id: id-1\r$/m);
-  }
-});
+t.test(
+  'CallersListener never answers "not run" when another copy of the request may run',
+  async (t) => {
+    // Guards against work that is done twice: a caller sends a second copy of a request while
+    // the first runs, the copy is refused with "not run", and the caller sends the work again
+    // under a new ID. The refusal took only its own copy into account.
+    const limits = { maxBodyBytes: 200, requestTimeoutMs: 300, headerTimeoutMs: 200 };
+    const { port } = await startFixture(t, limits);
+    const own = { 'request-id': 'id-1' };
+    const copies = [
+      formatChat({ ...own, authorization: '' }),
+      formatChat({ ...own, 'content-length': '201' }),
+      formatChat({ ...own, 'request-deadline-ms': 'x' }),
+      formatChat({ ...own, host: '' }),
+      formatRequest(CHAT, own, '{'),
+      formatRequest(CHAT, { ...own, 'content-length': '9' }),
+      formatRequest('GET /v1/requests/id-1', { authorization: '' }),
+    ];
+    for (const copy of copies) {
+      const answer = await sendRaw(port, copy);
+      t.match(answer, /^HTTP\/1.1 4[^]*"run":"may_have_run"/, copy);
+      t.match(answer, /^request-id: id-1\r$/m);
+    }
+  },
+);
--- a/src/adapters/callers_http/callers_listener_tls_test.ts
+++ b/src/adapters/callers_http/callers_listener_tls_test.ts
@@ -4,7 +4,7 @@
 import { text } from 'node:stream/consumers';
 import { API_KEY, formatChat, sendRaw, startFixture } from './_test_fixture.js';
 
-/** Made for this test alone: an EC key, self-signed for 127.0.0.1 until 2126. */
+/** Self-signed certificate of an EC key for this test only, for 127.0.0.1, valid until 2126. */
 const CERTIFICATE = `-----BEGIN CERTIFICATE-----
 MIIBkDCCATagAwIBAgIUBatKL3nKvCWEftq7fMUGl57N970wCgYIKoZIzj0EAwIw
 FDESMBAGA1UEAwwJbG9jYWxob3N0MCAXDTI2MTIwMjE3NTcwN1oYDzIxMjYxMTA4
@@ -25,11 +25,14 @@
 -----END PRIVATE KEY-----
 `;
 
-t.test('CallersListener serves by https, and harms nobody for a broken handshake', async (t) => {
-  const { port, url } = await startFixture(t, {}, { certificate: CERTIFICATE, key: KEY });
-  t.equal(await sendRaw(port, formatChat()), '', 'plain HTTP gets no answer here');
-  const headers = { authorization: `Bearer ${API_KEY}` };
-  const sent = request(`${url}/v1/models`, { ca: CERTIFICATE, headers, agent: false }).end();
-  const [response] = await once(sent, 'response');
-  t.match(await text(response), /monsoon-draft/);
-});
+t.test(
+  'CallersListener serves HTTPS, and a failed handshake affects no other caller',
+  async (t) => {
+    const { port, url } = await startFixture(t, {}, { certificate: CERTIFICATE, key: KEY });
+    t.equal(await sendRaw(port, formatChat()), '', 'plain HTTP gets no answer');
+    const headers = { authorization: `Bearer ${API_KEY}` };
+    const sent = request(`${url}/v1/models`, { ca: CERTIFICATE, headers, agent: false }).end();
+    const [response] = await once(sent, 'response');
+    t.match(await text(response), /monsoon-draft/);
+  },
+);
--- a/src/adapters/callers_http/mod.ts
+++ b/src/adapters/callers_http/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' listener: the OpenAI-compatible protocol, request IDs, and plain
- * services, over http or https. Use it as
+ * The callers' listener: the OpenAI-compatible API, request IDs and calls to other services,
+ * over HTTP or HTTPS. Use it as
  * `await new CallersListener({ gateway, log, metrics, tracer, clock, limits }).start(host, port)`.
  *
  * @module
--- a/src/adapters/direct_http/_backend_agent.ts
+++ b/src/adapters/direct_http/_backend_agent.ts
@@ -1,5 +1,5 @@
 /**
- * Connections to backend servers, kept for more requests.
+ * Pool of keep-alive connections to backend servers.
  *
  * @module
  */
@@ -7,65 +7,65 @@
 import type { ClientRequest, RequestOptions } from 'node:http';
 import type { Socket } from 'node:net';
 
-/** How long a quiet connection is kept where the server says nothing of it, in milliseconds. */
-const DEFAULT_IDLE_MS = 4_000;
+/** Idle timeout of a connection whose server states none, in milliseconds. */
+const DEFAULT_IDLE_TIMEOUT_MS = 4_000;
 
 /**
- * Part of the server's idle time that is used. A request that is written while the
- * server closes the connection meets a reset, and nobody can tell whether it ran.
+ * Fraction of the server's idle timeout after which the connection is closed. A request
+ * that is written while the server closes the connection is reset, and it is unknown
+ * whether it ran.
  */
-const USED_IDLE_PART = 0.6;
+const USED_IDLE_FRACTION = 0.6;
 
-/** Keeps what one connection's last answer said. */
-interface KeptSocket extends Socket {
-  idleMs?: number;
-  dirtyListener?: () => void;
+/** A pooled connection, with the idle timeout that its server stated last. */
+interface PooledSocket extends Socket {
+  idleLimitMs?: number;
+  strayDataListener?: () => void;
 }
 
-/** Options of a request, with the life of the backend server that it is for. */
-export interface LifeOptions extends RequestOptions {
-  readonly lifeId?: string;
+/** Options of a request to one incarnation of a backend server. */
+export interface IncarnationOptions extends RequestOptions {
+  readonly incarnationId?: string;
 }
 
 /**
- * Reuses the connection that was quiet for the shortest time, and none on which
- * anything came while no request was under way: those bytes would be taken for the
- * head of the next request's answer.
+ * Reuses the most recently used idle connection. A connection that receives bytes while it
+ * is idle is destroyed, since these would be read as the head of the next request's answer.
  */
 export class BackendAgent extends Agent {
-  /** @param maxSockets - most connections to one address */
+  /** @param maxSockets - most connections per address and incarnation */
   constructor(maxSockets: number) {
     super({ keepAlive: true, maxSockets, scheduling: 'lifo' });
   }
 
-  /** @param socket - a connection. @param idleMs - the idle time that its server has stated */
-  static setIdle(socket: Socket, idleMs: number): void {
-    const kept: KeptSocket = socket;
-    kept.idleMs = idleMs * USED_IDLE_PART;
+  /** @param socket - a connection. @param idleTimeoutMs - idle timeout that its server stated */
+  static setIdleTimeout(socket: Socket, idleTimeoutMs: number): void {
+    const pooled: PooledSocket = socket;
+    pooled.idleLimitMs = idleTimeoutMs * USED_IDLE_FRACTION;
   }
 
   /**
-   * Called by Node for each request: connections with the same name serve the same
-   * requests. Those to a former life of a server at the same address may be dead without
-   * a sign, and a request that is written there may be taken for one that has run.
+   * Called by Node for each request; requests share the connections of the same name. A
+   * connection to a former incarnation of a server at the same address may be dead without
+   * a sign, and a request that is written to it would count as one that may have run.
    */
-  override getName(options: LifeOptions = {}): string {
-    return `${super.getName(options)}:${options.lifeId ?? ''}`;
+  override getName(options: IncarnationOptions = {}): string {
+    return `${super.getName(options)}:${options.incarnationId ?? ''}`;
   }
 
-  /** Called by Node when an answer is whole. */
-  override keepSocketAlive(socket: KeptSocket): boolean {
-    const kept = socket;
-    super.keepSocketAlive(kept);
-    kept.dirtyListener = () => kept.destroy();
-    kept.on('data', kept.dirtyListener);
-    kept.setTimeout(kept.idleMs ?? DEFAULT_IDLE_MS);
+  /** Called by Node when an answer is complete. */
+  override keepSocketAlive(socket: PooledSocket): boolean {
+    const pooled = socket;
+    super.keepSocketAlive(pooled);
+    pooled.strayDataListener = () => pooled.destroy();
+    pooled.on('data', pooled.strayDataListener);
+    pooled.setTimeout(pooled.idleLimitMs ?? DEFAULT_IDLE_TIMEOUT_MS);
     return true;
   }
 
-  /** Called by Node when a kept connection is given to the next request. */
-  override reuseSocket(socket: KeptSocket, request: ClientRequest): void {
-    if (socket.dirtyListener) socket.off('data', socket.dirtyListener);
+  /** Called by Node when an idle connection is assigned to the next request. */
+  override reuseSocket(socket: PooledSocket, request: ClientRequest): void {
+    if (socket.strayDataListener) socket.off('data', socket.strayDataListener);
     socket.setTimeout(0);
     super.reuseSocket(socket, request);
   }
--- a/src/adapters/direct_http/_backend_call.ts
+++ b/src/adapters/direct_http/_backend_call.ts
@@ -1,5 +1,5 @@
 /**
- * One request to a backend server over Node's `http`.
+ * Sends one request to a backend server over Node's `http`.
  *
  * @module
  */
@@ -10,23 +10,23 @@
 import { BackendFailure } from '../../ports/mod.js';
 import type { BackendExchange, BackendListener, BackendRequest } from '../../ports/mod.js';
 import { BackendAgent } from './_backend_agent.js';
-import type { LifeOptions } from './_backend_agent.js';
+import type { IncarnationOptions } from './_backend_agent.js';
 import { pickRawHeaders } from './_raw_headers.js';
-import type { AnswerFacts, DirectDialect } from './direct_dialect.js';
+import type { AnswerInfo, DirectDialect } from './direct_dialect.js';
 
 /**
- * Longest time to open a connection, in milliseconds. Within a region it takes a
- * few; a server that has lost power never answers.
+ * Longest time to open a connection, in milliseconds. Within a region this takes a few
+ * milliseconds; a server that has lost power never responds.
  */
 const CONNECT_TIMEOUT_MS = 400;
 
-/** Errors of a connection that its other end has closed or reset. */
-const CLOSED_CODES: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE']);
+/** Error codes of a connection that the server has closed or reset. */
+const CONNECTION_LOST_CODES: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE']);
 
 const NO_HEADERS: ReadonlySet<string> = new Set();
 const LENGTH_HEADERS: ReadonlySet<string> = new Set(['content-length']);
 
-/** What a call needs. */
+/** Options of {@link BackendCall}. */
 export interface BackendCallOptions {
   readonly agent: BackendAgent;
   readonly dialect: DirectDialect;
@@ -34,7 +34,7 @@
   readonly listener: BackendListener;
 }
 
-/** Sends the request and checks each part of what comes back. */
+/** Sends a request, and checks each part of its answer before passing it to the listener. */
 export class BackendCall implements BackendExchange {
   readonly #options: BackendCallOptions;
 
@@ -44,19 +44,19 @@
 
   #isConnected = false;
 
-  #hasEnded = false;
+  #isSettled = false;
 
-  /** Whether an answer that ends with its connection ended by a reset; asked once that is known. */
-  #endProbe: Promise<boolean> | undefined;
+  /** Resolves with whether an unframed answer ended by a reset; set when its connection ends. */
+  #resetProbe: Promise<boolean> | undefined;
 
   #connectTimer: NodeJS.Timeout | undefined;
 
-  /** @param options - the request, and who is told of its answer */
+  /** @param options - the request, and the listener for its answer */
   constructor(options: BackendCallOptions) {
     this.#options = options;
     const { agent, request } = options;
     const [host, port] = request.address.split(':');
-    const target: LifeOptions = {
+    const target: IncarnationOptions = {
       agent,
       host,
       port: Number(port),
@@ -64,7 +64,7 @@
       path: request.request.target,
       headers: this.#buildHeaders(),
       setHost: false,
-      lifeId: request.lifeId,
+      incarnationId: request.lifeId,
     };
     this.#request = openRequest(target);
     this.#request.on('socket', (socket) => this.#watchSocket(socket));
@@ -79,7 +79,7 @@
   }
 
   cancel(): void {
-    this.#hasEnded = true;
+    this.#isSettled = true;
     this.#stop();
   }
 
@@ -88,8 +88,8 @@
     const { body, headers, method } = request.request;
     const hasBody = body.length > 0 || !['GET', 'HEAD', 'DELETE', 'OPTIONS'].includes(method);
     const length = hasBody ? ['Content-Length', String(body.length)] : [];
-    const system = dialect.buildSystemHeaders(request);
-    return [...headers, ...system, ...length, 'Connection', 'keep-alive'];
+    const systemHeaders = dialect.buildSystemHeaders(request);
+    return [...headers, ...systemHeaders, ...length, 'Connection', 'keep-alive'];
   }
 
   #watchSocket(socket: Socket): void {
@@ -108,117 +108,120 @@
 
   #handleResponse(response: IncomingMessage): void {
     this.#response = response;
-    if (this.#hasEnded) return;
+    if (this.#isSettled) return;
     response.on('error', () => undefined);
     const { dialect, listener } = this.#options;
     const status = response.statusCode ?? 0;
-    const facts = dialect.readAnswer(status, response.headers);
-    if (!this.#checkFacts(facts, status)) return;
-    this.#noteIdleTime(response);
+    const info = dialect.readAnswer(status, response.headers);
+    if (!this.#checkAnswer(info, status)) return;
+    this.#recordIdleTimeout(response);
     const excluded = response.headers['transfer-encoding'] ? NO_HEADERS : LENGTH_HEADERS;
     listener.onHead({
       status,
       headers: pickRawHeaders(response.rawHeaders, response.headers.connection, excluded),
-      isAuthentic: facts.isAuthentic,
+      isAuthentic: info.isAuthentic,
       isEventStream: response.headers['content-type']?.startsWith('text/event-stream') === true,
       isFramed: isFramed(response.headers),
-      load: facts.load,
+      load: info.load,
     });
     response.on('data', (bytes: Buffer) => {
-      if (!this.#hasEnded) listener.onBody(bytes);
+      if (!this.#isSettled) listener.onBody(bytes);
     });
     if (!isFramed(response.headers)) this.#watchUnframedEnd();
     response.on('end', () => this.#handleEnd());
   }
 
   /**
-   * An answer without a length is whole when its connection was closed, and not when
-   * it was reset. A reset that arrives together with the last bytes is reported as a
-   * plain end by the event loop; a write tells the two apart, since it fails on a
-   * connection that was reset. An empty line before a request means nothing to a
-   * server, which by then reads no more anyway. The write has to come before Node
-   * closes its own side, so this listener goes first.
+   * An answer without a length is complete if its connection was closed, and incomplete if
+   * it was reset. The event loop reports a reset that arrives together with the last bytes
+   * as a normal end. A write tells the two apart, since it fails on a connection that was
+   * reset. It sends an empty line, which servers ignore before a request; after the end they
+   * read no more anyway. The write must precede Node's closing of its own side, so this
+   * listener is prepended.
    */
   #watchUnframedEnd(): void {
     const { socket } = this.#request;
     if (!socket) return;
     socket.prependOnceListener('end', () => {
-      this.#endProbe = new Promise((resolve) => {
+      this.#resetProbe = new Promise((resolve) => {
         socket.write('\r\n', (error) => resolve(error instanceof Error));
       });
     });
   }
 
-  /** An answer that belongs to another request must never reach this one's caller. */
-  #checkFacts(facts: AnswerFacts, status: number): boolean {
+  /** Checks that the answer belongs to this request; fails the call otherwise. */
+  #checkAnswer(info: AnswerInfo, status: number): boolean {
     const { requestId } = this.#options.request.request;
-    if (facts.requestId !== undefined && facts.requestId !== requestId) {
-      this.#fail(BackendFailure.Broken, `answer of request ${facts.requestId}`);
-    } else if (facts.isMisdirected) {
-      this.#fail(BackendFailure.Misdirected, 'another life answers at this address');
-    } else if (facts.hasNotRun) {
-      this.#decline(status);
-    } else if (facts.requestId === undefined) {
+    if (info.requestId !== undefined && info.requestId !== requestId) {
+      this.#fail(BackendFailure.Broken, `answer belongs to request ${info.requestId}`);
+    } else if (info.isMisdirected) {
+      this.#fail(BackendFailure.Misdirected, 'another incarnation answers at this address');
+    } else if (info.hasNotRun) {
+      this.#handleDecline(status);
+    } else if (info.requestId === undefined) {
       this.#fail(BackendFailure.Broken, 'answer without a request ID');
-    } else if (status < 300 && !facts.isAuthentic) {
-      this.#fail(BackendFailure.Broken, 'success without the mark of its server');
+    } else if (status < 300 && !info.isAuthentic) {
+      this.#fail(BackendFailure.Broken, 'successful answer without proof of its server');
     } else return true;
     return false;
   }
 
-  /** Reads the rest, so that the connection can be kept: a full server declines often. */
-  #decline(status: number): void {
+  /** Drains the body so that the connection can be reused: a full server declines often. */
+  #handleDecline(status: number): void {
     const response = this.#response as IncomingMessage;
-    this.#noteIdleTime(response);
+    this.#recordIdleTimeout(response);
     response.resume();
-    this.#hasEnded = true;
-    this.#options.listener.onFailure(BackendFailure.Declined, `declined with ${status}`);
+    this.#isSettled = true;
+    this.#options.listener.onFailure(BackendFailure.Declined, `declined with status ${status}`);
   }
 
-  #noteIdleTime(response: IncomingMessage): void {
+  #recordIdleTimeout(response: IncomingMessage): void {
     const hint = /timeout=(\d+)/.exec(String(response.headers['keep-alive'] ?? ''))?.[1];
     const { socket } = this.#request;
-    if (hint && socket) BackendAgent.setIdle(socket, Number(hint) * 1_000);
+    if (hint && socket) BackendAgent.setIdleTimeout(socket, Number(hint) * 1_000);
   }
 
   #handleEnd(): void {
-    if (this.#hasEnded) return;
+    if (this.#isSettled) return;
     if (this.#response?.complete !== true) {
       this.#fail(BackendFailure.Lost, 'answer broke off');
       return;
     }
-    if (this.#endProbe) {
-      this.#endProbe.then(
-        (wasReset) => this.#endUnframed(wasReset),
-        () => this.#endUnframed(true),
+    if (this.#resetProbe) {
+      this.#resetProbe.then(
+        (wasReset) => this.#finishUnframed(wasReset),
+        () => this.#finishUnframed(true),
       );
       return;
     }
-    this.#hasEnded = true;
-    // A server that answers before it has the whole request waits for the rest of it.
+    this.#isSettled = true;
+    // A server that answers before it has read the whole request still waits for the rest.
     if (!this.#request.writableFinished) this.#request.destroy();
     this.#options.listener.onWhole();
   }
 
-  #endUnframed(wasReset: boolean): void {
-    if (this.#hasEnded) return;
+  #finishUnframed(wasReset: boolean): void {
+    if (this.#isSettled) return;
     if (wasReset) {
-      this.#fail(BackendFailure.Lost, 'answer without a length was reset');
+      this.#fail(
+        BackendFailure.Lost,
+        'connection was reset at the end of an answer without a length',
+      );
       return;
     }
-    this.#hasEnded = true;
+    this.#isSettled = true;
     this.#options.listener.onWhole();
   }
 
   #handleError(error: NodeJS.ErrnoException): void {
-    // What is wrong behind a whole answer costs the connection and not the answer.
+    // An error after a complete answer affects the connection but not the answer.
     if (this.#response?.complete === true) return;
-    this.#fail(this.#deriveFailure(error), error.message || 'connection failed');
+    this.#fail(this.#classifyError(error), error.message || 'connection failed');
   }
 
-  #deriveFailure({ code }: NodeJS.ErrnoException): BackendFailure {
+  #classifyError({ code }: NodeJS.ErrnoException): BackendFailure {
     if (!this.#isConnected) return BackendFailure.NotSent;
-    return code !== undefined && CLOSED_CODES.has(code)
+    return code !== undefined && CONNECTION_LOST_CODES.has(code)
       ? BackendFailure.Lost
       : BackendFailure.Broken;
   }
@@ -230,8 +233,8 @@
   }
 
   #fail(failure: BackendFailure, reason: string): void {
-    if (this.#hasEnded) return;
-    this.#hasEnded = true;
+    if (this.#isSettled) return;
+    this.#isSettled = true;
     this.#stop();
     this.#options.listener.onFailure(failure, reason);
   }
--- a/src/adapters/direct_http/_node_reply.ts
+++ b/src/adapters/direct_http/_node_reply.ts
@@ -1,5 +1,5 @@
 /**
- * The way back to a caller over Node's `http`.
+ * Writes answers to callers over Node's `http`.
  *
  * @module
  */
@@ -11,41 +11,41 @@
 import type { DirectDialect } from './direct_dialect.js';
 
 /**
- * Most bytes of an answer that wait for a caller to read them. A caller that
- * stops reading would otherwise fill the memory of the entry host.
+ * Most bytes of an answer that are buffered for a caller, here 4 MiB. A caller that stops
+ * reading would otherwise fill the memory of the entry host.
  */
-const MAX_WAITING_BYTES = 4_194_304;
+const MAX_BUFFERED_BYTES = 4_194_304;
 
-/** What a reply needs. */
+/** Options of {@link NodeReply}. */
 export interface NodeReplyOptions {
   readonly response: ServerResponse;
   readonly dialect: DirectDialect;
   readonly requestId: string | undefined;
-  /** Whether the connection must be closed behind this answer. */
+  /** Whether the connection must be closed after this answer. */
   readonly mustClose: () => boolean;
 }
 
-/** Writes one answer; after the caller has left every call is harmless. */
+/** Writes one answer; once the caller has disconnected, writes have no effect. */
 export class NodeReply extends DirectReply {
   readonly #options: NodeReplyOptions;
 
-  #isGone = false;
+  #isDisconnected = false;
 
   #hasEnded = false;
 
-  #handler: (() => void) | undefined;
+  #disconnectHandler: (() => void) | undefined;
 
-  /** @param options - what the reply needs */
+  /** @param options - the response to write to, and its properties */
   constructor(options: NodeReplyOptions) {
     super();
     this.#options = options;
     options.response.on('close', () => this.#handleClose());
-    // A caller that resets its connection is seen by its close.
+    // A reset by the caller also emits 'close', which is handled above.
     options.response.on('error', () => undefined);
   }
 
   override get isGone(): boolean {
-    return this.#isGone;
+    return this.#isDisconnected;
   }
 
   override get hasBegun(): boolean {
@@ -53,14 +53,14 @@
   }
 
   override onGone(handler: () => void): void {
-    this.#handler = handler;
-    if (this.#isGone) handler();
+    this.#disconnectHandler = handler;
+    if (this.#isDisconnected) handler();
   }
 
   override writeHead({ status, headers }: DirectHead): void {
     const { response } = this.#options;
-    if (this.#isGone) return;
-    // `Date` is set by the backend server, or by nobody.
+    if (this.#isDisconnected) return;
+    // The `Date` header, if any, comes from the backend server.
     response.sendDate = false;
     response.writeHead(status, this.#buildHeaders(headers));
     response.flushHeaders();
@@ -68,20 +68,20 @@
 
   override write(bytes: Buffer): void {
     const { response } = this.#options;
-    if (this.#isGone || bytes.length === 0) return;
+    if (this.#isDisconnected || bytes.length === 0) return;
     response.write(bytes);
-    if (response.writableLength > MAX_WAITING_BYTES) this.abort();
+    if (response.writableLength > MAX_BUFFERED_BYTES) this.abort();
   }
 
   override end(): void {
-    if (this.#isGone) return;
+    if (this.#isDisconnected) return;
     this.#hasEnded = true;
     this.#options.response.end();
   }
 
   override sendWhole({ status, headers }: DirectHead, body: Buffer): void {
     const { response } = this.#options;
-    if (this.#isGone) return;
+    if (this.#isDisconnected) return;
     this.#hasEnded = true;
     response.sendDate = false;
     const length = ['Content-Length', String(body.length)];
@@ -109,8 +109,8 @@
   }
 
   #handleClose(): void {
-    if (this.#isGone) return;
-    this.#isGone = true;
-    if (!this.#hasEnded) this.#handler?.();
+    if (this.#isDisconnected) return;
+    this.#isDisconnected = true;
+    if (!this.#hasEnded) this.#disconnectHandler?.();
   }
 }
--- a/src/adapters/direct_http/_raw_headers.ts
+++ b/src/adapters/direct_http/_raw_headers.ts
@@ -1,5 +1,5 @@
 /**
- * Headers as they came, without those of one connection.
+ * Filters raw headers for forwarding.
  *
  * @module
  */
@@ -7,24 +7,28 @@
 import type { RawHeaders } from '../../ports/mod.js';
 
 /**
- * Picks the headers that go on, in their order and spelling.
+ * Returns the headers that are forwarded, in their original order and spelling.
  *
- * @param rawHeaders - names and values by turns
- * @param connection - value of the `Connection` header, which may name more headers
- * @param excluded - lower-case names that are left out besides
- * @returns names and values by turns
+ * @param rawHeaders - alternating names and values
+ * @param connection - value of the `Connection` header, which may name more hop-by-hop headers
+ * @param excluded - lower-case names of further headers that are not forwarded
+ * @returns alternating names and values
  */
 export function pickRawHeaders(
   rawHeaders: RawHeaders,
   connection: string | undefined,
   excluded: ReadonlySet<string>,
 ): string[] {
-  const named = connection?.toLowerCase().split(/[\s,]+/) ?? [];
+  const connectionHeaders = connection?.toLowerCase().split(/[\s,]+/) ?? [];
   const kept: string[] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     const name = rawHeaders[index] as string;
-    const lower = name.toLowerCase();
-    if (!HOP_BY_HOP_HEADERS.has(lower) && !excluded.has(lower) && !named.includes(lower)) {
+    const lowerCaseName = name.toLowerCase();
+    if (
+      !HOP_BY_HOP_HEADERS.has(lowerCaseName) &&
+      !excluded.has(lowerCaseName) &&
+      !connectionHeaders.includes(lowerCaseName)
+    ) {
       kept.push(name, rawHeaders[index + 1] as string);
     }
   }
--- a/src/adapters/direct_http/_test_servers.ts
+++ b/src/adapters/direct_http/_test_servers.ts
@@ -1,5 +1,5 @@
 /**
- * Raw backend servers and a plain dialect for tests of this folder.
+ * Raw TCP backend servers and a minimal dialect for the tests of this folder.
  *
  * @module
  */
@@ -14,13 +14,13 @@
   DirectRequest,
 } from '../../ports/mod.js';
 import { DirectDialect } from './direct_dialect.js';
-import type { AnswerFacts, CallFacts } from './direct_dialect.js';
+import type { AnswerInfo, CallInfo } from './direct_dialect.js';
 
-/** Names that no outside system uses. */
+/** A dialect with header names that no real system uses. */
 export class TestDialect extends DirectDialect {
-  override readonly ownHeaders = new Set(['x-meant-for', 'x-time-left']);
+  override readonly reservedHeaders = new Set(['x-meant-for', 'x-time-left']);
 
-  override readCall(headers: IncomingHttpHeaders): CallFacts {
+  override readCall(headers: IncomingHttpHeaders): CallInfo {
     return {
       requestId: headers['x-id'] as string | undefined,
       key: headers.authorization,
@@ -35,7 +35,7 @@
     return ['X-Meant-For', serverId, 'X-Time-Left', String(deadlineMs)];
   }
 
-  override readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts {
+  override readAnswer(status: number, headers: IncomingHttpHeaders): AnswerInfo {
     return {
       requestId: headers['x-id'] as string | undefined,
       isAuthentic: headers['x-mark'] !== undefined,
@@ -50,38 +50,40 @@
   }
 }
 
-/** A server that answers the n-th request of a connection by a script. */
+/** A server that answers requests with scripted bytes. */
 export interface RawServer {
   readonly address: string;
-  readonly connectionCount: () => number;
-  /** Settled when the first connection has been closed by its other end. */
+  readonly countConnections: () => number;
+  /** Resolves once the first connection is closed. */
   readonly firstClosed: Promise<void>;
   readonly close: () => void;
 }
 
 /**
- * @param serve - called with each request's number, over all connections
+ * Starts a server on a free port of the loopback interface.
+ *
+ * @param serve - handles each request; receives its number, counted over all connections
  * @returns the server
  */
 export async function startRawServer(
   serve: (socket: Socket, request: number) => void,
 ): Promise<RawServer> {
-  let connections = 0;
-  let requests = 0;
+  let connectionCount = 0;
+  let requestCount = 0;
   const sockets = new Set<Socket>();
-  let noteClosed = (): void => undefined;
+  let resolveFirstClosed = (): void => undefined;
   const firstClosed = new Promise<void>((resolve) => {
-    noteClosed = resolve;
+    resolveFirstClosed = resolve;
   });
   const server: Server = createServer((socket) => {
-    connections += 1;
+    connectionCount += 1;
     sockets.add(socket);
     socket.on('error', () => undefined);
-    socket.on('close', noteClosed);
+    socket.on('close', resolveFirstClosed);
     socket.on('data', (data) => {
       if (!data.toString('latin1').includes('HTTP/1.1')) return;
-      requests += 1;
-      serve(socket, requests);
+      requestCount += 1;
+      serve(socket, requestCount);
     });
   });
   await new Promise<void>((resolve) => {
@@ -90,7 +92,7 @@
   const { port } = server.address() as AddressInfo;
   return {
     address: `127.0.0.1:${port}`,
-    connectionCount: () => connections,
+    countConnections: () => connectionCount,
     firstClosed,
     close: () => {
       sockets.forEach((socket) => socket.destroy());
@@ -99,21 +101,23 @@
   };
 }
 
-/** What became of a request. */
-export interface Seen {
+/** Result of an exchange, as its listener received it. */
+export interface ExchangeResult {
   readonly head: BackendHead | undefined;
   readonly body: string;
   readonly failure: BackendFailure | undefined;
 }
 
-/** Collects what a listener is told. */
-export function collect(send: (listener: BackendListener) => unknown): Promise<Seen> {
+/** Sends a request with a listener that collects the result. */
+export function collectResult(
+  send: (listener: BackendListener) => unknown,
+): Promise<ExchangeResult> {
   return new Promise((resolve) => {
     let head: BackendHead | undefined;
     let body = '';
     send({
-      onHead: (told) => {
-        head = told;
+      onHead: (received) => {
+        head = received;
       },
       onBody: (bytes) => {
         body += bytes.toString('latin1');
--- a/src/adapters/direct_http/direct_backend_http.ts
+++ b/src/adapters/direct_http/direct_backend_http.ts
@@ -1,5 +1,5 @@
 /**
- * Sends calls to backend servers over Node's `http`.
+ * HTTP client for calls to backend servers.
  *
  * @module
  */
@@ -10,18 +10,18 @@
 import type { DirectDialect } from './direct_dialect.js';
 
 /**
- * Most connections of one entry host to one backend server. Servers accept some
- * hundred from all entry hosts together and run about ten requests at once.
+ * Most connections of one entry host to one backend server. A server accepts a few hundred
+ * connections from all entry hosts together, and runs about ten requests at once.
  */
-const MAX_CONNECTIONS = 24;
+const MAX_CONNECTIONS_PER_SERVER = 24;
 
-/** Keeps connections to backend servers and sends requests on them. */
+/** Sends requests to backend servers over pooled connections. */
 export class HttpDirectBackend extends DirectBackendClient {
   readonly #dialect: DirectDialect;
 
-  readonly #agent = new BackendAgent(MAX_CONNECTIONS);
+  readonly #agent = new BackendAgent(MAX_CONNECTIONS_PER_SERVER);
 
-  /** @param dialect - names of headers */
+  /** @param dialect - names and formats of the headers */
   constructor(dialect: DirectDialect) {
     super();
     this.#dialect = dialect;
--- a/src/adapters/direct_http/direct_dialect.ts
+++ b/src/adapters/direct_http/direct_dialect.ts
@@ -1,5 +1,5 @@
 /**
- * How the facts of a call are written in HTTP headers.
+ * Abstract mapping between the properties of a call and HTTP headers.
  *
  * @module
  */
@@ -8,51 +8,53 @@
 import type { SchedulerError } from '../../domain/errors/mod.js';
 import type { BackendRequest, RawHeaders, ReportedLoad } from '../../ports/mod.js';
 
-/** What a caller's headers say. */
-export interface CallFacts {
-  /** Undefined when the caller gave none. */
+/** Properties of a call, read from a caller's headers. */
+export interface CallInfo {
+  /** Undefined when the caller sent none. */
   readonly requestId: string | undefined;
   readonly key: string | undefined;
   readonly deadlineMs: number | undefined;
   readonly lastEventId: string | undefined;
   readonly work: RequestWork;
+  /** Whether the caller declared the size of the request in tokens. */
   readonly isSized: boolean;
 }
 
-/** What the head of a backend server's answer says. */
-export interface AnswerFacts {
-  /** ID of the request that it answers; undefined when it names none. */
+/** Properties of an answer, read from the head that a backend server sent. */
+export interface AnswerInfo {
+  /** ID of the request that it answers; undefined when the answer names none. */
   readonly requestId: string | undefined;
+  /** Whether the answer proves that it comes from a backend server. */
   readonly isAuthentic: boolean;
-  /** Whether the server says that it did not run the request. */
+  /** Whether the server states that it did not run the request. */
   readonly hasNotRun: boolean;
-  /** Whether another life of a backend server has answered; it did not run the request. */
+  /** Whether another incarnation of a server answered, and so did not run the request. */
   readonly isMisdirected: boolean;
   readonly load: ReportedLoad | undefined;
 }
 
-/** Names headers and reads their values; decides nothing. */
+/** Reads and builds headers; makes no decisions. */
 export abstract class DirectDialect {
-  /** Headers that a caller may not set and that are not passed on, in lower case. */
-  abstract readonly ownHeaders: ReadonlySet<string>;
+  /** Lower-case names of headers that callers may not set; they are not forwarded. */
+  abstract readonly reservedHeaders: ReadonlySet<string>;
 
-  /** @param headers - a caller's headers. @returns what they say */
-  abstract readCall(headers: IncomingHttpHeaders): CallFacts;
+  /** @param headers - a caller's headers. @returns the properties of the call */
+  abstract readCall(headers: IncomingHttpHeaders): CallInfo;
 
   /** @param request - a request to a backend server. @returns the headers that the system sets */
   abstract buildSystemHeaders(request: BackendRequest): RawHeaders;
 
   /**
-   * @param status - status of an answer
+   * @param status - status of a backend server's answer
    * @param headers - its headers
-   * @returns what they say
+   * @returns the properties of the answer
    */
-  abstract readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts;
+  abstract readAnswer(status: number, headers: IncomingHttpHeaders): AnswerInfo;
 
   /**
    * @param error - a refusal or failure
-   * @param requestId - the request's ID, where it has one
-   * @returns the headers of its answer beside type and length
+   * @param requestId - the request's ID, if it has one
+   * @returns headers of the error answer, except content type and length
    */
   abstract buildRefusalHeaders(error: SchedulerError, requestId: string | undefined): string[];
 }
--- a/src/adapters/direct_http/direct_listener.ts
+++ b/src/adapters/direct_http/direct_listener.ts
@@ -1,5 +1,5 @@
 /**
- * Takes calls in that bear their own request ID.
+ * The HTTP listener for calls that carry their own request ID.
  *
  * @module
  */
@@ -13,72 +13,72 @@
 import { pickRawHeaders } from './_raw_headers.js';
 import type { DirectDialect } from './direct_dialect.js';
 
-/** Largest header block that is parsed at all, in bytes; published limits are lower. */
+/** Largest header block that Node parses, in bytes; the limits for callers are lower. */
 const MAX_HEADER_BYTES = 65_536;
 
-/** Connections that may wait to be accepted; a full queue costs a caller seconds. */
-const BACKLOG = 1_024;
+/** Most connections that wait to be accepted; a full queue delays a caller by seconds. */
+const LISTEN_BACKLOG = 1_024;
 
-/** Framing headers; the body goes on with a length of its own. */
-const FRAMING_HEADERS = ['content-length', 'expect', 'authorization'];
+/** Headers that are not forwarded: the body gets a new length, and the key stays here. */
+const TERMINATED_HEADERS = ['content-length', 'expect', 'authorization'];
 
-/** What the listener needs. */
+/** Options of {@link DirectListener}. */
 export interface DirectListenerOptions {
   readonly dialect: DirectDialect;
-  /** Published limits, as they are now. */
+  /** Returns the limits for callers of the configuration in effect. */
   readonly getLimits: () => CallerLimits;
-  /** Whether callers should leave this entry host: connections end behind their next answer. */
+  /** Whether connections are closed after their next answer, since this entry host drains. */
   readonly mustClose: () => boolean;
-  /** Takes each call that was read whole. */
+  /** Handles a call whose body has been read completely. */
   readonly handle: (request: DirectRequest, reply: DirectReply) => void;
 }
 
-/** An HTTP listener for callers. */
+/** Listens for callers' HTTP requests, and passes each complete call to the handler. */
 export class DirectListener {
   readonly #options: DirectListenerOptions;
 
   readonly #server: Server;
 
-  readonly #excluded: ReadonlySet<string>;
+  readonly #excludedHeaders: ReadonlySet<string>;
 
-  /** @param options - what the listener needs */
+  /** @param options - the dialect, the limits and the handler */
   constructor(options: DirectListenerOptions) {
     this.#options = options;
-    this.#excluded = new Set([...FRAMING_HEADERS, ...options.dialect.ownHeaders]);
+    this.#excludedHeaders = new Set([...TERMINATED_HEADERS, ...options.dialect.reservedHeaders]);
     this.#server = createServer({ maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 });
     this.#server.on('request', (message, response) => this.#handleRequest(message, response));
     this.#server.on('connection', () => this.#applyLimits());
   }
 
   /**
-   * Listens.
+   * Starts listening.
    *
-   * @param host - IP number
-   * @param port - port; 0 lets the system choose
-   * @returns the port
+   * @param host - IP address to listen on
+   * @param port - port to listen on; 0 selects a free port
+   * @returns the port in use
    */
   start(host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject);
-      this.#server.listen({ host, port, backlog: BACKLOG }, () => {
+      this.#server.listen({ host, port, backlog: LISTEN_BACKLOG }, () => {
         this.#server.off('error', reject);
         resolve((this.#server.address() as AddressInfo).port);
       });
     });
   }
 
-  /** Closes connections on which no request is under way. */
+  /** Closes idle connections. */
   closeIdle(): void {
     this.#server.closeIdleConnections();
   }
 
-  /** Listens no more and cuts what is open. */
+  /** Stops listening and closes all connections, without waiting for open answers. */
   stop(): void {
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
-  /** Limits change with the configuration; Node reads them for each connection anew. */
+  /** Applies the current timeouts, which may change; Node reads them for each connection. */
   #applyLimits(): void {
     const limits = this.#options.getLimits();
     this.#server.headersTimeout = limits.headerTimeoutMs;
@@ -87,8 +87,8 @@
 
   #handleRequest(message: IncomingMessage, response: ServerResponse): void {
     const { dialect, mustClose } = this.#options;
-    const facts = dialect.readCall(message.headers);
-    const { requestId } = facts;
+    const info = dialect.readCall(message.headers);
+    const { requestId } = info;
     const reply = new NodeReply({ response, dialect, requestId, mustClose });
     message.on('error', () => undefined);
     this.#readBody(message, reply, (body) => {
@@ -96,7 +96,7 @@
         reply.refuse(new SchedulerError(ErrorKind.RequestIdRequired));
         return;
       }
-      this.#options.handle({ ...facts, requestId, ...this.#readTarget(message), body }, reply);
+      this.#options.handle({ ...info, requestId, ...this.#readTarget(message), body }, reply);
     });
   }
 
@@ -104,17 +104,21 @@
     message: IncomingMessage,
   ): Pick<DirectRequest, 'method' | 'target' | 'path' | 'hostName' | 'headers'> {
     const { method = 'GET', url: target = '/', headers, rawHeaders } = message;
-    const query = target.indexOf('?');
+    const queryIndex = target.indexOf('?');
     return {
       method,
       target,
-      path: query < 0 ? target : target.slice(0, query),
+      path: queryIndex < 0 ? target : target.slice(0, queryIndex),
       hostName: (headers.host ?? '').replace(/:\d+$/, '').toLowerCase(),
-      headers: pickRawHeaders(rawHeaders, headers.connection, this.#excluded),
+      headers: pickRawHeaders(rawHeaders, headers.connection, this.#excludedHeaders),
     };
   }
 
-  #readBody(message: IncomingMessage, reply: DirectReply, onWhole: (body: Buffer) => void): void {
+  #readBody(
+    message: IncomingMessage,
+    reply: DirectReply,
+    onComplete: (body: Buffer) => void,
+  ): void {
     const { maxBodyBytes } = this.#options.getLimits();
     const chunks: Buffer[] = [];
     let length = 0;
@@ -127,7 +131,7 @@
     });
     message.on('end', () => {
       if (length > maxBodyBytes || reply.isGone) return;
-      onWhole(chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks));
+      onComplete(chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks));
     });
   }
 }
--- a/src/adapters/http_common/_body_budget.ts
+++ b/src/adapters/http_common/_body_budget.ts
@@ -1,70 +1,70 @@
 /**
- * Bytes of request bodies that one listener holds.
+ * Limits the bytes of request bodies that one listener buffers.
  *
  * @module
  */
 import { ErrorKind, SchedulerError } from '../../domain/errors/mod.js';
 
-/** The part of the whole that one holder may take: a quarter. */
-const HOLDERS_SHARE = 1 / 4;
+/** Fraction of the budget that one holder may use. */
+const MAX_HOLDER_FRACTION = 1 / 4;
 
 /**
- * Bounds the bodies of all connections together. Without it, a few hundred
- * callers that each send the longest body allowed would take the memory of a
- * small host, and its process would be killed with everybody's requests. One
- * holder gets only a part, so that it can't fill the whole and shut all others out.
+ * Limits the total size of the bodies of all connections. Without this limit, a few hundred
+ * callers that each send the longest allowed body would use up the memory of a small host,
+ * and its process would be killed along with all requests. Each holder may use only a
+ * fraction, so that it can't use up the budget and shut out all others.
  */
 export class BodyBudget {
   readonly #maxBytes: number;
 
   readonly #bytesByHolder = new Map<string, number>();
 
-  #heldBytes = 0;
+  #reservedBytes = 0;
 
-  /** @param maxBytes - most bytes held at once */
+  /** @param maxBytes - most bytes buffered at once */
   constructor(maxBytes: number) {
     this.#maxBytes = maxBytes;
   }
 
-  /** Bytes held now. */
-  get heldBytes(): number {
-    return this.#heldBytes;
+  /** Bytes currently reserved. */
+  get reservedBytes(): number {
+    return this.#reservedBytes;
   }
 
   /**
-   * Takes room.
+   * Reserves bytes.
    *
-   * @param holder - such as a client account
-   * @param bytes - how much
-   * @throws SchedulerError of kind InFlightLimited when the holder's part is taken, or
-   * TooManyConnections when the whole is
+   * @param holder - whom the bytes count against, such as a client account
+   * @param bytes - number of bytes
+   * @throws SchedulerError of kind InFlightLimited when the holder would exceed its fraction,
+   * or TooManyConnections when all holders together would exceed the budget
    */
   acquire(holder: string, bytes: number): void {
-    const holdersBytes = (this.#bytesByHolder.get(holder) ?? 0) + bytes;
-    if (holdersBytes > this.#maxBytes * HOLDERS_SHARE) {
+    const holderBytes = (this.#bytesByHolder.get(holder) ?? 0) + bytes;
+    if (holderBytes > this.#maxBytes * MAX_HOLDER_FRACTION) {
       throw new SchedulerError(ErrorKind.InFlightLimited, {
-        message: "Cannot take the body: too many of the account's bodies are held already",
+        message: "Cannot accept the body: the account's buffered bodies exceed its share",
       });
     }
-    if (this.#heldBytes + bytes > this.#maxBytes) {
+    if (this.#reservedBytes + bytes > this.#maxBytes) {
       throw new SchedulerError(ErrorKind.TooManyConnections, {
-        message: 'Cannot take the body: too many bodies are held already',
+        message: 'Cannot accept the body: the buffered bodies of all accounts exceed the limit',
       });
     }
-    this.#heldBytes += bytes;
-    this.#bytesByHolder.set(holder, holdersBytes);
+    this.#reservedBytes += bytes;
+    this.#bytesByHolder.set(holder, holderBytes);
   }
 
   /**
-   * Gives room back.
+   * Releases reserved bytes.
    *
-   * @param holder - who took it
-   * @param bytes - how much
+   * @param holder - the holder that reserved them
+   * @param bytes - number of bytes
    */
   release(holder: string, bytes: number): void {
-    this.#heldBytes -= bytes;
-    const leftBytes = (this.#bytesByHolder.get(holder) ?? 0) - bytes;
-    if (leftBytes > 0) this.#bytesByHolder.set(holder, leftBytes);
+    this.#reservedBytes -= bytes;
+    const remainingBytes = (this.#bytesByHolder.get(holder) ?? 0) - bytes;
+    if (remainingBytes > 0) this.#bytesByHolder.set(holder, remainingBytes);
     else this.#bytesByHolder.delete(holder);
   }
 }
--- a/src/adapters/http_common/_body_budget_test.ts
+++ b/src/adapters/http_common/_body_budget_test.ts
@@ -6,39 +6,42 @@
 
 const MAX_BYTES = 100;
 
-t.test('BodyBudget never holds more than the whole, nor a holder more than its part', async (t) => {
+t.test('BodyBudget limits the total, and each holder to its fraction', async (t) => {
   const step = fc.record({
     holder: fc.constantFrom(...'abcdef'),
     bytes: fc.nat(30),
-    gives: fc.boolean(),
+    isRelease: fc.boolean(),
   });
   fc.assert(
     fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
       const budget = new BodyBudget(MAX_BYTES);
-      const held = new Map<string, number[]>();
-      steps.forEach(({ holder, bytes, gives }) => {
-        const taken = held.get(holder) ?? [];
-        held.set(holder, taken);
-        if (gives) {
-          const given = taken.pop();
-          if (given !== undefined) budget.release(holder, given);
+      const reserved = new Map<string, number[]>();
+      steps.forEach(({ holder, bytes, isRelease }) => {
+        const taken = reserved.get(holder) ?? [];
+        reserved.set(holder, taken);
+        if (isRelease) {
+          const released = taken.pop();
+          if (released !== undefined) budget.release(holder, released);
           return;
         }
-        const part = taken.reduce((sum, each) => sum + each, 0) + bytes;
-        const whole = budget.heldBytes + bytes;
+        const holderBytes = taken.reduce((sum, each) => sum + each, 0) + bytes;
+        const totalBytes = budget.reservedBytes + bytes;
         try {
           budget.acquire(holder, bytes);
           taken.push(bytes);
-          t.ok(part <= MAX_BYTES / 4 && whole <= MAX_BYTES);
+          t.ok(holderBytes <= MAX_BYTES / 4 && totalBytes <= MAX_BYTES);
         } catch (error) {
           const kind =
-            part > MAX_BYTES / 4 ? ErrorKind.InFlightLimited : ErrorKind.TooManyConnections;
+            holderBytes > MAX_BYTES / 4 ? ErrorKind.InFlightLimited : ErrorKind.TooManyConnections;
           t.equal((error as SchedulerError).kind, kind);
-          t.ok(part > MAX_BYTES / 4 || whole > MAX_BYTES, 'refused only for want of room');
+          t.ok(
+            holderBytes > MAX_BYTES / 4 || totalBytes > MAX_BYTES,
+            'refused only when a limit is exceeded',
+          );
         }
       });
-      held.forEach((taken, holder) => taken.forEach((bytes) => budget.release(holder, bytes)));
-      t.equal(budget.heldBytes, 0);
+      reserved.forEach((taken, holder) => taken.forEach((bytes) => budget.release(holder, bytes)));
+      t.equal(budget.reservedBytes, 0);
     }),
     { seed: 42, numRuns: 100 },
   );
--- a/src/adapters/http_common/_connection_set.ts
+++ b/src/adapters/http_common/_connection_set.ts
@@ -1,5 +1,5 @@
 /**
- * The open connections of one listener.
+ * Tracks the open connections of one listener.
  *
  * @module
  */
@@ -11,7 +11,7 @@
   readonly running: Set<ServerResponse>;
 }
 
-/** Counts connections and knows what runs on each. */
+/** Admits connections up to a limit, and tracks the open answers of each. */
 export class ConnectionSet {
   readonly #connections = new Map<Duplex, Connection>();
 
@@ -19,7 +19,7 @@
 
   #admittedCount = 0;
 
-  /** @param maxAdmitted - most connections that are served */
+  /** @param maxAdmitted - most connections whose requests are served */
   constructor(maxAdmitted: number) {
     this.#maxAdmitted = maxAdmitted;
   }
@@ -34,14 +34,14 @@
     });
   }
 
-  /** @param socket - a connection. @returns whether it is open and was added */
+  /** @param socket - a connection. @returns whether it was added and is still open */
   has(socket: Duplex): boolean {
     return this.#connections.has(socket);
   }
 
   /**
-   * Admits a connection, where there is room. One over the limit is asked again
-   * with each of its requests, so that it gets an answer and not a silent close.
+   * Admits a connection if the limit allows it. Called again for each request of a connection
+   * over the limit, which thus gets an error answer instead of being closed.
    *
    * @param socket - the connection
    * @returns whether its requests are served
@@ -57,13 +57,13 @@
   }
 
   /**
-   * Notes a request until its answer is closed.
+   * Tracks the answer to a request until it is closed.
    *
-   * @param socket - its connection
-   * @param response - its answer
+   * @param socket - the connection of the request
+   * @param response - the answer
    * @param onClosed - called when the answer is closed
    */
-  note(socket: Duplex, response: ServerResponse, onClosed: () => void): void {
+  trackAnswer(socket: Duplex, response: ServerResponse, onClosed: () => void): void {
     this.#connections.get(socket)?.running.add(response);
     response.once('close', () => {
       this.#connections.get(socket)?.running.delete(response);
@@ -71,20 +71,20 @@
     });
   }
 
-  /** @param socket - a connection. @returns its answers that are not closed yet, oldest first */
-  listRunning(socket: Duplex): readonly ServerResponse[] {
+  /** @param socket - a connection. @returns its open answers, oldest first */
+  listOpenAnswers(socket: Duplex): readonly ServerResponse[] {
     return [...(this.#connections.get(socket)?.running ?? [])];
   }
 
-  /** Destroys connections that carry no request. */
-  closeWithoutRequest(): void {
+  /** Destroys connections without an open answer. */
+  closeIdle(): void {
     this.#connections.forEach(({ running }, socket) => {
       if (running.size === 0) socket.destroy();
     });
   }
 
-  /** Destroys connections on which no whole request has arrived. */
-  closeWithoutWholeRequest(): void {
+  /** Destroys connections on which no complete request has arrived. */
+  closeWithoutCompleteRequest(): void {
     this.#connections.forEach(({ running }, socket) => {
       if (![...running].some((response) => response.req.complete)) socket.destroy();
     });
--- a/src/adapters/http_common/_raw_answer.ts
+++ b/src/adapters/http_common/_raw_answer.ts
@@ -1,5 +1,5 @@
 /**
- * Error answers on connections whose request never got as far as a handler.
+ * Sends error answers on connections whose request reached no handler.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { buildErrorBody, ErrorKind, SchedulerError } from '../../domain/errors/mod.js';
 import { buildErrorHeaders } from './error_answer.js';
 
-/** How long the connection stays open for the answer to be read. */
+/** Time that the connection stays open so that the caller can read the answer. */
 const LINGER_MS = 250;
 
 const KIND_BY_PARSER_CODE: Readonly<Record<string, ErrorKind>> = {
@@ -18,24 +18,24 @@
 };
 
 /**
- * Makes an error of the closed list out of an error of the HTTP parser.
+ * Converts an error of Node's HTTP parser to a refusal.
  *
- * @param error - what the parser raised
+ * @param error - error that the parser reported
  * @returns the refusal
  */
 export function toParserRefusal(error: NodeJS.ErrnoException): SchedulerError {
   const kind = KIND_BY_PARSER_CODE[error.code ?? ''] ?? ErrorKind.MalformedRequest;
   return new SchedulerError(kind, {
-    message: `Cannot take the request: ${kind.replaceAll('_', ' ')}`,
+    message: `Cannot accept the request: ${kind.replaceAll('_', ' ')}`,
     cause: error,
   });
 }
 
 /**
- * Writes an error onto a bare connection and closes it.
+ * Writes an error answer to a raw connection and closes it.
  *
  * @param socket - the connection
- * @param refusal - the error
+ * @param refusal - the error to send
  */
 export function closeWithRefusal(socket: Duplex, refusal: SchedulerError): void {
   if (!socket.writable) {
--- a/src/adapters/http_common/_request_body.ts
+++ b/src/adapters/http_common/_request_body.ts
@@ -1,5 +1,5 @@
 /**
- * Bounded reading of a request's body, and bounded discarding of a refused one.
+ * Reads request bodies, and discards those of refused requests, up to a limit.
  *
  * @module
  */
@@ -7,28 +7,29 @@
 import { ErrorKind, SchedulerError } from '../../domain/errors/mod.js';
 import { toSchedulerError } from './error_answer.js';
 
-/** How long a connection whose body was too long stays open for its answer to be read. */
+/** Time that a connection with a too long body stays open so that its answer can be read. */
 const LINGER_MS = 250;
 
 /**
- * Checks the length that a request announces.
+ * Checks the `Content-Length` of a request.
  *
  * @param request - the request
- * @param maxBytes - longest body allowed
+ * @param maxBytes - longest allowed body
  * @throws SchedulerError of kind BodyTooLarge
  */
-export function checkAnnouncedLength(request: IncomingMessage, maxBytes: number): void {
-  if (Number(request.headers['content-length'] ?? 0) > maxBytes) throw refuseLength(maxBytes);
+export function checkDeclaredLength(request: IncomingMessage, maxBytes: number): void {
+  if (Number(request.headers['content-length'] ?? 0) > maxBytes)
+    throw createTooLargeError(maxBytes);
 }
 
 /**
  * Reads a request's body.
  *
  * @param request - the request
- * @param maxBytes - longest body allowed
- * @param onBytes - called before each piece is kept; it may throw
+ * @param maxBytes - longest allowed body
+ * @param onBytes - called before each chunk is buffered; may throw to reject the body
  * @returns the body
- * @throws SchedulerError of kind BodyTooLarge, or Cancelled when the caller went midway
+ * @throws SchedulerError of kind BodyTooLarge, or Cancelled when the caller disconnects meanwhile
  */
 export function readRequestBody(
   request: IncomingMessage,
@@ -36,48 +37,48 @@
   onBytes: (bytes: number) => void,
 ): Promise<Buffer> {
   return new Promise((resolve, reject) => {
-    const pieces: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let length = 0;
-    const onData = (piece: Buffer): void => {
-      length += piece.length;
+    const onData = (chunk: Buffer): void => {
+      length += chunk.length;
       try {
-        if (length > maxBytes) throw refuseLength(maxBytes);
-        onBytes(piece.length);
-        pieces.push(piece);
+        if (length > maxBytes) throw createTooLargeError(maxBytes);
+        onBytes(chunk.length);
+        chunks.push(chunk);
       } catch (error) {
         request.off('data', onData);
         reject(toSchedulerError(error));
       }
     };
     request.on('data', onData);
-    request.once('end', () => resolve(Buffer.concat(pieces, length)));
+    request.once('end', () => resolve(Buffer.concat(chunks, length)));
     request.once('close', () => reject(new SchedulerError(ErrorKind.Cancelled)));
   });
 }
 
 /**
- * Throws the rest of a refused body away. A connection that is closed while
- * bytes are still arriving is reset by the kernel, and the reset overtakes the
- * answer: the caller would see a broken connection in place of the refusal. So
- * a little is read; who sends more is cut off after a moment.
+ * Discards the rest of a refused body. The kernel resets a connection that is closed while
+ * bytes are still arriving, and the reset overtakes the answer: the caller would see a
+ * connection error in place of the refusal. So a limited number of bytes is read, and the
+ * connection of a caller that sends more is closed after a short time.
  *
  * @param request - the refused request
- * @param maxBytes - how much to read at most
+ * @param maxBytes - most bytes to read
  */
 export function drainRequestBody(request: IncomingMessage, maxBytes: number): void {
   if (request.complete && request.readableEnded) return;
-  let leftBytes = maxBytes;
-  request.on('data', (piece: Buffer) => {
-    leftBytes -= piece.length;
-    if (leftBytes >= 0 || request.isPaused()) return;
+  let remainingBytes = maxBytes;
+  request.on('data', (chunk: Buffer) => {
+    remainingBytes -= chunk.length;
+    if (remainingBytes >= 0 || request.isPaused()) return;
     request.pause();
     setTimeout(() => request.socket.destroy(), LINGER_MS).unref();
   });
   request.resume();
 }
 
-function refuseLength(maxBytes: number): SchedulerError {
+function createTooLargeError(maxBytes: number): SchedulerError {
   return new SchedulerError(ErrorKind.BodyTooLarge, {
-    message: `Cannot take the body: it is longer than ${maxBytes} bytes`,
+    message: `Cannot accept the body: it is longer than ${maxBytes} bytes`,
   });
 }
--- a/src/adapters/http_common/bearer_key.ts
+++ b/src/adapters/http_common/bearer_key.ts
@@ -1,5 +1,5 @@
 /**
- * Keys in the `Authorization` header.
+ * Reads and compares keys of the `Authorization` header.
  *
  * @module
  */
@@ -8,24 +8,24 @@
 /**
  * Reads the key out of an `Authorization` header.
  *
- * @param authorization - the header's value, if there is one
- * @returns the key; undefined when there is none or it is of another scheme
+ * @param authorization - value of the header, if it was sent
+ * @returns the key; undefined without the header or with another scheme
  */
 export function parseBearerKey(authorization: string | undefined): string | undefined {
   return /^bearer +(\S+) *$/i.exec(authorization ?? '')?.[1];
 }
 
 /**
- * Compares two secrets in constant time. A comparison that stops at the first
- * wrong byte tells an attacker, by its duration, how much of a guess is right;
- * hashes of equal length leave nothing to measure, the length included.
+ * Compares two secrets in constant time. The duration of a comparison that stops at the
+ * first wrong byte reveals how much of a guess is right. Comparing hashes of equal length
+ * reveals neither that nor the length of the secret.
  *
- * @param given - what the caller sent
- * @param expected - the secret
+ * @param received - the secret that the caller sent
+ * @param expected - the expected secret
  * @returns whether they are equal
  */
-export function compareSecrets(given: string, expected: string): boolean {
-  return timingSafeEqual(hashSecret(given), hashSecret(expected));
+export function compareSecrets(received: string, expected: string): boolean {
+  return timingSafeEqual(hashSecret(received), hashSecret(expected));
 }
 
 function hashSecret(secret: string): Buffer {
--- a/src/adapters/http_common/end_to_end_headers.ts
+++ b/src/adapters/http_common/end_to_end_headers.ts
@@ -1,11 +1,11 @@
 /**
- * Which headers belong to one connection and which to the whole way.
+ * Separates end-to-end headers from hop-by-hop headers.
  *
  * @module
  */
 import type { IncomingHttpHeaders } from 'node:http';
 
-/** Headers of one connection (RFC 9110, 7.6.1), and those that older software uses likewise. */
+/** Hop-by-hop headers of RFC 9110, section 7.6.1, and those that older software uses. */
 export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'http2-settings',
@@ -20,24 +20,24 @@
 ]);
 
 /**
- * Picks the headers that may be passed on: without hop-by-hop ones and those
- * that `Connection` names.
+ * Returns the headers that may be forwarded: those that are neither hop-by-hop nor named by
+ * the `Connection` header.
  *
  * @param headers - headers with lower-case names
- * @param excluded - lower-case names that are left out besides
- * @returns the headers to be passed on, repeated ones joined
+ * @param excluded - lower-case names of further headers to leave out
+ * @returns the headers to forward; the values of repeated headers are joined
  */
 export function pickEndToEndHeaders(
   headers: Readonly<IncomingHttpHeaders>,
   excluded: ReadonlySet<string> = new Set(),
 ): Record<string, string> {
-  const named = new Set(
+  const connectionHeaders = new Set(
     (headers.connection ?? '').split(',').map((name) => name.trim().toLowerCase()),
   );
   const kept: [string, string][] = [];
   Object.entries(headers).forEach(([name, value]) => {
     if (value === undefined || HOP_BY_HOP_HEADERS.has(name)) return;
-    if (named.has(name) || excluded.has(name)) return;
+    if (connectionHeaders.has(name) || excluded.has(name)) return;
     kept.push([name, Array.isArray(value) ? value.join(', ') : value]);
   });
   return Object.fromEntries(kept);
--- a/src/adapters/http_common/error_answer.ts
+++ b/src/adapters/http_common/error_answer.ts
@@ -1,5 +1,5 @@
 /**
- * Errors as HTTP answers.
+ * Converts errors to HTTP answers.
  *
  * @module
  */
@@ -8,24 +8,24 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * Makes an error of the closed list out of anything that was thrown.
+ * Converts any thrown value to a {@link SchedulerError}.
  *
- * @param thrown - what was thrown
- * @returns it, or an error of kind Internal whose text keeps the cause from callers
+ * @param thrown - the thrown value
+ * @returns the same error, or one of kind Internal whose message does not reveal the cause
  */
 export function toSchedulerError(thrown: unknown): SchedulerError {
   if (thrown instanceof SchedulerError) return thrown;
   return new SchedulerError(ErrorKind.Internal, {
-    message: 'Cannot answer: a fault of the system',
+    message: 'Cannot answer: internal error',
     cause: thrown,
   });
 }
 
 /**
- * Builds the headers of an error's answer.
+ * Builds the headers of an error answer.
  *
  * @param error - the refusal or failure
- * @param requestId - the request's ID, where the error itself has none
+ * @param requestId - ID of the request, used when the error has none
  * @returns headers with lower-case names
  */
 export function buildErrorHeaders(
@@ -42,10 +42,9 @@
 }
 
 /**
- * OpenAI client libraries repeat each answer of 409 and 5xx by themselves, also
- * one that says "may have run". `x-should-retry` is their own way to be told
- * not to; without it a request that is not to be sent again as it stands would
- * come twice more.
+ * OpenAI client libraries retry after every 409 and 5xx answer, even one with run outcome
+ * "may have run", unless `x-should-retry` forbids it. Without that header, a request that
+ * must not be sent again unchanged would be sent twice more.
  */
 function buildRetryHeaders(retryAfterMs: number): Record<string, string> {
   if (retryAfterMs === 0) return { 'x-should-retry': 'false' };
--- a/src/adapters/http_common/error_answer_test.ts
+++ b/src/adapters/http_common/error_answer_test.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import { ERROR_TABLE, ErrorKind } from '../../domain/errors/mod.js';
 
-t.test('docs/API.md lists each error kind as the table answers it', async (t) => {
+t.test('docs/API.md lists each error kind as in the error table', async (t) => {
   const rows = readFileSync('docs/API.md', 'utf8')
     .split('\n')
     .map((line) => line.split('|').map((cell) => cell.trim()));
--- a/src/adapters/http_common/http_exchange.ts
+++ b/src/adapters/http_common/http_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One request and its answer.
+ * Reads one HTTP request and sends its answer.
  *
  * @module
  */
@@ -7,39 +7,39 @@
 import { buildErrorBody } from '../../domain/errors/mod.js';
 import type { SchedulerError } from '../../domain/errors/mod.js';
 import type { BodyBudget } from './_body_budget.js';
-import { checkAnnouncedLength, drainRequestBody, readRequestBody } from './_request_body.js';
+import { checkDeclaredLength, drainRequestBody, readRequestBody } from './_request_body.js';
 import { buildErrorHeaders } from './error_answer.js';
 import type { HttpLimits } from './http_limits.js';
 
-/** What an exchange needs of its listener. */
+/** Options of {@link HttpExchange}, set by its listener. */
 export interface ExchangeOptions {
   readonly limits: HttpLimits;
   readonly budget: BodyBudget;
-  /** Whether the caller waits for a 100 before it sends the body. */
+  /** Whether the caller waits for 100 Continue before it sends the body. */
   readonly expectsContinue: boolean;
-  /** Whether the connection is to be closed after the answer. */
+  /** Whether the connection must be closed after the answer. */
   readonly mustClose: () => boolean;
 }
 
-/** One request and its answer. */
+/** One HTTP request and its answer. */
 export class HttpExchange {
-  /** Aborted when the caller's connection is gone before the whole answer was given. */
-  readonly callerGone: AbortSignal;
+  /** Aborted when the caller disconnects before the answer is complete. */
+  readonly disconnectSignal: AbortSignal;
 
   readonly #options: ExchangeOptions;
 
-  #isBodyWanted = false;
+  #isBodyRequested = false;
 
   #isClosed = false;
 
-  #heldBytes = 0;
+  #reservedBytes = 0;
 
   #holder = '';
 
   /**
    * @param request - the request
    * @param response - its answer
-   * @param options - what it needs of its listener
+   * @param options - limits and state of the listener
    */
   constructor(
     readonly request: IncomingMessage,
@@ -47,55 +47,55 @@
     options: ExchangeOptions,
   ) {
     this.#options = options;
-    const gone = new AbortController();
-    this.callerGone = gone.signal;
-    // An 'error' event without a handler ends the process, with everybody's
-    // requests. No way to one is known; 'close' tells all that matters here.
+    const disconnectController = new AbortController();
+    this.disconnectSignal = disconnectController.signal;
+    // An 'error' event without a handler would end the process and all its requests. None is
+    // known to occur, and 'close' covers everything that matters here.
     response.on('error', () => undefined);
     response.once('close', () => {
       this.#isClosed = true;
-      options.budget.release(this.#holder, this.#heldBytes);
-      if (!response.writableFinished) gone.abort();
+      options.budget.release(this.#holder, this.#reservedBytes);
+      if (!response.writableFinished) disconnectController.abort();
     });
   }
 
-  /** @param name - a lower-case header name. @returns its value; empty counts as none */
+  /** @param name - a lower-case header name. @returns its value; undefined when it is empty */
   getHeader(name: string): string | undefined {
     const value = this.request.headers[name];
     return (Array.isArray(value) ? value.join(', ') : value) || undefined;
   }
 
   /**
-   * Reads the whole body, after telling a caller that waits for a 100 to send it.
+   * Reads the whole body; first sends 100 Continue to a caller that waits for it.
    *
-   * @param holder - on whose account the body is held until the answer is closed
+   * @param holder - whom the body counts against until the answer is closed
    * @returns the body
-   * @throws SchedulerError when it is too long or there is no room for it, or the caller
-   * goes midway
+   * @throws SchedulerError when the body is too long or exceeds the budget, or the caller
+   * disconnects meanwhile
    */
   async readBody(holder: string): Promise<Buffer> {
-    checkAnnouncedLength(this.request, this.#options.limits.maxBodyBytes);
-    this.#isBodyWanted = true;
+    checkDeclaredLength(this.request, this.#options.limits.maxBodyBytes);
+    this.#isBodyRequested = true;
     this.#holder = holder;
     if (this.#options.expectsContinue) this.response.writeContinue();
     return readRequestBody(this.request, this.#options.limits.maxBodyBytes, (bytes) => {
-      // What came in after the answer was closed would never be given back.
+      // Bytes reserved after the answer was closed would never be released.
       if (this.#isClosed) return;
       this.#options.budget.acquire(holder, bytes);
-      this.#heldBytes += bytes;
+      this.#reservedBytes += bytes;
     });
   }
 
   /**
-   * Sends the answer's head at once, so that the caller has its request ID early.
+   * Sends the head of the answer immediately, so that the caller has its request ID early.
    *
    * @param status - HTTP status code
    * @param headers - headers with lower-case names
    */
   sendHead(status: number, headers: Readonly<Record<string, string>>): void {
-    // A caller that was never told to send its body may send the next request
-    // in its place, which would then be read as the body: close instead.
-    const isBodyOpen = this.#options.expectsContinue && !this.#isBodyWanted;
+    // A caller that got no 100 Continue may send its next request in place of the body, as
+    // which it would be read; so the connection is closed.
+    const isBodyOpen = this.#options.expectsContinue && !this.#isBodyRequested;
     if (isBodyOpen || this.#options.mustClose()) this.response.setHeader('connection', 'close');
     this.response.writeHead(status, headers);
     this.response.flushHeaders();
@@ -103,7 +103,7 @@
   }
 
   /**
-   * Sends a whole answer.
+   * Sends a complete answer.
    *
    * @param status - HTTP status code
    * @param text - the body
@@ -115,11 +115,11 @@
   }
 
   /**
-   * Sends a whole answer.
+   * Sends a complete answer in JSON.
    *
    * @param status - HTTP status code
-   * @param value - the body, before JSON
-   * @param headers - more headers, with lower-case names
+   * @param value - the value to encode
+   * @param headers - further headers, with lower-case names
    */
   sendJson(status: number, value: unknown, headers: Readonly<Record<string, string>> = {}): void {
     this.sendText(status, JSON.stringify(value), {
@@ -129,10 +129,10 @@
   }
 
   /**
-   * Sends an error, unless the head of an answer has gone out.
+   * Sends an error answer, unless the head of an answer was already sent.
    *
    * @param error - the refusal or failure
-   * @param requestId - the request's ID, where the error itself has none
+   * @param requestId - ID of the request, used when the error has none
    */
   sendError(error: SchedulerError, requestId?: string): void {
     if (this.response.headersSent || this.response.destroyed) return;
--- a/src/adapters/http_common/http_limits.ts
+++ b/src/adapters/http_common/http_limits.ts
@@ -1,33 +1,33 @@
 /**
- * Limits that every listener puts on what comes from outside.
+ * Limits on connections and requests that every listener enforces.
  *
  * @module
  */
 
 /** Limits of one listener. */
 export interface HttpLimits {
-  /** Longest body of an authenticated request, in bytes. */
+  /** Longest allowed body of an authenticated request, in bytes. */
   readonly maxBodyBytes: number;
-  /** Longest request line and headers together, in bytes. */
+  /** Longest allowed request line and headers together, in bytes. */
   readonly maxHeaderBytes: number;
-  /** Most open connections that are served. */
+  /** Most open connections whose requests are served. */
   readonly maxConnections: number;
-  /** How long a request's headers may take, in milliseconds. */
+  /** Longest time for the headers of a request to arrive, in milliseconds. */
   readonly headerTimeoutMs: number;
-  /** How long a whole request, body included, may take to arrive, in milliseconds. */
+  /** Longest time for a request to arrive, body included, in milliseconds. */
   readonly requestTimeoutMs: number;
   /**
-   * How much of a refused body is read and thrown away before the connection
-   * is closed, in bytes.
+   * Most bytes of a refused body that are read and discarded before the connection is
+   * closed.
    */
   readonly maxUnauthenticatedBodyBytes: number;
-  /** Most bytes of bodies held at once over all connections; 128 MiB by default. */
+  /** Most bytes of bodies buffered at once over all connections. Default: 128 MiB. */
   readonly maxTotalBodyBytes?: number;
-  /** How long a caller may take no byte of an answer that waits for it; 60 s by default. */
+  /** Longest time that a caller may read no byte of a pending answer. Default: 60 s. */
   readonly answerStallTimeoutMs?: number;
 }
 
-/** Limits that fit a small host. */
+/** Default limits, suitable for a small host. */
 export const DEFAULT_HTTP_LIMITS: Required<HttpLimits> = {
   maxBodyBytes: 4_194_304,
   maxHeaderBytes: 16_384,
--- a/src/adapters/http_common/http_listener.ts
+++ b/src/adapters/http_common/http_listener.ts
@@ -1,5 +1,5 @@
 /**
- * An HTTP listener with limits.
+ * An HTTP listener that limits connections, sizes and durations.
  *
  * @module
  */
@@ -17,19 +17,19 @@
 import { DEFAULT_HTTP_LIMITS } from './http_limits.js';
 import type { HttpLimits } from './http_limits.js';
 
-/** Connections over the limit that still get an answer; those beyond are dropped. */
-const OVERFLOW_CONNECTIONS = 128;
+/** Most connections over the limit that still get an error answer; others are dropped. */
+const MAX_OVERFLOW_CONNECTIONS = 128;
 
-/** How often unfinished requests are checked against their time limits. */
-const CHECK_INTERVAL_MS = 500;
+/** Interval of the checks for requests that exceed a timeout. */
+const TIMEOUT_CHECK_INTERVAL_MS = 500;
 
-/** How long a connection without a request stays open, in milliseconds. */
-const KEEP_ALIVE_MS = 10_000;
+/** Longest time that an idle connection stays open, in milliseconds. */
+const KEEP_ALIVE_TIMEOUT_MS = 10_000;
 
-/** After how long TCP asks whether a silent caller is still there, in milliseconds. */
-const TCP_KEEP_ALIVE_MS = 15_000;
+/** Idle time before TCP probes whether the caller is still reachable, in milliseconds. */
+const TCP_KEEP_ALIVE_DELAY_MS = 15_000;
 
-/** The listener's certificate and key, in PEM. */
+/** Certificate and private key of a listener, in PEM. */
 export interface TlsIdentity {
   readonly certificate: string | Buffer;
   readonly key: string | Buffer;
@@ -38,17 +38,17 @@
 /** Options of {@link HttpListener}. */
 export interface HttpListenerOptions {
   readonly limits: HttpLimits;
-  /** Serves by https when given. */
+  /** Certificate and key for HTTPS; without them the listener serves plain HTTP. */
   readonly tls?: TlsIdentity | undefined;
-  /** Answers one request. What it throws is answered from the error table. */
+  /** Handles one request. A thrown error is answered as the error table defines it. */
   readonly handle: (exchange: HttpExchange) => Promise<void>;
-  /** Corrects a refusal that no handler sees by what its request brought. */
+  /** Corrects a refusal that is made without the handler, given its request. */
   readonly correctRefusal?: (refusal: SchedulerError, request: IncomingMessage) => SchedulerError;
-  /** Told of each refusal that no handler sees. */
+  /** Reports each refusal that is made without the handler. */
   readonly onRefusal?: (refusal: SchedulerError) => void;
 }
 
-/** Listens, bounds what comes in, and stops without cutting an answer. */
+/** Accepts requests within limits, and completes in-flight answers when it stops. */
 export class HttpListener {
   readonly #options: HttpListenerOptions;
 
@@ -69,16 +69,16 @@
     this.#budget = new BodyBudget(
       options.limits.maxTotalBodyBytes ?? DEFAULT_HTTP_LIMITS.maxTotalBodyBytes,
     );
-    this.#server = createBoundedServer(options);
-    this.#watchServer();
+    this.#server = createLimitedServer(options);
+    this.#addServerListeners();
   }
 
   /**
    * Starts listening.
    *
-   * @param host - IP number
-   * @param port - port; 0 for any free one
-   * @returns the port
+   * @param host - IP address to listen on
+   * @param port - port to listen on; 0 selects a free port
+   * @returns the port in use
    */
   start(host: string, port: number): Promise<{ port: number }> {
     return new Promise((resolve, reject) => {
@@ -91,28 +91,28 @@
   }
 
   /**
-   * Asks each caller, with its next answer, to close its connection. Called
-   * some time before {@link HttpListener.stop}, it lets callers go elsewhere
-   * before any idle connection has to be closed under them.
+   * Closes each connection after its next answer. Called some time before
+   * {@link HttpListener.stop}, so that callers can move to other entry hosts before their
+   * idle connections are closed.
    */
   drain(): void {
     this.#isDraining = true;
   }
 
   /**
-   * Stops listening and waits for the running answers; cuts none.
+   * Stops listening and waits until in-flight answers are complete.
    *
-   * @returns when the last connection is closed
+   * @returns a promise that resolves once the last connection is closed
    */
   async stop(): Promise<void> {
     this.#isDraining = true;
     this.#isStopping = true;
     const { headerTimeoutMs, requestTimeoutMs } = this.#options.limits;
-    // Node stops checking its own time limits when a server closes: a caller
-    // that never ends its request would hold the stop for ever.
+    // Node stops enforcing its own timeouts once a server closes: a caller that never
+    // completes its request would block the stop forever.
     const timers = [
-      setTimeout(() => this.#connections.closeWithoutRequest(), headerTimeoutMs),
-      setTimeout(() => this.#connections.closeWithoutWholeRequest(), requestTimeoutMs),
+      setTimeout(() => this.#connections.closeIdle(), headerTimeoutMs),
+      setTimeout(() => this.#connections.closeWithoutCompleteRequest(), requestTimeoutMs),
     ];
     if (this.#server.listening) {
       await new Promise<void>((resolve) => {
@@ -122,7 +122,7 @@
     timers.forEach((timer) => clearTimeout(timer));
   }
 
-  #watchServer(): void {
+  #addServerListeners(): void {
     const server = this.#server;
     server.on(this.#options.tls ? 'secureConnection' : 'connection', (socket: Duplex) =>
       this.#connections.add(socket),
@@ -146,17 +146,17 @@
       expectsContinue,
       mustClose: () => this.#isDraining,
     });
-    this.#connections.note(request.socket, response, () => this.#onAnswerClosed());
+    this.#connections.trackAnswer(request.socket, response, () => this.#handleAnswerClosed());
     this.#run(exchange).catch((thrown: unknown) => exchange.sendError(toSchedulerError(thrown)));
   }
 
   async #run(exchange: HttpExchange): Promise<void> {
-    const found = this.#findRefusal(exchange.request);
-    if (!found) {
+    const original = this.#findRefusal(exchange.request);
+    if (!original) {
       await this.#options.handle(exchange);
       return;
     }
-    const refusal = this.#correct(found, exchange.request);
+    const refusal = this.#correctRefusal(original, exchange.request);
     exchange.response.setHeader('connection', 'close');
     this.#options.onRefusal?.(refusal);
     throw refusal;
@@ -168,37 +168,42 @@
     }
     if (request.httpVersion === '1.1' && request.headers.host === undefined) {
       return new SchedulerError(ErrorKind.MalformedRequest, {
-        message: 'Cannot take the request: it has no Host header',
+        message: 'Cannot accept the request: it has no Host header',
       });
     }
     const { expect } = request.headers;
     if (expect !== undefined && expect.toLowerCase() !== '100-continue') {
       return new SchedulerError(ErrorKind.MalformedRequest, {
-        message: 'Cannot take the request: it expects something other than 100-continue',
+        message: 'Cannot accept the request: its Expect header is not 100-continue',
       });
     }
     return undefined;
   }
 
   #handleClientError(error: NodeJS.ErrnoException, socket: Duplex): void {
-    const running = this.#connections.listRunning(socket);
-    // Behind a whole request, a refusal that says "not run" would be read as that
-    // request's answer, though it may run already: close without a word instead.
-    const isServing = running.some(({ headersSent, req }) => headersSent || req.complete);
-    // A failed TLS handshake leaves no connection that an answer could be written to.
+    const openAnswers = this.#connections.listOpenAnswers(socket);
+    // After a complete request, a refusal with "not run" would be read as the answer to that
+    // request, although it may be running: the connection is closed without an answer.
+    const hasCompleteRequest = openAnswers.some(
+      ({ headersSent, req }) => headersSent || req.complete,
+    );
+    // After a failed TLS handshake there is no connection to write an answer to.
     const isOpen = this.#connections.has(socket) && error.code !== 'ECONNRESET';
-    if (isServing || !isOpen) {
+    if (hasCompleteRequest || !isOpen) {
       socket.destroy();
       return;
     }
-    // The refusal was sent and the caller sends on: its connection ends in a moment.
+    // The refusal was already sent and the caller keeps sending: the connection closes soon.
     if (socket.writableEnded) return;
-    const unfinished = running.at(-1)?.req;
+    const unfinishedRequest = openAnswers.at(-1)?.req;
     const refusal = toParserRefusal(error);
-    this.#refuse(socket, unfinished ? this.#correct(refusal, unfinished) : refusal);
+    this.#refuse(
+      socket,
+      unfinishedRequest ? this.#correctRefusal(refusal, unfinishedRequest) : refusal,
+    );
   }
 
-  #correct(refusal: SchedulerError, request: IncomingMessage): SchedulerError {
+  #correctRefusal(refusal: SchedulerError, request: IncomingMessage): SchedulerError {
     return this.#options.correctRefusal?.(refusal, request) ?? refusal;
   }
 
@@ -207,23 +212,23 @@
     closeWithRefusal(socket, refusal);
   }
 
-  #onAnswerClosed(): void {
+  #handleAnswerClosed(): void {
     if (this.#isStopping) setImmediate(() => this.#server.closeIdleConnections());
   }
 }
 
-function createBoundedServer({ limits, tls }: HttpListenerOptions): Server {
+function createLimitedServer({ limits, tls }: HttpListenerOptions): Server {
   const options: ServerOptions = {
     maxHeaderSize: limits.maxHeaderBytes,
     headersTimeout: limits.headerTimeoutMs,
     requestTimeout: limits.requestTimeoutMs,
-    keepAliveTimeout: KEEP_ALIVE_MS,
-    connectionsCheckingInterval: Math.min(CHECK_INTERVAL_MS, limits.headerTimeoutMs),
-    // The listener checks it itself, to answer from the error table.
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
+    connectionsCheckingInterval: Math.min(TIMEOUT_CHECK_INTERVAL_MS, limits.headerTimeoutMs),
+    // The listener checks the header itself, to answer as the error table defines it.
     requireHostHeader: false,
-    // A caller whose connection went silent for good would hold its slot for ever.
+    // Without probes, a caller that became unreachable would occupy its connection forever.
     keepAlive: true,
-    keepAliveInitialDelay: TCP_KEEP_ALIVE_MS,
+    keepAliveInitialDelay: TCP_KEEP_ALIVE_DELAY_MS,
     noDelay: true,
   };
   const server = tls
@@ -234,6 +239,6 @@
         handshakeTimeout: limits.headerTimeoutMs,
       })
     : createServer(options);
-  server.maxConnections = limits.maxConnections + OVERFLOW_CONNECTIONS;
+  server.maxConnections = limits.maxConnections + MAX_OVERFLOW_CONNECTIONS;
   return server;
 }
--- a/src/adapters/http_common/mod.ts
+++ b/src/adapters/http_common/mod.ts
@@ -1,7 +1,7 @@
 /**
- * What every HTTP listener shares: limits on connections, headers, bodies and
- * time, answers from the error table, a small router and key comparison. Use it
- * as `new HttpListener({ limits, handle: async (exchange) => exchange.sendJson(200, {}) })`.
+ * HTTP basics for all listeners: limits on connections, headers, bodies and durations, error
+ * answers, a small router and key comparison. Use it as
+ * `new HttpListener({ limits, handle: async (exchange) => exchange.sendJson(200, {}) })`.
  *
  * @module
  */
@@ -18,5 +18,5 @@
 export { parseRequestTarget } from './request_target.js';
 export type { RequestTarget } from './request_target.js';
 export { findRoute } from './router.js';
-export type { FoundRoute, Route } from './router.js';
+export type { RouteMatch, Route } from './router.js';
 export { compareSecrets, parseBearerKey } from './bearer_key.js';
--- a/src/adapters/http_common/read_answer.ts
+++ b/src/adapters/http_common/read_answer.ts
@@ -1,5 +1,5 @@
 /**
- * One GET with limits on time and length.
+ * Sends GET requests with limits on duration and response size.
  *
  * @module
  */
@@ -7,21 +7,21 @@
 import type { Agent, ClientRequest, IncomingHttpHeaders, IncomingMessage } from 'node:http';
 import type { Clock, Timer } from '../../ports/mod.js';
 
-/** What is read, and its limits. */
+/** The URL to read, and the limits. */
 export interface ReadAnswerOptions {
   readonly url: URL;
   readonly agent: Agent;
   readonly clock: Clock;
-  /** Longest time for a connection to come up, in milliseconds. */
+  /** Longest time to open a connection, in milliseconds. */
   readonly connectTimeoutMs: number;
-  /** Longest time until the whole answer is there, in milliseconds. */
+  /** Longest time until the response is complete, in milliseconds. */
   readonly answerTimeoutMs: number;
   readonly maxBytes: number;
-  /** Ends the read. */
+  /** Aborts the read. */
   readonly signal?: AbortSignal;
 }
 
-/** A whole answer. */
+/** A complete response. */
 export interface ReadAnswer {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
@@ -29,39 +29,38 @@
 }
 
 /**
- * Reads one answer whole.
+ * Sends a GET request and reads the complete response.
  *
- * A connection can go silent for good without being closed. An answer that isn't
- * whole in time is given up, and its connection destroyed with it: the next read
- * opens a new one.
+ * A connection can stop delivering without being closed. A read that exceeds its timeout
+ * fails and destroys its connection, so that the next read opens a new one.
  *
- * @param options - what to read, and the limits
- * @returns the answer, whatever its status
- * @throws Error when there is none in time and within the limits
+ * @param options - the URL to read, and the limits
+ * @returns the response, whatever its status
+ * @throws Error when no complete response arrives within the limits
  */
 export async function readAnswer(options: ReadAnswerOptions): Promise<ReadAnswer> {
   const { url, agent, signal, maxBytes } = options;
   const call = request(url, { agent, headers: { accept: 'application/json' } });
-  const timers = [watchConnect(call, options), watchAnswer(call, options)];
+  const timers = [startConnectTimer(call, options), startResponseTimer(call, options)];
   const onAbort = (): void => {
-    call.destroy(new Error(`Cannot read ${url.host}: the read was ended`));
+    call.destroy(new Error(`Cannot read ${url.host}: the read was aborted`));
   };
   signal?.addEventListener('abort', onAbort);
   if (signal?.aborted) onAbort();
   try {
-    const answer = await waitForAnswer(call);
-    const body = await readBody(answer, url, maxBytes);
-    return { status: answer.statusCode ?? 0, headers: answer.headers, body };
+    const response = await waitForResponse(call);
+    const body = await readBody(response, url, maxBytes);
+    return { status: response.statusCode ?? 0, headers: response.headers, body };
   } finally {
     signal?.removeEventListener('abort', onAbort);
     timers.forEach((timer) => timer.cancel());
   }
 }
 
-function watchConnect(call: ClientRequest, options: ReadAnswerOptions): Timer {
+function startConnectTimer(call: ClientRequest, options: ReadAnswerOptions): Timer {
   const { clock, connectTimeoutMs, url } = options;
   const timer = clock.setTimer(connectTimeoutMs, () => {
-    call.destroy(new Error(`Cannot connect to ${url.host} in ${connectTimeoutMs} ms`));
+    call.destroy(new Error(`Cannot connect to ${url.host} within ${connectTimeoutMs} ms`));
   });
   call.on('socket', (socket) => {
     if (socket.connecting) socket.once('connect', () => timer.cancel());
@@ -70,31 +69,31 @@
   return timer;
 }
 
-function watchAnswer(call: ClientRequest, options: ReadAnswerOptions): Timer {
+function startResponseTimer(call: ClientRequest, options: ReadAnswerOptions): Timer {
   const { clock, answerTimeoutMs, url } = options;
   return clock.setTimer(answerTimeoutMs, () => {
-    call.destroy(new Error(`Cannot read ${url.host}: it has gone silent`));
+    call.destroy(new Error(`Cannot read ${url.host}: no complete response in time`));
   });
 }
 
-function waitForAnswer(call: ClientRequest): Promise<IncomingMessage> {
+function waitForResponse(call: ClientRequest): Promise<IncomingMessage> {
   return new Promise((resolve, reject) => {
     call.once('response', resolve);
-    // Stays for good: an error may come after the answer's head, and again.
+    // Never removed: errors may also occur after the response head, and more than once.
     call.on('error', reject);
     call.end();
   });
 }
 
-async function readBody(answer: IncomingMessage, url: URL, maxBytes: number): Promise<Buffer> {
+async function readBody(response: IncomingMessage, url: URL, maxBytes: number): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let length = 0;
-  for await (const chunk of answer as AsyncIterable<Buffer>) {
+  for await (const chunk of response as AsyncIterable<Buffer>) {
     length += chunk.length;
     if (length > maxBytes) {
-      // What is left of it would be taken for the next answer's start.
-      answer.destroy();
-      throw new Error(`Cannot read ${url.host}: its answer is over ${maxBytes} bytes`);
+      // The unread rest would be taken for the start of the next response.
+      response.destroy();
+      throw new Error(`Cannot read ${url.host}: its response is longer than ${maxBytes} bytes`);
     }
     chunks.push(chunk);
   }
--- a/src/adapters/http_common/router.ts
+++ b/src/adapters/http_common/router.ts
@@ -1,5 +1,5 @@
 /**
- * A small router: literal segments, `:name` for one segment, `*` for the rest.
+ * A small router. Patterns have literal segments, `:name` for one segment and `*` for the rest.
  *
  * @module
  */
@@ -8,29 +8,30 @@
 
 /** One route of a listener. */
 export interface Route<Handler> {
-  /** Name in logs and metrics. */
+  /** Name of the route in logs and metrics. */
   readonly name: string;
-  /** The method it takes; undefined: all. */
+  /** HTTP method that the route accepts; undefined accepts all. */
   readonly method: string | undefined;
-  /** Such as `/v1/requests/:id`. */
+  /** Pattern of the path, such as `/v1/requests/:id`. */
   readonly pattern: string;
   readonly handler: Handler;
 }
 
-/** A route that fits a request. */
-export interface FoundRoute<Handler> {
+/** A route that matches a request. */
+export interface RouteMatch<Handler> {
   readonly route: Route<Handler>;
   /** Values of the pattern's named segments, percent-decoded. */
   readonly params: Readonly<Record<string, string>>;
 }
 
 /**
- * Finds the first route that fits.
+ * Finds the first route that matches a request.
  *
  * @param routes - the listener's routes, most specific first
  * @param method - the request's method
  * @param target - the request's target
- * @param onOtherMethods - told which methods the path takes, when only the method doesn't fit
+ * @param onMethodMismatch - receives the methods that the path accepts, when only the method
+ *   does not match
  * @returns the route and its parameters
  * @throws SchedulerError of kind NotFound or MethodNotAllowed
  */
@@ -38,39 +39,41 @@
   routes: readonly Route<Handler>[],
   method: string,
   target: RequestTarget,
-  onOtherMethods: (allowed: readonly string[]) => void,
-): FoundRoute<Handler> {
-  const fitting = routes.flatMap((route) => {
-    const params = findParams(route.pattern, target.segments);
+  onMethodMismatch: (allowed: readonly string[]) => void,
+): RouteMatch<Handler> {
+  const matches = routes.flatMap((route) => {
+    const params = matchPattern(route.pattern, target.segments);
     return params ? [{ route, params }] : [];
   });
-  const found = fitting.find(({ route }) => !route.method || route.method === method);
-  if (found) return found;
-  if (fitting.length === 0) {
-    throw new SchedulerError(ErrorKind.NotFound, { message: 'Cannot find anything at this path' });
+  const match = matches.find(({ route }) => !route.method || route.method === method);
+  if (match) return match;
+  if (matches.length === 0) {
+    throw new SchedulerError(ErrorKind.NotFound, {
+      message: 'Cannot find a resource at this path',
+    });
   }
-  onOtherMethods(fitting.map(({ route }) => route.method ?? method));
+  onMethodMismatch(matches.map(({ route }) => route.method ?? method));
   throw new SchedulerError(ErrorKind.MethodNotAllowed, {
-    message: `Cannot take the method ${method} at this path`,
+    message: `Cannot accept the method ${method} at this path`,
   });
 }
 
-function findParams(
+function matchPattern(
   pattern: string,
   segments: readonly string[],
 ): Record<string, string> | undefined {
   const parts = pattern.split('/').slice(1);
-  const isOpen = parts.at(-1) === '*';
-  const fixed = isOpen ? parts.slice(0, -1) : parts;
-  if (segments.length < fixed.length) return undefined;
-  if (!isOpen && segments.length > fixed.length) return undefined;
-  const isFitting = fixed.every((part, index) => {
+  const hasWildcard = parts.at(-1) === '*';
+  const fixedParts = hasWildcard ? parts.slice(0, -1) : parts;
+  if (segments.length < fixedParts.length) return undefined;
+  if (!hasWildcard && segments.length > fixedParts.length) return undefined;
+  const isMatch = fixedParts.every((part, index) => {
     const segment = segments[index] ?? '';
     return part.startsWith(':') ? segment !== '' : part === segment;
   });
-  if (!isFitting) return undefined;
-  const named = fixed.flatMap((part, index) =>
+  if (!isMatch) return undefined;
+  const entries = fixedParts.flatMap((part, index) =>
     part.startsWith(':') ? [[part.slice(1), segments[index] ?? '']] : [],
   );
-  return Object.fromEntries(named) as Record<string, string>;
+  return Object.fromEntries(entries) as Record<string, string>;
 }
