--- a/src/adapters/admin_http/admin_listener.ts
+++ b/src/adapters/admin_http/admin_listener.ts
@@ -56,7 +56,7 @@
     return this.#listener.start(host, port);
   }
 
-  /** @returns a promise that resolves once in-flight answers are sent and all connections closed */
+  /** @returns a promise that resolves once in-flight answers and connections have ended */
   stop(): Promise<void> {
     return this.#listener.stop();
   }
--- a/src/adapters/callers_http/callers_listener.ts
+++ b/src/adapters/callers_http/callers_listener.ts
@@ -21,7 +21,7 @@
   TlsIdentity,
 } from '../http_common/mod.js';
 import type { CallerRoute } from './_caller_exchange.js';
-import { correctRunOutcome } from './_correct_run_outcome.js';
+import { correctRunOutcome } from './_correct_run.js';
 import { recordRefusal, RequestRecorder } from './_request_recorder.js';
 import { CALLER_ROUTES } from './_routes.js';
 
@@ -95,8 +95,8 @@
       const sentRequestId = http.response.getHeader('request-id');
       recorder.recordAnswer(http.response.statusCode, sentRequestId?.toString());
     } catch (thrown) {
-      const original = toSchedulerError(thrown);
-      const error = isHandedOver ? original : correctRunOutcome(original, http.request);
+      const thrownError = toSchedulerError(thrown);
+      const error = isHandedOver ? thrownError : correctRunOutcome(thrownError, http.request);
       const requestId = error.requestId ?? http.getHeader('request-id');
       recorder.recordRefusal(error, requestId);
       http.sendError(error, requestId);
--- a/src/adapters/direct_http/_backend_agent.ts
+++ b/src/adapters/direct_http/_backend_agent.ts
@@ -19,7 +19,7 @@
 
 /** A pooled connection, with the idle timeout that its server stated last. */
 interface PooledSocket extends Socket {
-  idleLimitMs?: number;
+  closeAfterIdleMs?: number;
   strayDataListener?: () => void;
 }
 
@@ -41,7 +41,7 @@
   /** @param socket - a connection. @param idleTimeoutMs - idle timeout that its server stated */
   static setIdleTimeout(socket: Socket, idleTimeoutMs: number): void {
     const pooled: PooledSocket = socket;
-    pooled.idleLimitMs = idleTimeoutMs * USED_IDLE_FRACTION;
+    pooled.closeAfterIdleMs = idleTimeoutMs * USED_IDLE_FRACTION;
   }
 
   /**
@@ -59,7 +59,7 @@
     super.keepSocketAlive(pooled);
     pooled.strayDataListener = () => pooled.destroy();
     pooled.on('data', pooled.strayDataListener);
-    pooled.setTimeout(pooled.idleLimitMs ?? DEFAULT_IDLE_TIMEOUT_MS);
+    pooled.setTimeout(pooled.closeAfterIdleMs ?? DEFAULT_IDLE_TIMEOUT_MS);
     return true;
   }
 
