--- a/src/adapters/http_common/read_answer.ts
+++ b/src/adapters/http_common/read_answer.ts
@@ -43,7 +43,7 @@
   const call = request(url, { agent, headers: { accept: 'application/json' } });
   const timers = [startConnectTimer(call, options), startResponseTimer(call, options)];
   const onAbort = (): void => {
-    call.destroy(new Error(`Cannot read ${url.host}: the read was aborted`));
+    call.destroy(new Error(`Cannot read ${url.host}: the read was ended`));
   };
   signal?.addEventListener('abort', onAbort);
   if (signal?.aborted) onAbort();
@@ -60,7 +60,7 @@
 function startConnectTimer(call: ClientRequest, options: ReadAnswerOptions): Timer {
   const { clock, connectTimeoutMs, url } = options;
   const timer = clock.setTimer(connectTimeoutMs, () => {
-    call.destroy(new Error(`Cannot connect to ${url.host} within ${connectTimeoutMs} ms`));
+    call.destroy(new Error(`Cannot connect to ${url.host} in ${connectTimeoutMs} ms`));
   });
   call.on('socket', (socket) => {
     if (socket.connecting) socket.once('connect', () => timer.cancel());
@@ -72,7 +72,7 @@
 function startResponseTimer(call: ClientRequest, options: ReadAnswerOptions): Timer {
   const { clock, answerTimeoutMs, url } = options;
   return clock.setTimer(answerTimeoutMs, () => {
-    call.destroy(new Error(`Cannot read ${url.host}: no complete response in time`));
+    call.destroy(new Error(`Cannot read ${url.host}: it has gone silent`));
   });
 }
 
@@ -93,7 +93,7 @@
     if (length > maxBytes) {
       // The unread rest would be taken for the start of the next response.
       response.destroy();
-      throw new Error(`Cannot read ${url.host}: its response is longer than ${maxBytes} bytes`);
+      throw new Error(`Cannot read ${url.host}: its answer is over ${maxBytes} bytes`);
     }
     chunks.push(chunk);
   }
