--- a/src/adapters/callers_http/_sse_tail.ts
+++ b/src/adapters/callers_http/_sse_tail.ts
@@ -1,51 +1,55 @@
 /**
- * Server-sent events, cut at their ends.
+ * Splits a stream of server-sent events at event boundaries.
  *
  * @module
  */
 
-/** Longest unfinished event that is held back; a longer one is let through in pieces. */
-const MAX_HELD_BYTES = 65_536;
+/** Longest incomplete event that is buffered; a longer event is forwarded in pieces. */
+const MAX_PENDING_BYTES = 65_536;
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 
 /**
- * Holds an unfinished event back until its end has come. When the stream breaks
- * off within an event, an error event sent right behind its first half would be
- * read as the rest of it, and the caller's parser would fail on both.
+ * Buffers an incomplete event until its end arrives. When a stream breaks off within an
+ * event whose first part was already sent, the caller would read the error event that
+ * follows as the rest of that event, and its parser would fail on both.
  */
-export class SseTail {
-  #held: Buffer = Buffer.alloc(0);
+export class SseEventBuffer {
+  #pending: Buffer = Buffer.alloc(0);
 
   /**
-   * Takes the next bytes.
+   * Appends bytes to the buffer.
    *
-   * @param bytes - as the backend server sent them
-   * @returns the bytes up to the end of the last whole event
+   * @param bytes - the next bytes from the backend server
+   * @returns the buffered bytes up to the end of the last complete event
    */
-  take(bytes: Uint8Array): Buffer {
+  push(bytes: Uint8Array): Buffer {
     const joined =
-      this.#held.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.#held, bytes]);
+      this.#pending.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.#pending, bytes]);
     const end = findLastEventEnd(joined);
-    const cut = joined.length - end > MAX_HELD_BYTES ? joined.length : end;
-    this.#held = joined.subarray(cut);
-    return joined.subarray(0, cut);
+    const splitAt = joined.length - end > MAX_PENDING_BYTES ? joined.length : end;
+    this.#pending = joined.subarray(splitAt);
+    return joined.subarray(0, splitAt);
   }
 
-  /** @returns the bytes behind the last whole event, at the stream's proper end */
-  takeRest(): Buffer {
-    const rest = this.#held;
-    this.#held = Buffer.alloc(0);
+  /** @returns the bytes after the last complete event; called when the stream ends normally */
+  flush(): Buffer {
+    const rest = this.#pending;
+    this.#pending = Buffer.alloc(0);
     return rest;
   }
 }
 
-/** An event ends with an empty line: a line feed behind a line feed, carriage returns aside. */
+/** Finds the last empty line, which ends an event; lines end in LF or CRLF. */
 function findLastEventEnd(bytes: Buffer): number {
-  for (let at = bytes.lastIndexOf(LINE_FEED); at > 0; at = bytes.lastIndexOf(LINE_FEED, at - 1)) {
-    const before = bytes[at - 1] === CARRIAGE_RETURN ? at - 2 : at - 1;
-    if (bytes[before] === LINE_FEED) return at + 1;
+  for (
+    let index = bytes.lastIndexOf(LINE_FEED);
+    index > 0;
+    index = bytes.lastIndexOf(LINE_FEED, index - 1)
+  ) {
+    const before = bytes[index - 1] === CARRIAGE_RETURN ? index - 2 : index - 1;
+    if (bytes[before] === LINE_FEED) return index + 1;
   }
   return 0;
 }
--- a/src/adapters/callers_http/_sse_tail_test.ts
+++ b/src/adapters/callers_http/_sse_tail_test.ts
@@ -1,8 +1,8 @@
 import t from 'tap';
 import fc from 'fast-check';
-import { SseTail } from './_sse_tail.js';
+import { SseEventBuffer } from './_sse_tail.js';
 
-t.test('SseTail lets whole events through, whatever the pieces', async (t) => {
+t.test('SseEventBuffer emits only complete events, however the stream is split', async (t) => {
   const event = fc.constantFrom(
     'data: a\n\n',
     'data: b\r\n\r\n',
@@ -11,22 +11,22 @@
     '\n',
   );
   fc.assert(
-    fc.property(fc.array(event), fc.array(fc.nat(8)), (events, cuts) => {
+    fc.property(fc.array(event), fc.array(fc.nat(8)), (events, chunkLengths) => {
       const text = events.join('');
-      const tail = new SseTail();
-      let given = '';
-      let at = 0;
-      [...cuts, text.length].forEach((length) => {
-        given += tail.take(Buffer.from(text.slice(at, at + length))).toString();
-        at += length;
-        t.match(given, /^([^]*\n\r?\n)?$/);
+      const buffer = new SseEventBuffer();
+      let output = '';
+      let offset = 0;
+      [...chunkLengths, text.length].forEach((length) => {
+        output += buffer.push(Buffer.from(text.slice(offset, offset + length))).toString();
+        offset += length;
+        t.match(output, /^([^]*\n\r?\n)?$/);
       });
-      t.equal(given + tail.takeRest().toString(), text);
+      t.equal(output + buffer.flush().toString(), text);
     }),
     { seed: 42, numRuns: 200 },
   );
 });
 
-t.test('SseTail does not hold an endless event back', async (t) => {
-  t.equal(new SseTail().take(Buffer.alloc(70_000, 'x')).length, 70_000);
+t.test('SseEventBuffer does not buffer an endless event', async (t) => {
+  t.equal(new SseEventBuffer().push(Buffer.alloc(70_000, 'x')).length, 70_000);
 });
