--- a/standin/_answer_stream.ts
+++ b/standin/_answer_stream.ts
@@ -1,20 +1,21 @@
 /**
- * The answer of an engine: it goes on without its client and can be resumed.
+ * The response body of a stand-in engine. It is produced to its end even when its client
+ * disconnects, and a client can resume reading it at any byte offset.
  *
  * @module
  */
 import type { ServerResponse } from 'node:http';
 import type { FaultSwitch } from './_fault_switch.js';
 
-/** How a stream stands. */
+/** State of an answer stream. */
 export enum StreamState {
   Running = 'running',
-  Whole = 'whole',
-  /** Cancelled, or died midway. */
+  Complete = 'whole',
+  /** The stream was cancelled, or a fault cut it off before its end. */
   Broken = 'broken',
 }
 
-/** One answer, kept whole so that it can be read from any offset. */
+/** One response body. All of its bytes are buffered so that it can be read from any offset. */
 export class AnswerStream {
   #state = StreamState.Running;
 
@@ -25,9 +26,9 @@
   readonly #readers = new Set<ServerResponse>();
 
   /**
-   * @param id - name under which it is resumed and cancelled
-   * @param contentType - the answer's type
-   * @param faults - the engine's faults
+   * @param id - ID under which clients resume and cancel the stream
+   * @param contentType - `Content-Type` of the response
+   * @param faults - faults that apply to the engine
    */
   constructor(
     readonly id: string,
@@ -35,58 +36,60 @@
     readonly faults: FaultSwitch,
   ) {}
 
-  /** Whether it runs, is whole or broke. */
+  /** Whether the stream is running, complete or broken. */
   get state(): StreamState {
     return this.#state;
   }
 
   /**
-   * Adds bytes and sends them to whoever reads. Where the engine is to die
-   * midway, the stream breaks at just the ordered length.
+   * Appends bytes and sends them to all readers. Under the fault `die-midway` the stream
+   * breaks at exactly the length that the fault names.
    *
-   * @param bytes - what to add
+   * @param bytes - bytes to append
    */
   write(bytes: Buffer): void {
     if (this.#state !== StreamState.Running) return;
-    const room = Math.max(0, this.faults.bytesBeforeDeath - this.#length);
-    const part = bytes.length >= room ? bytes.subarray(0, room) : bytes;
-    this.#chunks.push(part);
-    this.#length += part.length;
-    if (part.length > 0) this.#readers.forEach((reader) => this.#send(reader, part));
-    if (part.length < bytes.length || this.#length >= this.faults.bytesBeforeDeath)
-      this.closeBroken();
+    const remainingBytes = Math.max(0, this.faults.bytesBeforeCut - this.#length);
+    const chunk = bytes.length >= remainingBytes ? bytes.subarray(0, remainingBytes) : bytes;
+    this.#chunks.push(chunk);
+    this.#length += chunk.length;
+    if (chunk.length > 0) this.#readers.forEach((reader) => this.#send(reader, chunk));
+    if (chunk.length < bytes.length || this.#length >= this.faults.bytesBeforeCut) this.abort();
   }
 
-  /** Ends it whole. */
+  /** Marks the stream as complete and ends the responses of all readers. */
   close(): void {
     if (this.#state !== StreamState.Running) return;
-    this.#state = StreamState.Whole;
+    this.#state = StreamState.Complete;
     this.#readers.forEach((reader) => this.#sendEnd(reader));
     this.#readers.clear();
   }
 
-  /** Breaks it off: whoever reads loses the connection, which can't be taken for an end. */
-  closeBroken(): void {
+  /**
+   * Breaks the stream. The connections of all readers are destroyed, so that no reader can
+   * mistake the break for the end of the response.
+   */
+  abort(): void {
     if (this.#state !== StreamState.Running) return;
     this.#state = StreamState.Broken;
     const sockets = [...this.#readers].map((reader) => reader.socket);
     this.#readers.clear();
-    // A tick later, so that the bytes before the break have left.
+    // Deferred by one tick so that the bytes before the break are flushed first.
     setImmediate(() => sockets.forEach((socket) => socket?.destroy()));
   }
 
   /**
-   * Sends the answer from an offset on, and goes on live.
+   * Sends the buffered bytes from an offset on, followed by new bytes as they are written.
    *
-   * @param response - where to
-   * @param offset - bytes that the reader has already
+   * @param response - response to write to
+   * @param offset - number of bytes that the reader already has
    */
-  send(response: ServerResponse, offset: number): void {
+  sendFrom(response: ServerResponse, offset: number): void {
     response.writeHead(200, { 'content-type': this.contentType, 'stream-id': this.id });
     response.flushHeaders();
-    const kept = Buffer.concat(this.#chunks).subarray(offset);
-    if (kept.length > 0) this.#send(response, kept);
-    if (this.#state === StreamState.Whole) this.#sendEnd(response);
+    const buffered = Buffer.concat(this.#chunks).subarray(offset);
+    if (buffered.length > 0) this.#send(response, buffered);
+    if (this.#state === StreamState.Complete) this.#sendEnd(response);
     else {
       this.#readers.add(response);
       response.once('close', () => this.#readers.delete(response));
--- a/standin/_backend_stand_in.ts
+++ b/standin/_backend_stand_in.ts
@@ -1,6 +1,6 @@
 /**
- * What every stand-in backend server has in common: the record of runs, the
- * faults, the load report and the proof by 100-continue.
+ * Base class of the stand-in backend servers: the record of runs, fault injection, the load
+ * report and `100 Continue`, which shows the sender that a body will be run.
  *
  * @module
  */
@@ -15,23 +15,23 @@
 import { RunLog } from './_run_log.js';
 import type { RunRecord } from './_run_log.js';
 
-/** Long enough that only a caller or a fault ends an idle connection. */
+/** Long enough that only the client or a fault closes an idle connection. */
 const KEEP_ALIVE_MS = 120_000;
 
-/** What every stand-in backend server can be told at its start. */
+/** Options that all stand-in backend servers share. */
 export interface BackendStandInOptions {
   readonly id: string;
-  /** Service that the runs are recorded under. */
+  /** Name of the service that is recorded with each run. */
   readonly service: string;
-  /** How far the load report lags, in milliseconds. */
+  /** Age of the load that the load report shows, in milliseconds. */
   readonly loadLagMs: number;
-  /** Whether 100 is answered before a body is taken. */
+  /** Whether the server sends `100 Continue` before it reads a body. */
   readonly honoursContinue: boolean;
-  /** File that the runs are kept in beyond the process; by default there is none. */
+  /** File in which the runs outlive the process; undefined keeps them in memory only. */
   readonly runsFile?: string;
 }
 
-/** A call whose body has arrived whole: it runs. */
+/** A call whose complete body has arrived, which starts its run. */
 export interface StartedCall {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
@@ -39,7 +39,7 @@
   readonly run: RunRecord;
 }
 
-/** A stand-in backend server; its kinds fill in what a call does. */
+/** A stand-in backend server. Subclasses implement the work of a call. */
 export abstract class BackendStandIn {
   readonly runs: RunLog;
 
@@ -49,12 +49,12 @@
 
   readonly #server: Server;
 
-  #leaving = false;
+  #isDraining = false;
 
-  /** @param common - what every kind can be told */
-  constructor(protected readonly common: BackendStandInOptions) {
-    this.runs = new RunLog(common.runsFile);
-    this.load = new LaggedLoad(common.loadLagMs);
+  /** @param baseOptions - options that all stand-in backend servers share */
+  constructor(protected readonly baseOptions: BackendStandInOptions) {
+    this.runs = new RunLog(baseOptions.runsFile);
+    this.load = new LaggedLoad(baseOptions.loadLagMs);
     this.#server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS, requestTimeout: 0 });
     this.faults = new FaultSwitch(this.#server);
     this.#server.on('request', (request, response) => {
@@ -68,8 +68,8 @@
   /**
    * Starts listening.
    *
-   * @param address - where; port 0 takes a free one
-   * @returns its base URL
+   * @param address - address to listen on; port 0 picks a free port
+   * @returns the base URL of the server
    */
   async open(address: ListenAddress): Promise<string> {
     await new Promise<void>((resolve, reject) => {
@@ -80,37 +80,37 @@
     return `http://${address.host}:${port}`;
   }
 
-  /** Stops at once, cutting what runs. */
+  /** Stops at once and aborts all runs. */
   async close(): Promise<void> {
-    this.stopRuns();
+    this.clearTimers();
     await new Promise<void>((resolve) => {
       this.#server.close(() => resolve());
       this.#server.closeAllConnections();
     });
   }
 
-  /** @param request - a request. @returns whether it is work, which is recorded as a run */
-  protected abstract isWork(request: IncomingMessage): boolean;
+  /** @param request - a request. @returns whether it is recorded and executed as a run */
+  protected abstract isRunRequest(request: IncomingMessage): boolean;
 
-  /** @returns whether there is no room for one more call */
+  /** @returns whether the server has no capacity for another call */
   protected abstract isFull(): boolean;
 
-  /** @param call - a call that has started */
+  /** Executes a run. @param call - the call that started it */
   protected abstract handleCall(call: StartedCall): void;
 
-  /** @param request - what is no work. @param response - where to answer */
-  protected abstract handleOther(request: IncomingMessage, response: ServerResponse): void;
+  /** Answers a request that starts no run. @param request - it. @param response - its response */
+  protected abstract handleOtherRequest(request: IncomingMessage, response: ServerResponse): void;
 
-  /** Takes back all timers. */
-  protected abstract stopRuns(): void;
+  /** Clears all timers. */
+  protected abstract clearTimers(): void;
 
-  /** @param load - the load from now on */
+  /** Records a change of the load. @param load - the current load */
   protected recordLoad(load: Load): void {
     this.load.record(load);
   }
 
-  /** @param run - a run whose answer is whole */
-  protected closeRun(run: RunRecord): void {
+  /** Records the end of a run. @param run - a run whose response is complete */
+  protected finishRun(run: RunRecord): void {
     Object.assign(run, { finished: Date.now() });
     this.runs.update(run);
   }
@@ -132,11 +132,12 @@
       await this.#handleControl(pathname, request, response);
     } else if (this.faults.isSilenced(request.socket)) request.resume();
     else if (pathname === '/v1/load') this.#sendLoad(response);
-    else if (this.isWork(request)) await this.#handleWork(request, response, expectsContinue);
-    else this.handleOther(request, response);
+    else if (this.isRunRequest(request))
+      await this.#handleRunRequest(request, response, expectsContinue);
+    else this.handleOtherRequest(request, response);
   }
 
-  async #handleWork(
+  async #handleRunRequest(
     request: IncomingMessage,
     response: ServerResponse,
     expectsContinue: boolean,
@@ -147,13 +148,13 @@
     }
     if (expectsContinue && this.#mayContinue()) response.writeContinue();
     const body = await readBody(request);
-    // Bytes that went into a silent connection reached nobody: nothing runs.
+    // A silenced connection stands for one that lost the bytes, so no run starts.
     if (this.faults.isSilenced(request.socket)) return;
     const run = this.runs.record({
       requestId: getHeader(request, 'request-id'),
       account: getHeader(request, 'client-account'),
-      service: this.common.service,
-      backendServer: this.common.id,
+      service: this.baseOptions.service,
+      backendServer: this.baseOptions.id,
       method: request.method ?? 'GET',
       path: request.url ?? '/',
     });
@@ -161,19 +162,19 @@
   }
 
   #mayContinue(): boolean {
-    return this.common.honoursContinue && this.faults.kind !== FaultKind.NoContinue;
+    return this.baseOptions.honoursContinue && this.faults.kind !== FaultKind.NoContinue;
   }
 
-  /** The connection closes, since a body that is on its way would be read as the next call. */
+  /** Closes the connection too: a body still in transit would be parsed as the next request. */
   #sendRefusal(request: IncomingMessage, response: ServerResponse): void {
     response.setHeader('run-outcome', 'not_run');
     response.setHeader('connection', 'close');
     request.resume();
-    sendJson(response, 503, { error: { message: 'no room', type: 'server_error' } });
+    sendJson(response, 503, { error: { message: 'no capacity', type: 'server_error' } });
   }
 
   #sendLoad(response: ServerResponse): void {
-    sendJson(response, 200, { ...this.load.read(), leaving: this.#leaving });
+    sendJson(response, 200, { ...this.load.read(), leaving: this.#isDraining });
   }
 
   async #handleControl(
@@ -189,8 +190,8 @@
         this.faults.set(parseFaultOrder(text));
         sendJson(response, 200, { kind: this.faults.kind });
       } else if (route === 'POST /_standin/leaving') {
-        this.#leaving = (JSON.parse(text) as { leaving?: boolean }).leaving === true;
-        sendJson(response, 200, { leaving: this.#leaving });
+        this.#isDraining = (JSON.parse(text) as { leaving?: boolean }).leaving === true;
+        sendJson(response, 200, { leaving: this.#isDraining });
       } else sendJson(response, 404, { error: { message: `no ${route}` } });
     } catch (error) {
       sendJson(response, 400, { error: { message: String(error) } });
--- a/standin/_batch.ts
+++ b/standin/_batch.ts
@@ -1,5 +1,6 @@
 /**
- * Continuous batching: a step prefills a chunk and decodes a token a sequence.
+ * Simulates continuous batching: each step prefills one chunk of a prompt and decodes one
+ * token for every sequence whose prompt is prefilled.
  *
  * @module
  */
@@ -7,32 +8,32 @@
 import type { PrefixCache } from './_prefix_cache.js';
 import type { RunRecord } from './_run_log.js';
 
-/** Speeds of an engine. */
+/** Speed and batch size of an engine. */
 export interface EngineSpeed {
   readonly prefillTokensPerSecond: number;
-  /** Of one stream alone. */
+  /** Decode speed of a sequence that runs alone. */
   readonly decodeTokensPerSecond: number;
   readonly maxBatch: number;
-  /** All durations are multiplied by it. */
+  /** Factor by which all durations are multiplied. */
   readonly timeScale: number;
 }
 
-/** One answer on its way. */
+/** A prompt and the response that is generated for it. */
 export interface Sequence {
   readonly run: RunRecord;
   readonly promptTokens: number;
   readonly blockHashes: readonly string[];
   readonly outputTokens: number;
-  /** Called for each token, and says whether the sequence goes on. */
+  /** Called with the index of each decoded token; returns whether the sequence continues. */
   readonly onToken: (index: number) => boolean;
   readonly onEnd: () => void;
-  /** Called when the whole prompt was prefilled. */
+  /** Called when the whole prompt is prefilled. */
   readonly onPrefilled: () => void;
 }
 
 interface RunningSequence {
   readonly sequence: Sequence;
-  prefillLeft: number;
+  prefillTokensLeft: number;
 }
 
 interface Step {
@@ -43,13 +44,13 @@
 }
 
 const PREFILL_CHUNK_TOKENS = 512;
-/** A step with a full batch takes so much longer than one with a single stream. */
-const FULL_BATCH_GROWTH = 1;
+/** A decode step with a full batch takes up to (1 + this) times as long as one sequence alone. */
+const FULL_BATCH_SLOWDOWN = 1;
 const MS_PER_SECOND = 1000;
-/** A late timer catches up at most this far, in milliseconds. */
+/** Longest delay of a timer that is made up for by running overdue steps, in milliseconds. */
 const MAX_CATCH_UP_MS = 250;
 
-/** Runs sequences as they come; it knows no priorities. */
+/** Runs sequences in order of arrival, without priorities. */
 export class Batch {
   readonly #waiting: Sequence[] = [];
 
@@ -62,29 +63,29 @@
   #stepEndMs = 0;
 
   /**
-   * @param speed - how fast it is
+   * @param speed - speed and batch size of the engine
    * @param cache - the prefix cache
-   * @param getSlowness - how many times as long a step takes now
-   * @param onChange - called when the counts have changed
+   * @param getSlowdownFactor - returns the factor by which a fault currently slows down each step
+   * @param onChange - called when the number of running or waiting sequences may have changed
    */
   constructor(
     readonly speed: EngineSpeed,
     readonly cache: PrefixCache,
-    readonly getSlowness: () => number,
+    readonly getSlowdownFactor: () => number,
     readonly onChange: () => void,
   ) {}
 
-  /** How many sequences run. */
+  /** Number of sequences in the batch. */
   get runningCount(): number {
     return this.#running.length;
   }
 
-  /** How many sequences wait for a place in the batch. */
+  /** Number of sequences that wait for a place in the batch. */
   get waitingCount(): number {
     return this.#waiting.length;
   }
 
-  /** @param sequence - runs as soon as there is a place */
+  /** Queues a sequence. @param sequence - it runs as soon as the batch has a free place */
   add(sequence: Sequence): void {
     this.#waiting.push(sequence);
     if (!this.#step) {
@@ -94,7 +95,7 @@
     this.onChange();
   }
 
-  /** @param run - whose sequence to take out */
+  /** Removes the sequence of a run from the queue or the batch. @param run - the run */
   remove(run: RunRecord): void {
     const index = this.#waiting.findIndex((sequence) => sequence.run === run);
     if (index >= 0) this.#waiting.splice(index, 1);
@@ -102,7 +103,7 @@
     this.onChange();
   }
 
-  /** Takes back the timer. */
+  /** Clears the timer. */
   stop(): void {
     clearTimeout(this.#timer);
   }
@@ -123,14 +124,14 @@
       const cached = this.cache.countCached(sequence.blockHashes) * TOKENS_PER_BLOCK;
       sequence.run.cachedTokens = Math.min(cached, sequence.promptTokens - 1);
       const prefillLeft = sequence.promptTokens - sequence.run.cachedTokens;
-      this.#running.push({ sequence, prefillLeft });
+      this.#running.push({ sequence, prefillTokensLeft: prefillLeft });
     }
   }
 
   #pickStep(): Step {
-    const prefilling = this.#running.find((each) => each.prefillLeft > 0);
-    const decoding = this.#running.filter((each) => each.prefillLeft === 0);
-    const chunkTokens = Math.min(prefilling?.prefillLeft ?? 0, PREFILL_CHUNK_TOKENS);
+    const prefilling = this.#running.find((each) => each.prefillTokensLeft > 0);
+    const decoding = this.#running.filter((each) => each.prefillTokensLeft === 0);
+    const chunkTokens = Math.min(prefilling?.prefillTokensLeft ?? 0, PREFILL_CHUNK_TOKENS);
     return {
       prefilling,
       chunkTokens,
@@ -141,11 +142,11 @@
 
   #computeDurationMs(chunkTokens: number, streams: number): number {
     const { prefillTokensPerSecond, decodeTokensPerSecond, maxBatch, timeScale } = this.speed;
-    const growth = 1 + (FULL_BATCH_GROWTH * Math.max(0, streams - 1)) / maxBatch;
-    const decodeSeconds = streams === 0 ? 0 : growth / decodeTokensPerSecond;
+    const batchSlowdown = 1 + (FULL_BATCH_SLOWDOWN * Math.max(0, streams - 1)) / maxBatch;
+    const decodeSeconds = streams === 0 ? 0 : batchSlowdown / decodeTokensPerSecond;
     const prefillSeconds = chunkTokens / prefillTokensPerSecond;
     const seconds = decodeSeconds + prefillSeconds;
-    return seconds * MS_PER_SECOND * timeScale * this.getSlowness();
+    return seconds * MS_PER_SECOND * timeScale * this.getSlowdownFactor();
   }
 
   #schedule(): void {
@@ -158,7 +159,7 @@
     );
   }
 
-  /** Timers have a grain of a millisecond; steps that are due together run together. */
+  /** Runs all due steps in one go, since timers have a resolution of one millisecond. */
   #runDueSteps(): void {
     const nowMs = performance.now();
     this.#stepEndMs = Math.max(this.#stepEndMs, nowMs - MAX_CATCH_UP_MS);
@@ -179,9 +180,9 @@
   #applyPrefill(step: Step): void {
     const each = step.prefilling;
     if (!each || !this.#running.includes(each)) return;
-    each.prefillLeft -= step.chunkTokens;
+    each.prefillTokensLeft -= step.chunkTokens;
     each.sequence.run.prefillTokens += step.chunkTokens;
-    if (each.prefillLeft > 0) return;
+    if (each.prefillTokensLeft > 0) return;
     this.cache.add(each.sequence.blockHashes);
     each.sequence.onPrefilled();
   }
@@ -189,9 +190,9 @@
   #decode(each: RunningSequence): boolean {
     if (!this.#running.includes(each)) return false;
     const { run, onToken, onEnd, outputTokens } = each.sequence;
-    const goesOn = onToken(run.outputTokens);
+    const mustContinue = onToken(run.outputTokens);
     run.outputTokens += 1;
-    if (!goesOn) return false;
+    if (!mustContinue) return false;
     if (run.outputTokens < outputTokens) return true;
     onEnd();
     return false;
--- a/standin/_completion_writer.ts
+++ b/standin/_completion_writer.ts
@@ -1,15 +1,16 @@
 /**
- * An engine's answers in the OpenAI-compatible protocol, streamed or whole.
+ * Writes the responses of a stand-in engine in the OpenAI-compatible protocol, either
+ * streamed or as one JSON document.
  *
  * @module
  */
 import type { AnswerStream } from './_answer_stream.js';
-import { buildAnswerTokens } from './_prompt.js';
+import { createTokenBuilder } from './_prompt.js';
 import type { Prompt } from './_prompt.js';
 
 const MS_PER_SECOND = 1000;
 
-/** Writes one completion into its stream. */
+/** Writes one chat completion into an answer stream. */
 export class CompletionWriter {
   readonly #buildToken: (index: number) => string;
 
@@ -18,45 +19,45 @@
   readonly #texts: string[] = [];
 
   /**
-   * @param prompt - what is answered
-   * @param stream - where to write
+   * @param prompt - the prompt to answer
+   * @param stream - the stream to write to
    */
   constructor(
     readonly prompt: Prompt,
     readonly stream: AnswerStream,
   ) {
-    this.#buildToken = buildAnswerTokens(prompt.text);
+    this.#buildToken = createTokenBuilder(prompt.text);
   }
 
-  /** @param index - number of the token that was decoded */
+  /** Writes one decoded token. @param index - index of the token in the answer, from 0 */
   writeToken(index: number): void {
     const content = this.#buildToken(index);
-    if (!this.prompt.streamed) this.#texts.push(content);
+    if (!this.prompt.isStreaming) this.#texts.push(content);
     else {
       const delta = index === 0 ? { role: 'assistant', content } : { content };
       this.#writeEvent({ choices: [{ index: 0, delta, finish_reason: null }] });
     }
   }
 
-  /** @param outputTokens - length of the answer, which is whole now */
+  /** Writes the end of the response. @param outputTokens - length of the answer in tokens */
   writeEnd(outputTokens: number): void {
-    if (this.prompt.streamed) this.#writeStreamEnd(outputTokens);
-    else this.#writeWhole(outputTokens);
+    if (this.prompt.isStreaming) this.#writeStreamEnd(outputTokens);
+    else this.#writeDocument(outputTokens);
     this.stream.close();
   }
 
   #writeStreamEnd(outputTokens: number): void {
     this.#writeEvent({ choices: [{ index: 0, delta: {}, finish_reason: 'stop' }] });
-    if (this.prompt.includesUsage) {
+    if (this.prompt.mustIncludeUsage) {
       this.#writeEvent({ choices: [], usage: this.#buildUsage(outputTokens) });
     }
     this.stream.write(Buffer.from('data: [DONE]\n\n'));
   }
 
-  #writeWhole(outputTokens: number): void {
+  #writeDocument(outputTokens: number): void {
     const message = { role: 'assistant', content: this.#texts.join('') };
     const answer = {
-      ...this.#buildCommon('chat.completion'),
+      ...this.#buildCommonFields('chat.completion'),
       choices: [{ index: 0, message, finish_reason: 'stop' }],
       usage: this.#buildUsage(outputTokens),
     };
@@ -64,11 +65,11 @@
   }
 
   #writeEvent(fields: object): void {
-    const event = { ...this.#buildCommon('chat.completion.chunk'), ...fields };
+    const event = { ...this.#buildCommonFields('chat.completion.chunk'), ...fields };
     this.stream.write(Buffer.from(`data: ${JSON.stringify(event)}\n\n`));
   }
 
-  #buildCommon(object: string): object {
+  #buildCommonFields(object: string): object {
     const { model } = this.prompt;
     return { id: `chatcmpl-${this.stream.id}`, object, created: this.#created, model };
   }
--- a/standin/_engine_settings.ts
+++ b/standin/_engine_settings.ts
@@ -1,14 +1,14 @@
 /**
- * The settings of a stand-in engine, from flags or from a JSON list.
+ * Command-line flags of a stand-in engine and their conversion to engine options.
  *
  * @module
  */
 import type { ModelEngineOptions } from './model_engine.js';
 
-/** Settings as text, by flag name. */
+/** Flag values as text, keyed by flag name without the leading dashes. */
 export type EngineFlags = Readonly<Record<string, string | undefined>>;
 
-/** Flags of an engine with their defaults. */
+/** Flags of an engine and their defaults, as `parseArgs` takes them. */
 export const ENGINE_FLAGS = {
   listen: { type: 'string', default: '127.0.0.1:0' },
   id: { type: 'string', default: 'engine-1' },
@@ -26,16 +26,16 @@
 } as const;
 
 /**
- * Builds an engine's options.
+ * Builds the options of an engine.
  *
- * @param flags - texts by flag name, defaults filled in
+ * @param flags - flag values with the defaults filled in
  * @returns the options
- * @throws Error that names a flag which is no number
+ * @throws Error that names a numeric flag whose value is not a number
  */
 export function buildEngineOptions(flags: EngineFlags): ModelEngineOptions {
   const parseNumber = (name: string): number => {
     const value = Number(flags[name]);
-    if (!Number.isFinite(value)) throw new Error(`Cannot use --${name} "${flags[name]}"`);
+    if (!Number.isFinite(value)) throw new Error(`--${name} "${flags[name]}" is not a number`);
     return value;
   };
   return {
--- a/standin/_fault_switch.ts
+++ b/standin/_fault_switch.ts
@@ -1,31 +1,31 @@
 /**
- * The faults of a stand-in backend server.
+ * Fault injection for stand-in backend servers.
  *
  * @module
  */
 import type { Server } from 'node:http';
 import type { Socket } from 'node:net';
 
-/** The faults that can be ordered. */
+/** Kinds of fault that can be injected. */
 export enum FaultKind {
   None = 'none',
-  /** Everything takes `factor` times as long. */
+  /** All work takes `factor` times as long. */
   Slow = 'slow',
-  /** Connections and bytes are taken, nothing is answered, nothing runs. */
+  /** Connections and bytes are accepted, but nothing is answered and nothing runs. */
   Silent = 'silent',
-  /** Each call is refused before its body. */
+  /** Each call is refused before its body is read. */
   Refuse = 'refuse',
-  /** The connection and the stream die after `factor` bytes of the answer. */
+  /** The connection and the stream break after `factor` bytes of the response. */
   DieMidway = 'die-midway',
-  /** 100 is never answered; a body that arrives all the same is run. */
+  /** `100 Continue` is never sent; a body that arrives without it is run. */
   NoContinue = 'no-continue',
 }
 
-/** One order to be faulty. */
+/** A fault to inject, as the body of `POST /_standin/faults` gives it. */
 export interface FaultOrder {
   readonly kind: FaultKind;
   readonly factor: number;
-  /** Of `silent`: only connections that are open now go silent, new ones work. */
+  /** For `silent`: silences only connections that are already open; new ones work. */
   readonly oldConnectionsOnly: boolean;
 }
 
@@ -34,9 +34,9 @@
 /**
  * Parses the body of `POST /_standin/faults`.
  *
- * @param text - JSON
- * @returns the order
- * @throws Error that names the kinds there are
+ * @param text - the body, JSON
+ * @returns the fault to inject
+ * @throws Error that lists the known kinds if the kind is unknown
  */
 export function parseFaultOrder(text: string): FaultOrder {
   const value = JSON.parse(text) as Partial<FaultOrder>;
@@ -52,57 +52,57 @@
   };
 }
 
-/** Holds the fault in force and knows which connections have gone silent for good. */
+/** Holds the active fault and tracks which connections are silenced for good. */
 export class FaultSwitch {
-  #order: FaultOrder = NO_FAULT;
+  #fault: FaultOrder = NO_FAULT;
 
-  readonly #open = new Set<Socket>();
+  readonly #openSockets = new Set<Socket>();
 
-  readonly #silenced = new WeakSet<Socket>();
+  readonly #silencedSockets = new WeakSet<Socket>();
 
-  /** @param server - whose connections to watch */
+  /** @param server - the server whose connections are tracked */
   constructor(server: Server) {
     server.on('connection', (socket: Socket) => {
-      this.#open.add(socket);
-      socket.once('close', () => this.#open.delete(socket));
-      if (this.#isSilencingNew()) this.#silenced.add(socket);
+      this.#openSockets.add(socket);
+      socket.once('close', () => this.#openSockets.delete(socket));
+      if (this.#isSilencingNew()) this.#silencedSockets.add(socket);
     });
   }
 
-  /** The kind in force. */
+  /** Kind of the active fault. */
   get kind(): FaultKind {
-    return this.#order.kind;
+    return this.#fault.kind;
   }
 
-  /** Bytes of an answer after which it dies. */
-  get bytesBeforeDeath(): number {
-    return this.#order.kind === FaultKind.DieMidway ? this.#order.factor : Infinity;
+  /** Number of bytes after which a response breaks; infinite without such a fault. */
+  get bytesBeforeCut(): number {
+    return this.#fault.kind === FaultKind.DieMidway ? this.#fault.factor : Infinity;
   }
 
-  /** How many times as long everything takes. */
-  get slowness(): number {
-    return this.#order.kind === FaultKind.Slow ? this.#order.factor : 1;
+  /** Factor by which the active fault lengthens all work. */
+  get slowdownFactor(): number {
+    return this.#fault.kind === FaultKind.Slow ? this.#fault.factor : 1;
   }
 
   /**
-   * Puts a fault in force. A connection that a silence has met stays silent
-   * after the fault, as one whose path has lost track of it.
+   * Activates a fault in place of the current one. A connection that was silenced stays
+   * silent after the fault ends, like one whose state a network device on the path has lost.
    *
    * @param order - the fault
    */
   set(order: FaultOrder): void {
-    this.#order = order;
+    this.#fault = order;
     if (order.kind === FaultKind.Silent) {
-      this.#open.forEach((socket) => this.#silenced.add(socket));
+      this.#openSockets.forEach((socket) => this.#silencedSockets.add(socket));
     }
   }
 
-  /** @param socket - which connection. @returns whether nothing may be answered on it */
+  /** @param socket - a connection. @returns whether nothing may be sent on it */
   isSilenced(socket: Socket | null): boolean {
-    return socket !== null && this.#silenced.has(socket);
+    return socket !== null && this.#silencedSockets.has(socket);
   }
 
   #isSilencingNew(): boolean {
-    return this.#order.kind === FaultKind.Silent && !this.#order.oldConnectionsOnly;
+    return this.#fault.kind === FaultKind.Silent && !this.#fault.oldConnectionsOnly;
   }
 }
--- a/standin/_http.ts
+++ b/standin/_http.ts
@@ -1,16 +1,16 @@
 /**
- * Reading bodies and sending JSON, for every stand-in.
+ * HTTP helpers that all stand-ins share: reading bodies and headers, and sending JSON.
  *
  * @module
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 /**
- * Reads a body whole.
+ * Reads the complete body of a request.
  *
- * @param request - whose body
- * @returns the bytes
- * @throws Error when the sender goes before the end
+ * @param request - the request
+ * @returns the bytes of the body
+ * @throws Error if the sender disconnects before the end of the body
  */
 export async function readBody(request: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
@@ -19,11 +19,11 @@
 }
 
 /**
- * Sends one JSON answer.
+ * Sends a JSON response.
  *
- * @param response - where to
+ * @param response - response to write to
  * @param status - HTTP status
- * @param value - what to send
+ * @param value - value of the body
  */
 export function sendJson(response: ServerResponse, status: number, value: unknown): void {
   const body = Buffer.from(JSON.stringify(value));
@@ -35,21 +35,21 @@
 }
 
 /**
- * Parses a request's target.
+ * Parses the target of a request.
  *
  * @param request - the request
- * @returns path and query
+ * @returns a URL with the request's path and query
  */
 export function parseTarget(request: IncomingMessage): URL {
   return new URL(request.url ?? '/', 'http://stand-in');
 }
 
 /**
- * Finds a header that must not be a list.
+ * Returns the value of a header that may occur only once.
  *
  * @param request - the request
- * @param name - lower-case name
- * @returns its value; empty when absent
+ * @param name - header name in lower case
+ * @returns the value; empty if the header is absent
  */
 export function getHeader(request: IncomingMessage, name: string): string {
   const value = request.headers[name];
--- a/standin/_lagged_load.ts
+++ b/standin/_lagged_load.ts
@@ -1,10 +1,10 @@
 /**
- * A load report that lags behind.
+ * The load report of a stand-in backend server, which lags behind the current load.
  *
  * @module
  */
 
-/** What `GET /v1/load` tells. */
+/** The load that `GET /v1/load` reports, as numbers of calls. */
 export interface Load {
   readonly running: number;
   readonly waiting: number;
@@ -15,20 +15,20 @@
   readonly load: Load;
 }
 
-/** Tells the load as it was a fixed time ago. */
+/** Returns the load as it was a fixed time ago. */
 export class LaggedLoad {
   readonly #samples: Sample[] = [{ atMs: -Infinity, load: { running: 0, waiting: 0 } }];
 
-  /** @param lagMs - how far the report lags, in milliseconds */
+  /** @param lagMs - age of the reported load, in milliseconds */
   constructor(readonly lagMs: number) {}
 
-  /** @param load - the load from now on */
+  /** Records a change of the load. @param load - the current load */
   record(load: Load): void {
     this.#samples.push({ atMs: performance.now(), load });
     this.#prune();
   }
 
-  /** @returns the load as it was */
+  /** @returns the load as it was `lagMs` ago */
   read(): Load {
     this.#prune();
     return (this.#samples[0] as Sample).load;
--- a/standin/_prefix_cache.ts
+++ b/standin/_prefix_cache.ts
@@ -1,18 +1,18 @@
 /**
- * An engine's prefix cache in limited memory.
+ * The prefix cache of a stand-in engine, limited to a number of blocks.
  *
  * @module
  */
 import type { CacheEventFeed } from './_cache_event_feed.js';
 
-/** Keeps blocks of prompts; the least recently used one goes first. */
+/** Holds the hashes of cached prompt blocks and evicts the least recently used ones first. */
 export class PrefixCache {
-  /** In the order of use, oldest first. */
+  /** Block hashes, least recently used first. */
   readonly #blocks = new Set<string>();
 
   /**
-   * @param maxBlocks - how many blocks fit
-   * @param events - where changes are published
+   * @param maxBlocks - number of blocks that fit
+   * @param events - feed in which changes are published
    */
   constructor(
     readonly maxBlocks: number,
@@ -20,10 +20,10 @@
   ) {}
 
   /**
-   * Counts the leading blocks that are held, and notes their use.
+   * Counts the leading blocks of a prompt that are cached, and marks them as recently used.
    *
-   * @param blockHashes - chained hashes of a prompt
-   * @returns how many of them, from the first on
+   * @param blockHashes - chained hashes of the prompt's blocks
+   * @returns the number of cached blocks before the first one that is missing
    */
   countCached(blockHashes: readonly string[]): number {
     const missing = blockHashes.findIndex((hash) => !this.#blocks.has(hash));
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Stores a prompt's blocks.
+   * Stores the blocks of a prompt.
    *
-   * @param blockHashes - chained hashes of the prompt
+   * @param blockHashes - chained hashes of the prompt's blocks
    */
   add(blockHashes: readonly string[]): void {
     blockHashes.forEach((hash) => {
--- a/standin/_program.ts
+++ b/standin/_program.ts
@@ -1,5 +1,6 @@
 /**
- * The life of a stand-in's process: say where it listens, end when told.
+ * Start and stop of a stand-in process: it prints the address it listens on and exits on a
+ * signal or when its parent is gone.
  *
  * @module
  */
@@ -18,19 +19,19 @@
 }
 
 /**
- * Prints the line that the parent waits for, and ends the process on SIGTERM,
- * on SIGINT and when the pipe to the parent closes. The last keeps a stand-in
- * from staying behind when the parent was killed and could stop nothing.
+ * Prints the JSON line that the parent waits for, and ends the process on SIGTERM, on SIGINT
+ * and when the pipe to the parent closes. The pipe keeps a stand-in from being orphaned when
+ * the parent is killed before it can stop its children.
  *
- * @param line - what to print; `pid` is added
- * @param parts - what to close at the end
+ * @param line - object to print; `pid` is added
+ * @param closables - objects to close before the process exits
  */
 export function runProgram(
   line: Readonly<Record<string, unknown>>,
-  parts: readonly Closable[],
+  closables: readonly Closable[],
 ): void {
   const stop = (): void => {
-    Promise.all(parts.map((part) => part.close())).finally(() => process.exit(0));
+    Promise.all(closables.map((part) => part.close())).finally(() => process.exit(0));
   };
   process.once('SIGTERM', stop);
   process.once('SIGINT', stop);
@@ -41,7 +42,7 @@
   process.stdout.write(`${JSON.stringify({ ...line, pid: process.pid })}\n`);
 }
 
-/** Where to listen. */
+/** Address to listen on. */
 export interface ListenAddress {
   readonly host: string;
   readonly port: number;
@@ -52,7 +53,7 @@
  *
  * @param text - such as `127.0.0.1:0`
  * @returns the address
- * @throws Error when there is no port
+ * @throws Error if the host or the port is missing
  */
 export function parseListenAddress(text: string): ListenAddress {
   const [host, port] = text.split(':');
--- a/standin/_prompt.ts
+++ b/standin/_prompt.ts
@@ -1,5 +1,5 @@
 /**
- * Prompts, their tokens and their blocks.
+ * Parses prompts, splits them into tokens and cache blocks, and builds the answers to them.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 const DEFAULT_OUTPUT_TOKENS = 64;
 const MAX_OUTPUT_TOKENS = 8192;
 
-/** Tokens of one block of the prefix cache. */
+/** Number of tokens in one block of the prefix cache. */
 export const TOKENS_PER_BLOCK = CHARACTERS_PER_BLOCK / CHARACTERS_PER_TOKEN;
 
 interface ChatMessage {
@@ -28,15 +28,15 @@
   readonly metadata?: { readonly output_tokens?: string | number };
 }
 
-/** What a chat completion asks for. */
+/** The parsed body of a chat completion request. */
 export interface Prompt {
   readonly model: string;
-  readonly streamed: boolean;
-  readonly includesUsage: boolean;
+  readonly isStreaming: boolean;
+  readonly mustIncludeUsage: boolean;
   readonly text: string;
   readonly tokens: number;
   readonly blockHashes: readonly string[];
-  /** How long the answer will be, in tokens. */
+  /** Length of the answer in tokens. */
   readonly outputTokens: number;
 }
 
@@ -51,10 +51,11 @@
 }
 
 /**
- * Computes the chained hashes of a prompt's full blocks.
+ * Computes the chained hashes of the full blocks of a prompt. Each hash covers the prompt from
+ * its start to the end of the block.
  *
- * @param text - the prompt
- * @returns one hash a block
+ * @param text - text of the prompt
+ * @returns one hash per full block
  */
 export function computeBlockHashes(text: string): string[] {
   const hashes: string[] = [];
@@ -66,27 +67,27 @@
   return hashes;
 }
 
-/** `metadata.output_tokens` lets a load tool set lengths that no scheduler reads. */
+/** Prefers `metadata.output_tokens`, by which a load tool sets a length hidden from schedulers. */
 function pickOutputTokens(body: ChatBody): number {
   const limit = body.max_completion_tokens ?? body.max_tokens;
-  const wish = Number(body.metadata?.output_tokens ?? limit ?? DEFAULT_OUTPUT_TOKENS);
-  return Math.max(1, Math.min(wish, limit ?? MAX_OUTPUT_TOKENS, MAX_OUTPUT_TOKENS));
+  const requested = Number(body.metadata?.output_tokens ?? limit ?? DEFAULT_OUTPUT_TOKENS);
+  return Math.max(1, Math.min(requested, limit ?? MAX_OUTPUT_TOKENS, MAX_OUTPUT_TOKENS));
 }
 
 /**
- * Parses a chat completion's body.
+ * Parses the body of a chat completion request.
  *
- * @param body - JSON
- * @returns what it asks for
- * @throws SyntaxError when it is no JSON
+ * @param body - the body, JSON
+ * @returns the parsed prompt
+ * @throws SyntaxError if the body is not JSON
  */
 export function parsePrompt(body: Buffer): Prompt {
   const chat = JSON.parse(body.toString()) as ChatBody;
   const text = (chat.messages ?? []).map(parseContent).join('\n');
   return {
     model: chat.model ?? '',
-    streamed: chat.stream === true,
-    includesUsage: chat.stream_options?.include_usage === true,
+    isStreaming: chat.stream === true,
+    mustIncludeUsage: chat.stream_options?.include_usage === true,
     text,
     tokens: Math.max(1, Math.ceil(text.length / CHARACTERS_PER_TOKEN)),
     blockHashes: computeBlockHashes(text),
@@ -95,25 +96,25 @@
 }
 
 /**
- * Builds one token of an answer. It names its prompt and its place, so that a
- * crossed, doubled or torn answer shows.
+ * Creates the function that builds the tokens of an answer. Each token contains a digest of the
+ * prompt and its own index, which reveals answers that are mixed up, duplicated or cut.
  *
- * @param promptText - what is answered
- * @returns the text of the token with a given number
+ * @param promptText - text of the prompt
+ * @returns a function that returns the text of the token with a given index
  */
-export function buildAnswerTokens(promptText: string): (index: number) => string {
-  const mark = hashText(promptText).slice(0, 8);
-  return (index) => `${mark}.${index} `;
+export function createTokenBuilder(promptText: string): (index: number) => string {
+  const promptDigest = hashText(promptText).slice(0, 8);
+  return (index) => `${promptDigest}.${index} `;
 }
 
 /**
- * Builds the whole answer to a prompt, as an engine gives it.
+ * Builds the complete answer that an engine gives to a prompt.
  *
- * @param promptText - messages' contents joined by line feeds
+ * @param promptText - contents of the messages joined by line feeds
  * @param outputTokens - length of the answer in tokens
- * @returns the answer's text
+ * @returns the text of the answer
  */
 export function buildAnswerText(promptText: string, outputTokens: number): string {
-  const buildToken = buildAnswerTokens(promptText);
+  const buildToken = createTokenBuilder(promptText);
   return Array.from({ length: outputTokens }, (_, index) => buildToken(index)).join('');
 }
--- a/standin/_revision_store.ts
+++ b/standin/_revision_store.ts
@@ -1,10 +1,10 @@
 /**
- * The keys of a stand-in platform service, with their whole history.
+ * Versioned key-value store of a stand-in platform service.
  *
  * @module
  */
 
-/** One key as it stands. */
+/** The current value of a key and the indexes of the writes that created and last changed it. */
 export interface StoredKey {
   readonly key: string;
   readonly value: Buffer;
@@ -15,17 +15,17 @@
 interface Write {
   readonly index: number;
   readonly key: string;
-  /** Undefined: the key was deleted. */
+  /** Value of the key; undefined for a deletion. */
   readonly value: Buffer | undefined;
 }
 
-/** What stands below a prefix. */
+/** All keys below a prefix. */
 export interface PrefixState {
   readonly index: number;
   readonly keys: readonly StoredKey[];
 }
 
-/** Keeps each write, so that an older state can be put back. */
+/** Keeps every write, so that an older state can be restored. */
 export class RevisionStore {
   #writes: Write[] = [];
 
@@ -37,9 +37,9 @@
   /**
    * Writes or deletes a key.
    *
-   * @param key - which key
-   * @param value - its value; undefined deletes it
-   * @returns the write's index
+   * @param key - the key
+   * @param value - the new value; undefined deletes the key
+   * @returns the index of the write
    */
   write(key: string, value: Buffer | undefined): number {
     const index = this.index + 1;
@@ -47,12 +47,12 @@
     return index;
   }
 
-  /** @param index - writes after it are forgotten, as after a restore from a backup */
-  removeAfter(index: number): void {
+  /** Drops later writes, like a restore from a backup. @param index - last write to keep */
+  truncateAfter(index: number): void {
     this.#writes = this.#writes.filter((write) => write.index <= index);
   }
 
-  /** @returns a copy that later writes don't change */
+  /** @returns a copy that later writes to this store do not change */
   createCopy(): RevisionStore {
     const copied = new RevisionStore();
     copied.#writes = [...this.#writes];
@@ -60,10 +60,10 @@
   }
 
   /**
-   * Reads everything below a prefix.
+   * Reads all keys below a prefix.
    *
-   * @param prefix - the keys' common start
-   * @returns its index, which deletions raise too, and its keys
+   * @param prefix - prefix of the keys
+   * @returns the keys, and the index of the last write or deletion below the prefix
    */
   read(prefix: string): PrefixState {
     const keys = new Map<string, StoredKey>();
--- a/standin/_run_log.ts
+++ b/standin/_run_log.ts
@@ -1,11 +1,11 @@
 /**
- * The record of every run that a stand-in started.
+ * Records every run that a stand-in backend server starts.
  *
  * @module
  */
 import { appendFileSync, existsSync, readFileSync } from 'node:fs';
 
-/** One run, as `GET /_standin/runs` tells it. */
+/** One run, as `GET /_standin/runs` returns it. */
 export interface RunRecord {
   readonly requestId: string;
   readonly account: string;
@@ -13,19 +13,19 @@
   readonly backendServer: string;
   readonly method: string;
   readonly path: string;
-  /** When the body had arrived whole, in milliseconds since the Unix epoch. */
+  /** Time at which the complete body had arrived, in milliseconds since the Unix epoch. */
   readonly started: number;
-  /** When the answer was whole, in milliseconds since the Unix epoch; null before. */
+  /** Time at which the response was complete, in ms since the Unix epoch; null before that. */
   finished: number | null;
   cancelled: boolean;
-  /** Prompt tokens that were computed. */
+  /** Number of prompt tokens that were computed. */
   prefillTokens: number;
-  /** Prompt tokens that the cache held. */
+  /** Number of prompt tokens that the prefix cache held. */
   cachedTokens: number;
   outputTokens: number;
 }
 
-/** What is known of a run at its start. */
+/** The fields of a run that are known at its start. */
 export type RunStart = Pick<
   RunRecord,
   'requestId' | 'account' | 'service' | 'backendServer' | 'method' | 'path'
@@ -37,25 +37,25 @@
 }
 
 /**
- * Keeps every run, so that doubles and losses are counted where they would
- * hurt. With a file, the runs outlive the process: a backend server that was
- * killed would otherwise take the proof of its runs along.
+ * Keeps every run, so that duplicate and lost runs are counted at the backend server itself.
+ * With a file the runs outlive the process; otherwise the record of a server's runs would be
+ * lost when the server is killed.
  */
 export class RunLog {
   readonly #records: RunRecord[];
 
   readonly #numbers = new WeakMap<RunRecord, number>();
 
-  /** @param file - where the runs are kept; undefined: in memory only */
+  /** @param file - file that stores the runs; undefined keeps them in memory only */
   constructor(readonly file: string | undefined) {
     this.#records = file === undefined ? [] : readRunFile(file);
   }
 
   /**
-   * Records that a run starts.
+   * Records the start of a run.
    *
-   * @param start - what is known of it
-   * @returns the record, to be kept up to date
+   * @param start - fields that are known at the start
+   * @returns the record, which the caller mutates as the run proceeds
    */
   record(start: RunStart): RunRecord {
     const record: RunRecord = {
@@ -73,7 +73,7 @@
     return record;
   }
 
-  /** @param record - a run that has changed, to be written to the file */
+  /** Appends the current state of a run to the file. @param record - a run that has changed */
   update(record: RunRecord): void {
     if (this.file === undefined) return;
     const number = this.#numbers.get(record);
@@ -82,17 +82,17 @@
     appendFileSync(this.file, `${JSON.stringify(saved)}\n`);
   }
 
-  /** @returns every run so far */
+  /** @returns all runs so far */
   list(): readonly RunRecord[] {
     return this.#records;
   }
 }
 
 /**
- * Reads the runs that a stand-in wrote to its file.
+ * Reads the runs from the file of a stand-in.
  *
  * @param file - the file; it may not exist yet
- * @returns the runs, each as it was written last
+ * @returns the runs, each in the state that was written last
  */
 export function readRunFile(file: string): RunRecord[] {
   if (!existsSync(file)) return [];
--- a/standin/_test_client.ts
+++ b/standin/_test_client.ts
@@ -1,22 +1,22 @@
 /**
- * A plain client for the stand-ins' own tests.
+ * HTTP client for the tests of the stand-ins.
  *
  * @module
  */
 import { Agent, request } from 'node:http';
 import type { ClientRequest, IncomingMessage } from 'node:http';
 
-/** What is sent. */
+/** Options of a request. */
 export interface TestCall {
   readonly method?: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
-  /** Keeps the connection for the next call. */
+  /** Agent whose connection is reused for the next call; by default each call opens its own. */
   readonly agent?: Agent;
 }
 
-/** A whole answer. */
-export interface TestAnswer {
+/** A response that was read to its end or to the break of its connection. */
+export interface TestResponse {
   readonly status: number;
   readonly headers: IncomingMessage['headers'];
   readonly body: string;
@@ -24,12 +24,12 @@
   readonly isBroken: boolean;
 }
 
-/** @returns an agent with one connection that is kept */
+/** @returns an agent with a single persistent connection */
 export function createSingleConnection(): Agent {
   return new Agent({ keepAlive: true, maxSockets: 1 });
 }
 
-/** Opens a call and sends its head only. @param url - where to. @param call - what */
+/** Opens a request and sends only its head. @param url - target. @param call - its options */
 export function openCall(url: string, call: TestCall = {}): ClientRequest {
   const { method = 'GET', headers, agent } = call;
   const outgoing = request(url, { method, headers, agent: agent ?? new Agent() });
@@ -38,16 +38,16 @@
   return outgoing;
 }
 
-/** Waits for an answer's head. @param outgoing - the open call */
-export function waitHead(outgoing: ClientRequest): Promise<IncomingMessage> {
+/** Waits for the head of the response. @param outgoing - the open request */
+export function waitForHead(outgoing: ClientRequest): Promise<IncomingMessage> {
   return new Promise((resolve, reject) => {
     outgoing.once('response', resolve);
     outgoing.once('error', reject);
   });
 }
 
-/** Reads an answer to its end or its break. @param response - the answer's head */
-export function readAnswer(response: IncomingMessage): Promise<TestAnswer> {
+/** Reads a response until it ends or its connection breaks. @param response - the response */
+export function readResponse(response: IncomingMessage): Promise<TestResponse> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     response.on('data', (chunk: Buffer) => chunks.push(chunk));
@@ -63,19 +63,19 @@
   });
 }
 
-/** Sends a whole call and reads its answer. @param url - where to. @param call - what */
-export async function sendCall(url: string, call: TestCall = {}): Promise<TestAnswer> {
+/** Sends a request and reads its response. @param url - target. @param call - its options */
+export async function sendCall(url: string, call: TestCall = {}): Promise<TestResponse> {
   const outgoing = openCall(url, call);
   outgoing.end(call.body);
-  return readAnswer(await waitHead(outgoing));
+  return readResponse(await waitForHead(outgoing));
 }
 
-/** Sends a call and parses the JSON answer. @param url - where to. @param call - what */
+/** Sends a request and parses the JSON response. @param url - target. @param call - its options */
 export async function sendJsonCall<T>(url: string, call: TestCall = {}): Promise<T> {
   return JSON.parse((await sendCall(url, call)).body) as T;
 }
 
-/** Orders a fault. @param url - the stand-in's base URL. @param fault - which */
+/** Injects a fault. @param url - base URL of the stand-in. @param fault - body to send */
 export async function setFault(url: string, fault: object): Promise<void> {
   const body = JSON.stringify(fault);
   await sendCall(`${url}/_standin/faults`, { method: 'POST', body });
--- a/standin/engine_main.ts
+++ b/standin/engine_main.ts
@@ -1,5 +1,5 @@
 /**
- * Program: one stand-in model engine.
+ * Entry point of a process that runs one stand-in model engine.
  *
  * @module
  */
--- a/standin/engines_main.ts
+++ b/standin/engines_main.ts
@@ -1,6 +1,6 @@
 /**
- * Program: several stand-in model engines in one process, for experiments.
- * `--engines` takes a JSON list of objects with the flags of one engine.
+ * Entry point of a process that runs several stand-in model engines, for experiments.
+ * `--engines` takes a JSON list of objects, each with the flags of one engine.
  *
  * @module
  */
--- a/standin/mod.ts
+++ b/standin/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-ins of the platform and of backend servers, for tests, benches and the
- * demo. They import nothing of the system and record every run they start.
+ * Stand-ins for the platform services and the backend servers, for tests, benchmarks and the
+ * demo. They import no code of the system under test and record every run they start.
  *
  * ```ts
  * const engine = new ModelEngine(options);
--- a/standin/model_engine.ts
+++ b/standin/model_engine.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in model engine.
+ * A stand-in model engine with an OpenAI-compatible API.
  *
  * @module
  */
@@ -18,49 +18,52 @@
 import type { Prompt } from './_prompt.js';
 import type { RunRecord } from './_run_log.js';
 
-/** What a stand-in engine can be told at its start. */
+/** Options of a stand-in engine. */
 export interface ModelEngineOptions extends BackendStandInOptions, EngineSpeed {
   readonly models: readonly string[];
-  /** Blocks that the prefix cache holds. */
+  /** Capacity of the prefix cache in blocks. */
   readonly cacheBlocks: number;
-  /** How late cache events are published, in milliseconds. */
+  /** Delay before a cache event is published, in milliseconds. */
   readonly cacheEventLagMs: number;
-  /** Calls that may wait for a place in the batch; more are refused. */
+  /** Maximum number of calls that wait for a place in the batch; further calls are refused. */
   readonly maxWaiting: number;
 }
 
-interface KeptStream {
+interface RetainedStream {
   readonly stream: AnswerStream;
   readonly run: RunRecord;
 }
 
-/** A finished stream can be read for a minute. */
-const KEEP_STREAM_MS = 60_000;
+/** A complete stream can still be read for one minute. */
+const STREAM_RETENTION_MS = 60_000;
 const STREAMS_PATH = '/v1/streams/';
 
-/** Batches continuously, caches prefixes, knows no priorities, resumes and cancels streams. */
+/**
+ * Simulates an engine with continuous batching and a prefix cache but without priorities.
+ * Clients can resume and cancel its streams.
+ */
 export class ModelEngine extends BackendStandIn {
-  readonly #streams = new Map<string, KeptStream>();
+  readonly #streams = new Map<string, RetainedStream>();
 
   readonly #events: CacheEventFeed;
 
   readonly #batch: Batch;
 
-  /** @param options - what it is told at its start */
+  /** @param options - options of the engine */
   constructor(readonly options: ModelEngineOptions) {
     super(options);
     this.#events = new CacheEventFeed(options.cacheEventLagMs);
     this.#batch = new Batch(
       options,
       new PrefixCache(options.cacheBlocks, this.#events),
-      () => this.faults.slowness,
+      () => this.faults.slowdownFactor,
       () => {
         this.recordLoad({ running: this.#batch.runningCount, waiting: this.#batch.waitingCount });
       },
     );
   }
 
-  protected override isWork(request: IncomingMessage): boolean {
+  protected override isRunRequest(request: IncomingMessage): boolean {
     return request.method === 'POST' && parseTarget(request).pathname === '/v1/chat/completions';
   }
 
@@ -71,10 +74,10 @@
   protected override handleCall({ response, body, run }: StartedCall): void {
     const prompt = this.#parse(body, response, run);
     if (!prompt) return;
-    const contentType = prompt.streamed ? 'text/event-stream' : 'application/json';
+    const contentType = prompt.isStreaming ? 'text/event-stream' : 'application/json';
     const stream = new AnswerStream(randomUUID(), contentType, this.faults);
     this.#streams.set(stream.id, { stream, run });
-    stream.send(response, 0);
+    stream.sendFrom(response, 0);
     this.#batch.add({
       run,
       promptTokens: prompt.tokens,
@@ -85,7 +88,7 @@
     });
   }
 
-  protected override handleOther(request: IncomingMessage, response: ServerResponse): void {
+  protected override handleOtherRequest(request: IncomingMessage, response: ServerResponse): void {
     request.resume();
     const { pathname, searchParams } = parseTarget(request);
     if (pathname === '/v1/models') this.#sendModels(response);
@@ -100,17 +103,20 @@
     } else sendJson(response, 404, { error: { message: `no ${pathname}` } });
   }
 
-  protected override stopRuns(): void {
+  protected override clearTimers(): void {
     this.#batch.stop();
   }
 
-  /** What can't be read ends at once; the run is recorded, since the body had arrived. */
+  /**
+   * Parses the body of a call. A malformed body finishes the run at once; the run stays
+   * recorded, since the body had arrived.
+   */
   #parse(body: Buffer, response: ServerResponse, run: RunRecord): Prompt | undefined {
     try {
       return parsePrompt(body);
     } catch (error) {
-      this.closeRun(run);
-      const message = `Cannot read the body: ${String(error)}`;
+      this.finishRun(run);
+      const message = `Cannot parse the body: ${String(error)}`;
       sendJson(response, 400, { error: { message, type: 'invalid_request_error' } });
       return undefined;
     }
@@ -129,9 +135,9 @@
       },
       onEnd: () => {
         writer.writeEnd(prompt.outputTokens);
-        if (!this.#isWhole(stream)) return;
-        this.closeRun(run);
-        setTimeout(() => this.#streams.delete(stream.id), KEEP_STREAM_MS).unref();
+        if (!this.#isComplete(stream)) return;
+        this.finishRun(run);
+        setTimeout(() => this.#streams.delete(stream.id), STREAM_RETENTION_MS).unref();
       },
     };
   }
@@ -141,44 +147,44 @@
     return stream.state === StreamState.Running;
   }
 
-  #isWhole(stream: AnswerStream): boolean {
+  #isComplete(stream: AnswerStream): boolean {
     this.#removeIfBroken(stream);
-    return stream.state === StreamState.Whole;
+    return stream.state === StreamState.Complete;
   }
 
-  /** A stream that died midway is forgotten, as after a crash of its engine. */
+  /** Deletes a stream that broke midway, since a crash of a real engine loses its streams. */
   #removeIfBroken(stream: AnswerStream): void {
     if (stream.state === StreamState.Broken) this.#streams.delete(stream.id);
   }
 
-  /** Finds a stream by the name that its head told, or by the request's own ID. */
-  #findStream(id: string): KeptStream | undefined {
+  /** Finds a stream by its ID from the `stream-id` response header, or by the request ID. */
+  #findStream(id: string): RetainedStream | undefined {
     return (
       this.#streams.get(id) ?? [...this.#streams.values()].find(({ run }) => run.requestId === id)
     );
   }
 
   #resume(id: string, offset: number, response: ServerResponse): void {
-    const kept = this.#findStream(id);
-    if (kept) kept.stream.send(response, offset);
+    const retained = this.#findStream(id);
+    if (retained) retained.stream.sendFrom(response, offset);
     else sendJson(response, 404, { error: { message: `no stream ${id}` } });
   }
 
   #cancel(id: string, response: ServerResponse): void {
-    const kept = this.#findStream(id);
-    if (!kept) {
+    const retained = this.#findStream(id);
+    if (!retained) {
       sendJson(response, 404, { error: { message: `no stream ${id}` } });
       return;
     }
-    const cancels = kept.stream.state === StreamState.Running;
-    if (cancels) {
-      kept.run.cancelled = true;
-      this.runs.update(kept.run);
-      this.#batch.remove(kept.run);
-      kept.stream.closeBroken();
-      this.#streams.delete(kept.stream.id);
+    const isCancelled = retained.stream.state === StreamState.Running;
+    if (isCancelled) {
+      retained.run.cancelled = true;
+      this.runs.update(retained.run);
+      this.#batch.remove(retained.run);
+      retained.stream.abort();
+      this.#streams.delete(retained.stream.id);
     }
-    sendJson(response, 200, { cancelled: cancels });
+    sendJson(response, 200, { cancelled: isCancelled });
   }
 
   #sendModels(response: ServerResponse): void {
--- a/standin/model_engine_test.ts
+++ b/standin/model_engine_test.ts
@@ -5,11 +5,11 @@
 import {
   createSingleConnection,
   openCall,
-  readAnswer,
+  readResponse,
   sendCall,
   sendJsonCall,
   setFault,
-  waitHead,
+  waitForHead,
 } from './_test_client.js';
 
 const OPTIONS: ModelEngineOptions = {
@@ -52,7 +52,7 @@
     .join('');
 }
 
-t.test('ModelEngine starts a run only once the body has arrived after its 100', async (t) => {
+t.test('ModelEngine starts a run only when the body arrives after 100 Continue', async (t) => {
   const url = await startEngine(t);
   const call = openCall(`${url}/v1/chat/completions`, {
     method: 'POST',
@@ -63,43 +63,46 @@
   });
   t.same(await readRuns(url), []);
   call.end(buildBody('hello', 3));
-  const answer = await readAnswer(await waitHead(call));
+  const answer = await readResponse(await waitForHead(call));
   t.equal(readText(answer.body), buildAnswerText('hello', 3));
   const [run] = await readRuns(url);
   t.match(run, { requestId: 'r1', account: 'firm-a', cancelled: false, outputTokens: 3 });
   t.type(run?.finished, 'number');
 });
 
-t.test('ModelEngine refuses in place of the 100, and nothing runs', async (t) => {
-  const url = await startEngine(t);
-  await setFault(url, { kind: 'refuse' });
-  const call = openCall(`${url}/v1/chat/completions`, {
-    method: 'POST',
-    headers: { expect: '100-continue' },
-  });
-  call.once('continue', () => t.fail('100 came before a refusal'));
-  const answer = await readAnswer(await waitHead(call));
-  t.equal(answer.status, 503);
-  t.equal(answer.headers['run-outcome'], 'not_run');
-  t.same(await readRuns(url), []);
-});
-
-t.test('ModelEngine refuses once its waiting line is full', async (t) => {
+t.test(
+  'ModelEngine refuses a call instead of sending 100 Continue, and runs nothing',
+  async (t) => {
+    const url = await startEngine(t);
+    await setFault(url, { kind: 'refuse' });
+    const call = openCall(`${url}/v1/chat/completions`, {
+      method: 'POST',
+      headers: { expect: '100-continue' },
+    });
+    call.once('continue', () => t.fail('100 came before a refusal'));
+    const answer = await readResponse(await waitForHead(call));
+    t.equal(answer.status, 503);
+    t.equal(answer.headers['run-outcome'], 'not_run');
+    t.same(await readRuns(url), []);
+  },
+);
+
+t.test('ModelEngine refuses calls when its queue is full', async (t) => {
   const url = await startEngine(t, { maxBatch: 1, maxWaiting: 1, decodeTokensPerSecond: 0.1 });
   const send = () =>
     openCall(`${url}/v1/chat/completions`, { method: 'POST' }).end(buildBody('x', 9));
-  await waitHead(send());
-  await waitHead(send());
-  const answer = await readAnswer(await waitHead(send()));
+  await waitForHead(send());
+  await waitForHead(send());
+  const answer = await readResponse(await waitForHead(send()));
   t.equal(answer.status, 503);
   t.equal((await readRuns(url)).length, 2);
   t.match(await sendJsonCall(`${url}/v1/load`), { running: 1, waiting: 1, leaving: false });
 });
 
-// Symptom: a call on a kept connection is never answered, one on a new connection is.
-// Sequence: a call ends, the path loses track of its connection, a second call uses it.
-// Cause: nothing tells either end that the connection is dead.
-t.test('ModelEngine runs nothing on a silent old connection and serves a new one', async (t) => {
+// Checks the simulation of a dead connection: a network device loses the state of an idle
+// keep-alive connection, and neither end is told. The next call on the connection is never
+// answered, while a call on a new connection is.
+t.test('ModelEngine runs nothing on a silenced connection and serves a new one', async (t) => {
   const url = await startEngine(t);
   const agent = createSingleConnection();
   t.teardown(() => agent.destroy());
@@ -114,10 +117,9 @@
   t.equal((await readRuns(url)).length, 2);
 });
 
-// Symptom: an answer breaks off and its stream is gone.
-// Sequence: the engine dies after some bytes of the answer.
-// Cause: a crash takes the engine's streams along; the run had started.
-t.test('ModelEngine dies midway at the ordered byte, and the run stays unfinished', async (t) => {
+// Checks the simulation of an engine crash: the response breaks off after some bytes, the
+// engine loses its streams, and the run, which had started, never finishes.
+t.test('ModelEngine cuts a response at the given byte and leaves the run unfinished', async (t) => {
   const url = await startEngine(t);
   await setFault(url, { kind: 'die-midway', factor: 300 });
   const answer = await sendCall(`${url}/v1/chat/completions`, {
@@ -131,11 +133,11 @@
   t.equal((await sendCall(`${url}/v1/streams/${streamId}`)).status, 404);
 });
 
-t.test('ModelEngine goes on without its client and resumes at an offset', async (t) => {
+t.test('ModelEngine continues after its client disconnects and resumes at an offset', async (t) => {
   const url = await startEngine(t);
   const call = openCall(`${url}/v1/chat/completions`, { method: 'POST' });
   call.end(buildBody('hello', 50));
-  const head = await waitHead(call);
+  const head = await waitForHead(call);
   const streamId = String(head.headers['stream-id']);
   const first = await new Promise<Buffer>((resolve) => {
     head.once('data', resolve);
@@ -150,12 +152,12 @@
   t.equal((await readRuns(url)).length, 1);
 });
 
-t.test('ModelEngine cancels a stream, and its reader does not take it for whole', async (t) => {
+t.test('ModelEngine cancels a stream and breaks the connection of its reader', async (t) => {
   const url = await startEngine(t, { decodeTokensPerSecond: 20 });
   const call = openCall(`${url}/v1/chat/completions`, { method: 'POST' });
   call.end(buildBody('hello', 8000));
-  const head = await waitHead(call);
-  const answer = readAnswer(head);
+  const head = await waitForHead(call);
+  const answer = readResponse(head);
   const path = `${url}/v1/streams/${String(head.headers['stream-id'])}`;
   t.same(await sendJsonCall(path, { method: 'DELETE' }), { cancelled: true });
   t.equal((await answer).isBroken, true);
@@ -202,7 +204,7 @@
   );
 });
 
-t.test('ModelEngine publishes cache events late', async (t) => {
+t.test('ModelEngine publishes cache events with a delay', async (t) => {
   const url = await startEngine(t, { cacheEventLagMs: HOUR_MS });
   const body = buildBody('x'.repeat(512), 1);
   await sendCall(`${url}/v1/chat/completions`, { method: 'POST', body });
@@ -213,11 +215,11 @@
   const url = await startEngine(t, { loadLagMs: HOUR_MS, decodeTokensPerSecond: 1 });
   const call = openCall(`${url}/v1/chat/completions`, { method: 'POST' });
   call.end(buildBody('hello', 100));
-  await waitHead(call);
+  await waitForHead(call);
   t.match(await sendJsonCall(`${url}/v1/load`), { running: 0, waiting: 0 });
 });
 
-t.test('ModelEngine answers whole with usage when no stream is asked for', async (t) => {
+t.test('ModelEngine answers an unstreamed call with one document and its usage', async (t) => {
   const url = await startEngine(t);
   const body = buildBody('hello', 4, false);
   const answer = await sendJsonCall(`${url}/v1/chat/completions`, { method: 'POST', body });
@@ -229,14 +231,14 @@
   t.match(await sendJsonCall(`${url}/v1/models`), { data: [{ id: 'monsoon-draft' }] });
 });
 
-t.test('ModelEngine answers 400 to a body that is no JSON', async (t) => {
+t.test('ModelEngine answers 400 to a body that is not JSON', async (t) => {
   const url = await startEngine(t);
   const answer = await sendCall(`${url}/v1/chat/completions`, { method: 'POST', body: '{' });
   t.equal(answer.status, 400);
   t.equal((await readRuns(url)).length, 1);
 });
 
-t.test('ModelEngine that dies in an unstreamed answer leaves the run unfinished', async (t) => {
+t.test('ModelEngine leaves the run of a cut unstreamed response unfinished', async (t) => {
   const url = await startEngine(t);
   await setFault(url, { kind: 'die-midway', factor: 20 });
   const body = buildBody('hello', 4, false);
--- a/standin/plain_main.ts
+++ b/standin/plain_main.ts
@@ -1,5 +1,5 @@
 /**
- * Program: one stand-in plain service.
+ * Entry point of a process that runs one stand-in plain service.
  *
  * @module
  */
--- a/standin/plain_service.ts
+++ b/standin/plain_service.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in plain service.
+ * A stand-in plain service, which echoes each request after a fixed or requested time.
  *
  * @module
  */
@@ -8,24 +8,24 @@
 import type { BackendStandInOptions, StartedCall } from './_backend_stand_in.js';
 import { parseTarget } from './_http.js';
 
-/** What a stand-in plain service can be told at its start. */
+/** Options of a stand-in plain service. */
 export interface PlainServiceOptions extends BackendStandInOptions {
-  /** How long a call takes where its query names no `workMs`, in milliseconds. */
+  /** Duration of a call without the query parameter `workMs`, in milliseconds. */
   readonly latencyMs: number;
-  /** Calls that run at once; more are refused. */
+  /** Maximum number of concurrent calls; further calls are refused. */
   readonly maxRunning: number;
 }
 
-/** Answers any method and path with what it was sent. */
+/** Answers a request with any method and path by echoing it as JSON. */
 export class PlainService extends BackendStandIn {
   readonly #timers = new Set<NodeJS.Timeout>();
 
-  /** @param options - what it is told at its start */
+  /** @param options - options of the service */
   constructor(readonly options: PlainServiceOptions) {
     super(options);
   }
 
-  protected override isWork(): boolean {
+  protected override isRunRequest(): boolean {
     return true;
   }
 
@@ -40,16 +40,16 @@
       this.#timers.delete(timer);
       this.#recordCounts();
       this.#sendEcho(call);
-    }, durationMs * this.faults.slowness);
+    }, durationMs * this.faults.slowdownFactor);
     this.#timers.add(timer);
     this.#recordCounts();
   }
 
-  protected override handleOther(_request: IncomingMessage, response: ServerResponse): void {
+  protected override handleOtherRequest(_request: IncomingMessage, response: ServerResponse): void {
     response.destroy();
   }
 
-  protected override stopRuns(): void {
+  protected override clearTimers(): void {
     this.#timers.forEach((timer) => clearTimeout(timer));
   }
 
@@ -75,15 +75,15 @@
       'content-type': 'application/json',
       'content-length': String(echo.length),
     });
-    if (this.faults.bytesBeforeDeath < echo.length) this.#sendCut(response, echo);
+    if (this.faults.bytesBeforeCut < echo.length) this.#sendTruncated(response, echo);
     else {
-      this.closeRun(run);
+      this.finishRun(run);
       response.end(echo);
     }
   }
 
-  #sendCut(response: ServerResponse, echo: Buffer): void {
-    response.write(echo.subarray(0, this.faults.bytesBeforeDeath));
+  #sendTruncated(response: ServerResponse, echo: Buffer): void {
+    response.write(echo.subarray(0, this.faults.bytesBeforeCut));
     setImmediate(() => response.destroy());
   }
 }
--- a/standin/plain_service_test.ts
+++ b/standin/plain_service_test.ts
@@ -4,11 +4,11 @@
 import type { PlainServiceOptions } from './mod.js';
 import {
   openCall,
-  readAnswer,
+  readResponse,
   sendCall,
   sendJsonCall,
   setFault,
-  waitHead,
+  waitForHead,
 } from './_test_client.js';
 
 const OPTIONS: PlainServiceOptions = {
@@ -35,7 +35,7 @@
   ]);
 });
 
-t.test('PlainService without 100-continue runs a body that arrives all the same', async (t) => {
+t.test('PlainService without 100-continue runs a body that arrives anyway', async (t) => {
   const url = await startService(t, { honoursContinue: false });
   const call = openCall(`${url}/notices`, {
     method: 'POST',
@@ -43,11 +43,11 @@
   });
   call.once('continue', () => t.fail('100 came from a service that does not honour it'));
   call.end('notice');
-  t.equal((await readAnswer(await waitHead(call))).status, 200);
+  t.equal((await readResponse(await waitForHead(call))).status, 200);
   t.match(await sendJsonCall(`${url}/_standin/runs`), [{ requestId: 'r1' }]);
 });
 
-t.test('PlainService dies midway of an answer that it ran', async (t) => {
+t.test('PlainService cuts a response and leaves its run unfinished', async (t) => {
   const url = await startService(t);
   await setFault(url, { kind: 'die-midway', factor: 10 });
   const answer = await sendCall(`${url}/notices`, { method: 'POST', body: 'notice' });
@@ -56,7 +56,7 @@
   t.match(await sendJsonCall(`${url}/_standin/runs`), [{ finished: null }]);
 });
 
-t.test('PlainService refuses faults that it does not know', async (t) => {
+t.test('PlainService rejects unknown faults', async (t) => {
   const url = await startService(t);
   const body = JSON.stringify({ kind: 'lazy' });
   const answer = await sendCall(`${url}/_standin/faults`, { method: 'POST', body });
--- a/standin/platform.ts
+++ b/standin/platform.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of the platform's services: configuration service or host list.
- * It speaks the read side of Consul's KV protocol with blocking queries.
+ * A stand-in for a platform service: the configuration service or the host list. It implements
+ * the read side of Consul's KV protocol with blocking queries, which are called watches here.
  *
  * @module
  */
@@ -12,20 +12,20 @@
 import { RevisionStore } from './_revision_store.js';
 import type { StoredKey } from './_revision_store.js';
 
-/** The faults that can be ordered. */
+/** Kinds of fault that can be injected. */
 export enum PlatformFaultKind {
   None = 'none',
-  /** Connections are destroyed, waiting ones too. */
+  /** All connections are destroyed, including those of waiting watches. */
   Down = 'down',
-  /** The state at the moment of the order is answered. */
+  /** Reads return the state at the time the fault was injected. */
   Stale = 'stale',
-  /** Each answer comes `factor` × 100 ms later. */
+  /** Each response is delayed by `factor` × 100 ms. */
   Slow = 'slow',
 }
 
-/** What the stand-in can be told at its start. */
+/** Options of a stand-in platform service. */
 export interface PlatformOptions {
-  /** How long after its write a key shows, in milliseconds; 0 by default. */
+  /** Delay before a write becomes visible, in milliseconds; 0 by default. */
   readonly lagMs?: number;
 }
 
@@ -37,12 +37,12 @@
 
 const KV_PATH = '/v1/kv/';
 const CONTROL_KV_PATH = '/_standin/kv/';
-const SLOW_UNIT_MS = 100;
+const SLOW_DELAY_UNIT_MS = 100;
 const DEFAULT_WAIT_MS = 300_000;
 const KEEP_ALIVE_MS = 120_000;
 const WAIT_UNITS_MS: Readonly<Record<string, number>> = { ms: 1, s: 1000, m: 60_000 };
 
-/** Parses a duration such as `10000ms` or `10s`. */
+/** Parses a duration such as `10000ms` or `10s`; returns the default if it is absent. */
 function parseWaitMs(text: string | null): number {
   const match = /^(\d+)(ms|s|m)$/.exec(text ?? '');
   return match ? Number(match[1]) * (WAIT_UNITS_MS[match[2] as string] as number) : DEFAULT_WAIT_MS;
@@ -59,25 +59,25 @@
   };
 }
 
-/** Serves reads and watches to the system, and writes to operators and tests only. */
+/** Serves reads and watches below `/v1/kv/`, and writes for operators and tests below `_standin`. */
 export class Platform {
   readonly #server: Server;
 
   readonly #watches = new Set<Watch>();
 
-  readonly #lagMs: number;
+  readonly #writeDelayMs: number;
 
   #store = new RevisionStore();
 
-  #frozen: RevisionStore | undefined;
+  #staleStore: RevisionStore | undefined;
 
   #fault = { kind: PlatformFaultKind.None, factor: 1 };
 
   #reads = 0;
 
-  /** @param options - what it is told at its start */
+  /** @param options - options of the service */
   constructor(options: PlatformOptions = {}) {
-    this.#lagMs = options.lagMs ?? 0;
+    this.#writeDelayMs = options.lagMs ?? 0;
     this.#server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS, requestTimeout: 0 });
     this.#server.on('request', (request, response) => {
       this.#handle(request, response).catch(() => request.socket.destroy());
@@ -87,8 +87,8 @@
   /**
    * Starts listening.
    *
-   * @param address - where; port 0 takes a free one
-   * @returns its base URL
+   * @param address - address to listen on; port 0 picks a free port
+   * @returns the base URL of the service
    */
   async open(address: ListenAddress): Promise<string> {
     await new Promise<void>((resolve, reject) => {
@@ -99,7 +99,7 @@
     return `http://${address.host}:${port}`;
   }
 
-  /** Stops at once. */
+  /** Stops at once and closes all connections. */
   async close(): Promise<void> {
     await new Promise<void>((resolve) => {
       this.#server.close(() => resolve());
@@ -135,11 +135,11 @@
     });
   }
 
-  /** Answers a watch that has ended or whose prefix has changed. */
-  #checkWatch(watch: Watch, isEnded: boolean): void {
+  /** Answers a watch whose prefix has changed or that must be answered without a change. */
+  #checkWatch(watch: Watch, mustAnswer: boolean): void {
     const { prefix, afterIndex, response } = watch;
     if (this.#fault.kind === PlatformFaultKind.Down) response.destroy();
-    else if (isEnded || this.#getStore().read(prefix).index > afterIndex) {
+    else if (mustAnswer || this.#getStore().read(prefix).index > afterIndex) {
       this.#watches.delete(watch);
       this.#send(prefix, response);
     }
@@ -147,7 +147,7 @@
 
   #send(prefix: string, response: ServerResponse): void {
     const delayMs =
-      this.#fault.kind === PlatformFaultKind.Slow ? this.#fault.factor * SLOW_UNIT_MS : 0;
+      this.#fault.kind === PlatformFaultKind.Slow ? this.#fault.factor * SLOW_DELAY_UNIT_MS : 0;
     const send = (): void => {
       const state = this.#getStore().read(prefix);
       response.setHeader('x-consul-index', String(state.index));
@@ -158,11 +158,11 @@
   }
 
   #getStore(): RevisionStore {
-    return this.#frozen ?? this.#store;
+    return this.#staleStore ?? this.#store;
   }
 
-  #checkWatches(isEnded: boolean): void {
-    [...this.#watches].forEach((watch) => this.#checkWatch(watch, isEnded));
+  #checkWatches(mustAnswer: boolean): void {
+    [...this.#watches].forEach((watch) => this.#checkWatch(watch, mustAnswer));
   }
 
   async #handleControl(
@@ -179,7 +179,7 @@
       sendJson(response, 200, { reads: this.#reads, waiting: this.#watches.size });
     } else if (route === 'POST /_standin/faults') this.#setFault(body.toString(), response);
     else if (route === 'POST /_standin/restore') {
-      this.#store.removeAfter((JSON.parse(body.toString()) as { index: number }).index);
+      this.#store.truncateAfter((JSON.parse(body.toString()) as { index: number }).index);
       this.#checkWatches(true);
       sendJson(response, 200, { index: this.#store.index });
     } else sendJson(response, 404, { error: `no ${route}` });
@@ -191,8 +191,8 @@
       this.#checkWatches(false);
       sendJson(response, 200, { index });
     };
-    if (this.#lagMs === 0) apply();
-    else setTimeout(apply, this.#lagMs);
+    if (this.#writeDelayMs === 0) apply();
+    else setTimeout(apply, this.#writeDelayMs);
   }
 
   #setFault(text: string, response: ServerResponse): void {
@@ -204,7 +204,7 @@
       return;
     }
     this.#fault = { kind, factor: order.factor ?? 1 };
-    this.#frozen = kind === PlatformFaultKind.Stale ? this.#store.createCopy() : undefined;
+    this.#staleStore = kind === PlatformFaultKind.Stale ? this.#store.createCopy() : undefined;
     this.#checkWatches(false);
     sendJson(response, 200, { kind });
   }
--- a/standin/platform_main.ts
+++ b/standin/platform_main.ts
@@ -1,5 +1,5 @@
 /**
- * Program: a stand-in configuration service or host list.
+ * Entry point of a process that runs a stand-in configuration service or host list.
  *
  * @module
  */
--- a/standin/platform_test.ts
+++ b/standin/platform_test.ts
@@ -6,8 +6,8 @@
   sendCall,
   sendJsonCall,
   setFault,
-  waitHead,
-  readAnswer,
+  waitForHead,
+  readResponse,
 } from './_test_client.js';
 
 interface Entry {
@@ -53,7 +53,7 @@
   }
 }
 
-t.test('Platform answers 404 with an index where nothing is', async (t) => {
+t.test('Platform answers 404 with an index when no key matches the prefix', async (t) => {
   const url = await startPlatform(t);
   t.match(await read(url, 'recurse=true'), { status: 404, index: 1, values: {} });
 });
@@ -69,13 +69,13 @@
   t.match(await watch, { index: newIndex, values: { 'monsoonhall/fleet': 'two' } });
 });
 
-t.test('Platform ends a watch with the unchanged state', async (t) => {
+t.test('Platform answers a watch that times out with the unchanged state', async (t) => {
   const url = await startPlatform(t);
   const index = await publish(url, 'monsoonhall/fleet', 'one');
   t.match(await read(url, `index=${index}&wait=1ms`), { status: 200, index });
 });
 
-t.test('Platform raises the index of a prefix by a deletion', async (t) => {
+t.test('Platform raises the index of a prefix when a key is deleted', async (t) => {
   const url = await startPlatform(t);
   await publish(url, 'monsoonhall/contracts/a', 'x');
   const path = `${url}/_standin/kv/monsoonhall/contracts/a`;
@@ -83,7 +83,7 @@
   t.match(await read(url, 'recurse=true'), { status: 404, index });
 });
 
-t.test('Platform goes on answering an old state while it is stale', async (t) => {
+t.test('Platform keeps answering with the old state while it is stale', async (t) => {
   const url = await startPlatform(t);
   const index = await publish(url, 'monsoonhall/fleet', 'old');
   await setFault(url, { kind: 'stale' });
@@ -93,7 +93,7 @@
   t.match(await read(url, ''), { index: newIndex, values: { 'monsoonhall/fleet': 'new' } });
 });
 
-t.test('Platform puts an older state back', async (t) => {
+t.test('Platform restores an older state', async (t) => {
   const url = await startPlatform(t);
   const index = await publish(url, 'monsoonhall/fleet', 'old');
   await publish(url, 'monsoonhall/fleet', 'new');
@@ -102,11 +102,11 @@
   t.match(await read(url, ''), { index, values: { 'monsoonhall/fleet': 'old' } });
 });
 
-t.test('Platform that is down breaks reads and waiting watches', async (t) => {
+t.test('Platform that is down destroys the connections of reads and watches', async (t) => {
   const url = await startPlatform(t);
   const index = await publish(url, 'monsoonhall/fleet', 'one');
   const watch = openCall(`${url}/v1/kv/monsoonhall/?index=${index}&wait=10m`);
-  const broken = t.rejects(waitHead(watch));
+  const broken = t.rejects(waitForHead(watch));
   watch.end();
   await waitForWatch(url);
   await setFault(url, { kind: 'down' });
@@ -114,9 +114,9 @@
   await t.rejects(read(url, ''));
 });
 
-t.test('Platform can only be read by the system', async (t) => {
+t.test('Platform rejects writes outside its control path', async (t) => {
   const url = await startPlatform(t);
   const call = openCall(`${url}/v1/kv/monsoonhall/fleet`, { method: 'PUT' });
   call.end('x');
-  t.equal((await readAnswer(await waitHead(call))).status, 405);
+  t.equal((await readResponse(await waitForHead(call))).status, 405);
 });
