--- a/test/binary_test.ts
+++ b/test/binary_test.ts
@@ -1,4 +1,4 @@
-/** The binary as it ships; scripts/test.mjs builds it before the tests. */
+/** Tests of the release binary, which scripts/test.mjs builds before the tests. */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -27,7 +27,7 @@
 };
 
 function runBinary(argv: readonly string[], env: NodeJS.ProcessEnv = {}) {
-  // No other environment: what the machine sets must not decide the result.
+  // The environment of the machine is not passed on, so that it cannot affect the result.
   const { status, stdout, stderr } = spawnSync(BINARY, argv, {
     env,
     encoding: 'utf8',
@@ -59,7 +59,7 @@
   t.equal(runBinary([]).stdout, stdout);
 });
 
-t.test('monsoonhall explains each command', async (t) => {
+t.test('monsoonhall COMMAND --help lists the options of each command', async (t) => {
   ['entry', 'call', 'status', 'contract check', 'contract explain', 'load'].forEach((command) => {
     const { status, stdout } = runBinary([...command.split(' '), '--help']);
     t.equal(status, 0, command);
@@ -67,14 +67,14 @@
   });
 });
 
-t.test('monsoonhall refuses an unknown command in one line', async (t) => {
+t.test('monsoonhall rejects an unknown command with one line', async (t) => {
   const { status, stdout, stderr } = runBinary(['frobnicate']);
   t.equal(status, 2);
   t.equal(stdout, '');
   t.match(stderr, /^monsoonhall: .*; see monsoonhall --help\n$/);
 });
 
-t.test('monsoonhall entry tells each faulty setting in one line', async (t) => {
+t.test('monsoonhall entry prints one line for each invalid setting', async (t) => {
   const env = { MONSOONHALL_ADMIN_KEY: 'hidden', MONSOONHALL_HEARTBEAT_MS: 'often' };
   const { status, stdout, stderr } = runBinary(['entry', '--listen', 'nowhere'], env);
   t.equal(status, 2);
@@ -96,13 +96,13 @@
   t.notMatch(stderr, 'hidden');
 });
 
-t.test('monsoonhall contract check takes a good contract', async (t) => {
+t.test('monsoonhall contract check accepts a valid contract', async (t) => {
   const { status, stderr } = runBinary(['contract', 'check', writeContract(t, CONTRACT)]);
   t.equal(stderr, '');
   t.equal(status, 0);
 });
 
-t.test('monsoonhall contract check refuses a bad contract, by line and field', async (t) => {
+t.test('monsoonhall contract check reports the line and field of an error', async (t) => {
   const file = writeContract(t, { ...CONTRACT, weight: -1 });
   const { status, stderr } = runBinary(['contract', 'check', file]);
   t.equal(status, 1);
--- a/test/faults/_admin.ts
+++ b/test/faults/_admin.ts
@@ -1,15 +1,15 @@
 /**
- * What entry hosts believe, asked at their administration listeners.
+ * Reads the state of entry hosts from their administration listeners, and waits for changes.
  *
  * @module
  */
 import { ADMIN_KEY, sendControl, sendJsonControl, waitUntil } from '../fleet/mod.js';
 import type { EntryHost } from '../fleet/mod.js';
 
-/** Longest wait for what takes seconds; a wait ends as soon as it may. */
-export const LIMIT_MS = 30_000;
+/** Timeout for conditions that usually take some seconds; a wait ends once they hold. */
+export const WAIT_TIMEOUT_MS = 30_000;
 
-/** `/v1/configuration`. */
+/** The response of `/v1/configuration`. */
 export interface ConfigurationReport {
   readonly revision: number;
   readonly hash: string;
@@ -22,11 +22,11 @@
 }
 
 /**
- * Reads one page of an entry host's administration listener.
+ * Reads one resource from the administration listener of an entry host.
  *
  * @param host - the entry host
- * @param path - such as `/v1/configuration`
- * @returns the parsed answer
+ * @param path - path, such as `/v1/configuration`
+ * @returns the parsed response
  */
 export function readAdmin<T>(host: EntryHost, path: string): Promise<T> {
   return sendJsonControl<T>(`${host.adminUrl}${path}`, {
@@ -34,22 +34,22 @@
   });
 }
 
-/** @param host - an entry host. @returns its configuration */
+/** Reads the configuration state of an entry host. @param host - it. @returns the state */
 export function readConfiguration(host: EntryHost): Promise<ConfigurationReport> {
   return readAdmin(host, '/v1/configuration');
 }
 
-/** @param host - an entry host. @returns whether it serves callers */
+/** Checks the readiness of an entry host. @param host - it. @returns whether it serves callers */
 export async function isReady(host: EntryHost): Promise<boolean> {
   return (await sendControl(`${host.adminUrl}/v1/readiness`)).status === 200;
 }
 
 /**
- * Checks what an entry host believes of a backend server.
+ * Checks whether an entry host knows that a backend server is draining.
  *
  * @param host - the entry host
- * @param backendServerId - which backend server
- * @returns whether it is leaving there
+ * @param backendServerId - ID of the backend server
+ * @returns whether the entry host considers the server as draining
  */
 export async function isLeavingAt(host: EntryHost, backendServerId: string): Promise<boolean> {
   const path = '/v1/backend-servers';
@@ -58,27 +58,30 @@
 }
 
 /**
- * Waits until every entry host believes that a backend server is leaving.
+ * Waits until all entry hosts know that a backend server is draining.
  *
  * @param hosts - the entry hosts
- * @param backendServerId - which backend server
- * @returns how long that took, in milliseconds
+ * @param backendServerId - ID of the backend server
+ * @returns duration of the wait in milliseconds
  */
-export function waitLeaving(hosts: readonly EntryHost[], backendServerId: string): Promise<number> {
-  return waitAll(hosts, `${backendServerId} leaving at every entry host`, (host) =>
+export function waitUntilLeaving(
+  hosts: readonly EntryHost[],
+  backendServerId: string,
+): Promise<number> {
+  return waitForAll(hosts, `${backendServerId} leaving at every entry host`, (host) =>
     isLeavingAt(host, backendServerId),
   );
 }
 
 /**
- * Waits until something holds at every entry host.
+ * Waits until a condition holds at all entry hosts at once.
  *
  * @param hosts - the entry hosts
- * @param subject - what is waited for
- * @param check - asked of each
- * @returns how long that took, in milliseconds
+ * @param subject - name of the condition, for error messages
+ * @param check - returns whether the condition holds at an entry host
+ * @returns duration of the wait in milliseconds
  */
-export async function waitAll(
+export async function waitForAll(
   hosts: readonly EntryHost[],
   subject: string,
   check: (host: EntryHost) => Promise<boolean>,
@@ -86,6 +89,6 @@
   const startedAtMs = performance.now();
   const checkAll = async (): Promise<boolean> =>
     (await Promise.all(hosts.map(check))).every(Boolean);
-  await waitUntil(checkAll, { subject, limitMs: LIMIT_MS });
+  await waitUntil(checkAll, { subject, limitMs: WAIT_TIMEOUT_MS });
   return Math.round(performance.now() - startedAtMs);
 }
--- a/test/faults/_caller.ts
+++ b/test/faults/_caller.ts
@@ -1,5 +1,6 @@
 /**
- * A caller for the tests of failures: small, and it keeps what it was told.
+ * A minimal caller for fault tests that records the outcome of each call, and a check of these
+ * outcomes against the runs that backend servers recorded.
  *
  * @module
  */
@@ -8,32 +9,32 @@
 import type { Fleet } from '../fleet/mod.js';
 import type { RunRecord } from '../../standin/mod.js';
 
-/** What a caller was told of one call. */
+/** Outcome of one call, as its caller sees it. */
 export interface Outcome {
-  /** Empty where the connection broke before a head. */
+  /** Request ID; empty if none was sent and the connection broke before a response head. */
   readonly requestId: string;
-  /** HTTP status; 0 where the connection broke. */
+  /** HTTP status; 0 if the connection broke. */
   readonly status: number;
   readonly text: string;
-  /** `run` of the error's body. */
+  /** Field `run` of the error body. */
   readonly run: string | undefined;
-  /** `code` of the error's body. */
+  /** Field `code` of the error body. */
   readonly code: string | undefined;
   readonly headers: http.IncomingHttpHeaders;
 }
 
-/** One call. */
+/** Options of one call. */
 export interface CallOptions {
   readonly method?: string;
   readonly path: string;
   readonly requestId?: string;
   readonly workKind?: string;
   readonly body?: unknown;
-  /** Called with each part of the answer as it comes. */
-  readonly onPart?: (text: string) => void;
+  /** Called with each chunk of the response as it arrives. */
+  readonly onChunk?: (text: string) => void;
 }
 
-const BROKEN: Outcome = {
+const BROKEN_CONNECTION: Outcome = {
   requestId: '',
   status: 0,
   text: '',
@@ -42,45 +43,45 @@
   headers: {},
 };
 
-/** Sends calls of one account. */
+/** Sends calls for one client account and records their outcomes. */
 export class TestCaller {
   readonly outcomes: Outcome[] = [];
 
-  /** @param apiKey - the account's key */
+  /** @param apiKey - API key of the account */
   constructor(readonly apiKey: string) {}
 
   /**
-   * Asks an entry host for an ID until a given host owns it.
+   * Requests IDs from the entry hosts in rotation until one is owned by a given entry host.
    *
    * @param fleet - the fleet
-   * @param ownerUrl - URL of the owner that is wanted
-   * @returns the ID
+   * @param ownerUrl - URL of the required owner
+   * @returns the request ID
    */
   async assign(fleet: Fleet, ownerUrl: string): Promise<string> {
     for (let attempt = 0; attempt < 200; attempt += 1) {
       const url = fleet.entryHosts[attempt % fleet.entryHosts.length]?.url ?? '';
       const outcome = await this.send(url, { method: 'POST', path: '/v1/requests' });
-      const answer = JSON.parse(outcome.text) as { id: string; entryHost: { url: string } };
-      if (answer.entryHost.url === ownerUrl) return answer.id;
+      const assignment = JSON.parse(outcome.text) as { id: string; entryHost: { url: string } };
+      if (assignment.entryHost.url === ownerUrl) return assignment.id;
     }
     throw new Error(`Cannot get a request ID of ${ownerUrl}`);
   }
 
   /**
-   * Sends one call and reads its answer to the end.
+   * Sends one call, reads its response to the end and records the outcome.
    *
-   * @param url - an entry host's URL
-   * @param options - the call
-   * @returns what it was told
+   * @param url - URL of an entry host
+   * @param options - options of the call
+   * @returns the outcome
    */
   async send(url: string, options: CallOptions): Promise<Outcome> {
-    const outcome = await this.#exchange(url, options).catch(() => BROKEN);
-    const told = { ...outcome, requestId: options.requestId ?? outcome.requestId };
-    this.outcomes.push(told);
-    return told;
+    const outcome = await this.#exchange(url, options).catch(() => BROKEN_CONNECTION);
+    const recorded = { ...outcome, requestId: options.requestId ?? outcome.requestId };
+    this.outcomes.push(recorded);
+    return recorded;
   }
 
-  /** Sends a report to be written: it must not be repeated. */
+  /** Sends a call of the work kind `report`, which must not be repeated. */
   sendReport(url: string, requestId: string, text: string, maxTokens = 20): Promise<Outcome> {
     return this.send(url, buildReport(requestId, text, maxTokens));
   }
@@ -101,7 +102,7 @@
           },
         },
         (message) => {
-          readOutcome(message, options.onPart).then(resolve, reject);
+          readOutcome(message, options.onChunk).then(resolve, reject);
         },
       );
       request.on('error', reject);
@@ -110,7 +111,7 @@
   }
 }
 
-/** @returns a report's call, streamed */
+/** @returns the options of a streamed call of the work kind `report` */
 export function buildReport(requestId: string, text: string, maxTokens: number): CallOptions {
   return {
     path: '/v1/chat/completions',
@@ -127,13 +128,13 @@
 
 async function readOutcome(
   message: IncomingMessage,
-  onPart: CallOptions['onPart'],
+  onChunk: CallOptions['onChunk'],
 ): Promise<Outcome> {
   let text = '';
   message.setEncoding('utf8');
-  for await (const part of message) {
-    text += String(part);
-    onPart?.(String(part));
+  for await (const chunk of message) {
+    text += String(chunk);
+    onChunk?.(String(chunk));
   }
   const error = parseError(message.statusCode ?? 0, text);
   return {
@@ -156,20 +157,21 @@
 }
 
 /**
- * Names each promise about running that the outcomes broke.
+ * Finds violations of the guarantees about running: calls that ran more than once, and calls
+ * that ran although their caller was told that they did not.
  *
- * @param outcomes - what callers were told
- * @param runs - what the backend servers recorded
- * @returns a line for each broken promise
+ * @param outcomes - outcomes that callers recorded
+ * @param runs - runs that the backend servers recorded
+ * @returns one line per violation
  */
-export function findBroken(outcomes: readonly Outcome[], runs: readonly RunRecord[]): string[] {
+export function findViolations(outcomes: readonly Outcome[], runs: readonly RunRecord[]): string[] {
   const counts = new Map<string, number>();
   runs.forEach((run) => counts.set(run.requestId, (counts.get(run.requestId) ?? 0) + 1));
-  const doubles = [...counts]
+  const duplicateRuns = [...counts]
     .filter(([, count]) => count > 1)
     .map(([id, count]) => `${id} ran ${count} times`);
-  const lies = outcomes
+  const falseRefusals = outcomes
     .filter((outcome) => outcome.run === 'not_run' && counts.has(outcome.requestId))
     .map((outcome) => `${outcome.requestId} ran, and was refused as not run (${outcome.code})`);
-  return [...doubles, ...lies];
+  return [...duplicateRuns, ...falseRefusals];
 }
--- a/test/faults/configuration_test.ts
+++ b/test/faults/configuration_test.ts
@@ -1,15 +1,15 @@
 /**
- * What operators publish while the configuration service fails: eight entry
- * hosts end at the same entries, and none ever goes back to older ones.
+ * Configuration changes while the configuration service fails: eight entry hosts converge to the
+ * same entries, and none ever returns to older ones.
  *
  * @module
  */
 import t from 'tap';
 import { hashApiKey, LinkFault, MOULINET, startFleet } from '../fleet/mod.js';
 import type { ContractDocument, EntryHost } from '../fleet/mod.js';
-import { readConfiguration, waitAll } from './_admin.js';
+import { readConfiguration, waitForAll } from './_admin.js';
 import { TestCaller } from './_caller.js';
-import { listFirstRevisions, RevisionWatch, waitServiceLost } from './_revision_watch.js';
+import { listFirstRevisions, RevisionMonitor, waitUntilServiceLost } from './_revision_monitor.js';
 
 const [CONTRACT, OTHER_CONTRACT] = MOULINET.contracts as [ContractDocument, ContractDocument];
 const KEY = `monsoonhall/contracts/${CONTRACT.account}`;
@@ -24,160 +24,168 @@
 const hosts = fleet.entryHosts;
 const [firstHost] = hosts as readonly [EntryHost];
 const { operator, proxy } = fleet.configuration;
-const watch = new RevisionWatch(hosts);
+const monitor = new RevisionMonitor(hosts);
 let publishedCount = 0;
 
 t.setTimeout(FILE_LIMIT_MS);
 
 t.teardown(async () => {
-  await watch.stop();
+  await monitor.stop();
   await fleet.stop();
 });
 
-/** Publishes a contract that differs from all before. */
+/** Publishes a contract with a weight that was not used before. @returns index of the write */
 function publishNext(contract = CONTRACT): Promise<number> {
   publishedCount += 1;
   return operator.publishContract({ ...contract, weight: 10 + publishedCount });
 }
 
-function cutFromService(fault: LinkFault, names: readonly string[]): void {
+function setServiceFault(fault: LinkFault, names: readonly string[]): void {
   proxy?.setFault(fault, new Set(names));
 }
 
-/** Waits until every entry host has read a write of the service itself. */
-function waitRead(revision: number): Promise<number> {
-  return waitAll(
+/** Waits until every entry host has itself read a write from the service. */
+function waitUntilRead(revision: number): Promise<number> {
+  return waitForAll(
     hosts,
     `a read of revision ${revision}`,
     async (host) => (await readConfiguration(host)).platformIndex >= revision,
   );
 }
 
-/** Reads how many entry hosts know a key. */
-async function countWelcomes(apiKey: string): Promise<number> {
+/** Counts the entry hosts that accept an API key. */
+async function countAcceptingHosts(apiKey: string): Promise<number> {
   const caller = new TestCaller(apiKey);
-  const told = await Promise.all(
+  const outcomes = await Promise.all(
     hosts.map(({ url }) => caller.send(url, { method: 'POST', path: '/v1/requests' })),
   );
-  return told.filter(({ status }) => status === 200).length;
+  return outcomes.filter(({ status }) => status === 200).length;
 }
 
-t.test('entry hosts cut from the service hear of news from their peers', async (t) => {
-  // Symptom: some entry hosts refused a key that others took. Sequence: six
-  // were cut from the service, by resets or by silence, and the operator published
-  // a new key. Cause: what two had read of the service was not passed on.
-  const cutOff = ['entry-1', 'entry-2', 'entry-3', 'entry-4', 'entry-5', 'entry-6'];
+t.test('entry hosts cut off from the service receive changes from their peers', async (t) => {
+  // Guards against entry hosts that refuse a new API key while others accept it: six are cut off
+  // from the service, by resets or by silence, and must receive the change from the two that
+  // still read the service.
+  const isolatedIds = ['entry-1', 'entry-2', 'entry-3', 'entry-4', 'entry-5', 'entry-6'];
   for (const fault of [LinkFault.Cut, LinkFault.Held]) {
-    cutFromService(fault, cutOff);
+    setServiceFault(fault, isolatedIds);
     const apiKey = `new-key-${fault}`;
     const keys = [...CONTRACT.keys, { sha256: hashApiKey(apiKey) }];
     const revision = await operator.publishContract({ ...CONTRACT, keys });
-    t.comment(`${fault}: in force everywhere after ${await watch.waitInForce(revision)} ms`);
-    t.equal(await countWelcomes(apiKey), hosts.length, `all take the new key (${fault})`);
+    t.comment(
+      `${fault}: in effect everywhere after ${await monitor.waitUntilInEffect(revision)} ms`,
+    );
+    t.equal(await countAcceptingHosts(apiKey), hosts.length, `all accept the new key (${fault})`);
     const behind = await Promise.all(hosts.map(readConfiguration));
     t.ok(
-      behind.filter(({ platformIndex }) => platformIndex < revision).length >= cutOff.length,
-      'those cut off did not read it themselves',
+      behind.filter(({ platformIndex }) => platformIndex < revision).length >= isolatedIds.length,
+      'entry hosts that are cut off did not read it themselves',
     );
-    cutFromService(LinkFault.None, []);
-    await waitRead(await publishNext());
+    setServiceFault(LinkFault.None, []);
+    await waitUntilRead(await publishNext());
   }
-  t.same(watch.falls, []);
+  t.same(monitor.regressions, []);
 });
 
-t.test('a service that is down for all changes nothing, and catches up after', async (t) => {
+t.test('an outage of the service changes nothing, and later writes take effect', async (t) => {
   const before = await readConfiguration(firstHost);
-  const isLost = waitServiceLost(hosts);
+  const outageDetection = waitUntilServiceLost(hosts);
   await operator.setFault({ kind: 'down' });
-  t.comment(`all noticed the loss after ${await isLost} ms`);
+  t.comment(`all detected the outage after ${await outageDetection} ms`);
   const revision = await publishNext();
   const during = await Promise.all(hosts.map(readConfiguration));
   t.same(new Set(during.map(({ hash }) => hash)), new Set([before.hash]));
   await operator.setFault({ kind: 'none' });
-  t.comment(`in force everywhere ${await watch.waitInForce(revision)} ms after its return`);
-  t.same(watch.falls, []);
+  t.comment(
+    `in effect everywhere ${await monitor.waitUntilInEffect(revision)} ms after the outage`,
+  );
+  t.same(monitor.regressions, []);
 });
 
-t.test('a stale service puts nothing old in force, also after a restart', async (t) => {
-  // Symptom: one entry host worked by a contract that had been replaced an hour
-  // before. Sequence: the service fell back to an older state, the entry host
-  // was restarted. Cause: it trusted the first answer that it got.
+t.test('a stale service brings no old entry into effect, even after a restart', async (t) => {
+  // Guards against an entry host that applies a contract which was replaced long before: the
+  // service returns to an older state, and a restarted entry host must not trust its first read.
   const old = await publishNext();
-  await watch.waitInForce(old);
+  await monitor.waitUntilInEffect(old);
   const newest = await publishNext();
-  await watch.waitInForce(newest);
-  await operator.putBack(old);
+  await monitor.waitUntilInEffect(newest);
+  await operator.restore(old);
   await operator.setFault({ kind: 'stale' });
 
   const restarted = hosts.slice(6);
   await Promise.all(restarted.map((host) => host.restart()));
   restarted.forEach((host) => {
     const first = listFirstRevisions(host);
-    t.ok((first.at(-1) ?? 0) >= newest, `${host.id} begins at ${first.join(', then ')}`);
+    t.ok((first.at(-1) ?? 0) >= newest, `${host.id} starts at ${first.join(', then ')}`);
   });
-  await waitAll(hosts, 'an answer of the stale service', async (host) => {
+  await waitForAll(hosts, 'a read of the stale service', async (host) => {
     const { platformIndex } = await readConfiguration(host);
     return platformIndex > 0 && platformIndex < newest;
   });
-  await watch.waitInForce(newest);
+  await monitor.waitUntilInEffect(newest);
 
-  // The service counts on from the older state: two writes go beyond what it lost.
+  // The indexes of the service continue from the older state, so that two writes are needed
+  // to exceed the index that it lost.
   await operator.setFault({ kind: 'none' });
   await publishNext();
-  const beyond = await publishNext();
-  t.ok(beyond > newest);
-  t.comment(`in force everywhere ${await watch.waitInForce(beyond)} ms after the stale spell`);
-  t.same(watch.falls, []);
+  const newer = await publishNext();
+  t.ok(newer > newest);
+  t.comment(
+    `in effect everywhere ${await monitor.waitUntilInEffect(newer)} ms after the stale state`,
+  );
+  t.same(monitor.regressions, []);
 });
 
-t.test('two operators publish at once: the same entries everywhere', async (t) => {
-  // Symptom: entry hosts that worked by different contracts for good. Sequence:
-  // two operators wrote the same and other keys at once; some entry hosts read
-  // the service, others heard of it from peers. Cause: the last one heard won.
-  cutFromService(LinkFault.Cut, ['entry-2', 'entry-4', 'entry-6', 'entry-8']);
+t.test('concurrent writes of two operators converge to the same entries', async (t) => {
+  // Guards against entry hosts that keep different contracts for good: two operators write the
+  // same and different keys concurrently, some entry hosts read the service and others receive
+  // the writes from peers. The last write received must not win by itself.
+  setServiceFault(LinkFault.Cut, ['entry-2', 'entry-4', 'entry-6', 'entry-8']);
   const writes = await Promise.all(
-    Array.from({ length: 6 }, (_, at) => publishNext(at % 3 === 0 ? OTHER_CONTRACT : CONTRACT)),
+    Array.from({ length: 6 }, (_, index) =>
+      publishNext(index % 3 === 0 ? OTHER_CONTRACT : CONTRACT),
+    ),
   );
-  await watch.waitInForce(Math.max(...writes));
-  cutFromService(LinkFault.None, []);
-  await waitRead(Math.max(...writes));
+  await monitor.waitUntilInEffect(Math.max(...writes));
+  setServiceFault(LinkFault.None, []);
+  await waitUntilRead(Math.max(...writes));
   const last = await publishNext(OTHER_CONTRACT);
-  await watch.waitInForce(last);
+  await monitor.waitUntilInEffect(last);
   const reports = await Promise.all(hosts.map(readConfiguration));
   t.same(
     reports.map(({ revision }) => revision),
     hosts.map(() => last),
   );
-  t.same(watch.falls, []);
+  t.same(monitor.regressions, []);
 });
 
-t.test('an invalid document is told with its reason; the last good one stays', async (t) => {
-  // Symptom: an account was refused after a slip at the keyboard. Sequence: its
-  // contract was published with a fault, one entry host was restarted. Cause:
-  // the good one was dropped, or was known to nobody who started later.
+t.test('an invalid document is rejected with its reason; the last valid one stays', async (t) => {
+  // Guards against an account that is refused after its contract is published with an error and
+  // an entry host is restarted: the last valid contract must not be dropped, and an entry host
+  // that starts later must get it too.
   const before = await readConfiguration(firstHost);
   const broken = JSON.stringify({ ...CONTRACT, weight: -1 });
   const revision = await operator.publish(KEY, broken);
-  const hasTold = (host: EntryHost): Promise<boolean> =>
+  const hasRejected = (host: EntryHost): Promise<boolean> =>
     readConfiguration(host).then(({ rejected }) =>
       rejected.some((each) => each.key === KEY && each.revision === revision),
     );
-  await waitAll(hosts, 'the refused document in the status of every entry host', hasTold);
+  await waitForAll(hosts, 'the rejected document in the status of every entry host', hasRejected);
   await firstHost.restart();
-  await waitAll(hosts, 'the refused document after a restart', hasTold);
+  await waitForAll(hosts, 'the rejected document after a restart', hasRejected);
   const reports = await Promise.all(hosts.map(readConfiguration));
-  reports.forEach(({ hash, rejected }, at) => {
-    t.equal(hash, before.hash, `${hosts[at]?.id} keeps the last good one`);
+  reports.forEach(({ hash, rejected }, index) => {
+    t.equal(hash, before.hash, `${hosts[index]?.id} keeps the last valid one`);
     t.match(rejected[0]?.reasons.join('; '), /weight/);
   });
-  t.equal(await countWelcomes(fleet.accounts[0]?.apiKey ?? ''), hosts.length);
-  await watch.waitInForce(await publishNext());
+  t.equal(await countAcceptingHosts(fleet.accounts[0]?.apiKey ?? ''), hosts.length);
+  await monitor.waitUntilInEffect(await publishNext());
   const after = await Promise.all(hosts.map(readConfiguration));
   t.same(
     after.flatMap(({ rejected }) => rejected),
     [],
-    'a good one takes the refusal away',
+    'a valid document clears the rejection',
   );
-  t.same(watch.falls, []);
-  t.ok(watch.sampleCount > hosts.length, `${watch.sampleCount} revisions were read`);
+  t.same(monitor.regressions, []);
+  t.ok(monitor.sampleCount > hosts.length, `${monitor.sampleCount} revisions were read`);
 });
--- a/test/faults/leaving_test.ts
+++ b/test/faults/leaving_test.ts
@@ -1,18 +1,18 @@
 /**
- * Backend servers that leave: no new run starts there once the entry hosts
- * within reach know it, whoever heard it first.
+ * Draining backend servers: no new run starts there once the reachable entry hosts know of it,
+ * whichever entry host learns it first.
  *
  * @module
  */
 import t from 'tap';
 import { LinkFault, sendControl, startFleet } from '../fleet/mod.js';
 import type { EntryHost } from '../fleet/mod.js';
-import { isLeavingAt, readAdmin, waitAll, waitLeaving } from './_admin.js';
-import { findBroken, TestCaller } from './_caller.js';
+import { isLeavingAt, readAdmin, waitForAll, waitUntilLeaving } from './_admin.js';
+import { findViolations, TestCaller } from './_caller.js';
 
 const FILE_LIMIT_MS = 180_000;
 const HOST_LIST_LAG_MS = 500;
-const CALLS = 48;
+const CALL_COUNT = 48;
 const MODEL_SERVICE = 'monsoon-llm';
 
 const fleet = await startFleet({
@@ -27,48 +27,48 @@
 t.setTimeout(FILE_LIMIT_MS);
 t.teardown(() => fleet.stop());
 
-/** Waits until every entry host has read the host list and watches it. */
-function waitWatching(): Promise<number> {
-  return waitAll(
+/** Waits until every entry host has a watch on the host list. */
+function waitUntilWatching(): Promise<number> {
+  return waitForAll(
     hosts.slice(0, 1),
     'a watch for every entry host',
     async () => (await fleet.hostList.operator.readCounts()).waiting === hosts.length,
   );
 }
 
-/** Lets only some entry hosts read the host list. */
-function limitReaders(readers: readonly string[]): void {
-  const names = hosts.map(({ id }) => id).filter((id) => !readers.includes(id));
-  fleet.hostList.proxy?.setFault(LinkFault.Held, new Set(names));
+/** Allows only the given entry hosts to read the host list. */
+function allowReaders(readers: readonly string[]): void {
+  const blockedIds = hosts.map(({ id }) => id).filter((id) => !readers.includes(id));
+  fleet.hostList.proxy?.setFault(LinkFault.Held, new Set(blockedIds));
 }
 
 async function countRuns(backendServerId: string): Promise<number> {
   return (await fleet.findBackendServer(backendServerId).readRuns()).length;
 }
 
-/** Sends reports to all entry hosts at once. @returns their statuses */
+/** Sends reports to all entry hosts concurrently. @returns the HTTP statuses */
 async function sendReports(text: string): Promise<number[]> {
   const ids = await Promise.all(
-    Array.from({ length: CALLS }, (_, at) =>
-      caller.assign(fleet, hosts[at % hosts.length]?.url ?? ''),
+    Array.from({ length: CALL_COUNT }, (_, index) =>
+      caller.assign(fleet, hosts[index % hosts.length]?.url ?? ''),
     ),
   );
-  const told = await Promise.all(
-    ids.map((id, at) =>
-      caller.sendReport(hosts[at % hosts.length]?.url ?? '', id, `${text} ${at}`),
+  const outcomes = await Promise.all(
+    ids.map((id, index) =>
+      caller.sendReport(hosts[index % hosts.length]?.url ?? '', id, `${text} ${index}`),
     ),
   );
-  return told.map(({ status }) => status);
+  return outcomes.map(({ status }) => status);
 }
 
-/** Says in a backend server's load report whether it leaves. */
-async function reportLeaving(backendServerId: string, leaving: boolean): Promise<void> {
+/** Sets whether the load report of a backend server says that it is draining. */
+async function setReportedLeaving(backendServerId: string, leaving: boolean): Promise<void> {
   const { url } = fleet.findBackendServer(backendServerId);
   const body = JSON.stringify({ leaving });
   await sendControl(`${url}/_standin/leaving`, { method: 'POST', body });
 }
 
-/** Finds the entry host that dispatches for the engines. */
+/** Finds the entry host that is the dispatcher for the engines. */
 async function findDispatcher(): Promise<EntryHost> {
   const reports = await Promise.all(
     hosts.map((host) =>
@@ -78,126 +78,132 @@
     ),
   );
   const host = hosts[reports.indexOf(true)];
-  if (!host) throw new Error('no entry host dispatches for the engines');
+  if (!host) throw new Error('no entry host is the dispatcher for the engines');
   return host;
 }
 
-/** Lists the entry hosts that an entry host suspects. */
+/** Lists the IDs of the peers that an entry host suspects. */
 async function listSuspected(host: EntryHost): Promise<string[]> {
   const path = '/v1/entry-hosts';
   const views = await readAdmin<{ identity: { id: string }; state: string }[]>(host, path);
   return views.filter(({ state }) => state === 'suspected').map(({ identity }) => identity.id);
 }
 
-t.test('leaving in the host list, which one entry host alone can read', async (t) => {
-  // Symptom: new reports went to an engine that was about to be taken away.
-  // Sequence: the host list said that it leaves, three of four entry hosts could
-  // not read it. Cause: each entry host went by its own copy of the list.
-  t.same(new Set(await sendReports('Before.')), new Set([200]));
-  const before = await countRuns('engine-2');
-  t.ok(before > 0, 'the engine had work before');
-  await waitWatching();
-  limitReaders(['entry-1']);
-  await fleet.setHostState('engine-2', 'leaving');
-  t.comment(`known everywhere ${await waitLeaving(hosts, 'engine-2')} ms after it was listed`);
-  t.same(new Set(await sendReports('After.')), new Set([200]));
-  t.equal(await countRuns('engine-2'), before, 'no new run there');
-  limitReaders(hosts.map(({ id }) => id));
-});
-
-t.test('leaving by its own report, while the host list lags', async (t) => {
-  // Symptom: an engine that had said that it leaves got work again. Sequence:
-  // the host list changed for another host and still showed the engine live.
-  // Cause: the newer list, though it lags, was believed over the engine.
+t.test(
+  'an engine listed as leaving gets no new run when one entry host reads the list',
+  async (t) => {
+    // Guards against new runs on an engine that is about to be removed: three of four entry hosts
+    // cannot read the host list, and must not rely on their own copies of it alone.
+    t.same(new Set(await sendReports('Before.')), new Set([200]));
+    const before = await countRuns('engine-2');
+    t.ok(before > 0, 'the engine had work before');
+    await waitUntilWatching();
+    allowReaders(['entry-1']);
+    await fleet.setHostState('engine-2', 'leaving');
+    t.comment(`known everywhere ${await waitUntilLeaving(hosts, 'engine-2')} ms after the listing`);
+    t.same(new Set(await sendReports('After.')), new Set([200]));
+    t.equal(await countRuns('engine-2'), before, 'no new run there');
+    allowReaders(hosts.map(({ id }) => id));
+  },
+);
+
+t.test('an engine that reports it is leaving gets no new run while the list lags', async (t) => {
+  // Guards against new runs on an engine that has reported that it is draining: the host list
+  // changes for another host and still lists the engine as live. The newer but lagging list
+  // must not override the report of the engine.
   const before = await countRuns('engine-3');
   t.ok(before > 0, 'the engine had work before');
-  await reportLeaving('engine-3', true);
-  t.comment(`known everywhere ${await waitLeaving(hosts, 'engine-3')} ms after its report`);
+  await setReportedLeaving('engine-3', true);
+  t.comment(`known everywhere ${await waitUntilLeaving(hosts, 'engine-3')} ms after its report`);
   await fleet.setHostState('plain-1', 'leaving');
-  await waitLeaving(hosts, 'plain-1');
+  await waitUntilLeaving(hosts, 'plain-1');
   const leaving = await Promise.all(hosts.map((host) => isLeavingAt(host, 'engine-3')));
-  t.same(leaving, [true, true, true, true], 'a lagging list takes nothing back');
+  t.same(leaving, [true, true, true, true], 'a lagging list does not override the report');
   t.same(new Set(await sendReports('During.')), new Set([200]));
   t.equal(await countRuns('engine-3'), before, 'no new run there');
   await fleet.setHostState('plain-1', 'live');
 });
 
-t.test('a restarted entry host believes its peers over its first host list', async (t) => {
-  // Symptom: one entry host alone gave work to an engine that had said that it
-  // leaves. Sequence: the entry host was restarted, heard of the engine from its
-  // peers, then read the host list, which still showed the engine live. Cause:
-  // the first list counted as newer than what had been heard before any list.
+t.test('a restarted entry host trusts its peers more than its first host list', async (t) => {
+  // Guards against an entry host that alone sends calls to a draining engine: after a restart the
+  // entry host learns from peers that the engine is draining, then reads a host list that still
+  // lists the engine as live. The first list must not count as newer than the peers' reports.
   const dispatcher = await findDispatcher();
   const restarted = hosts.find((host) => host !== dispatcher) as EntryHost;
-  await waitWatching();
-  limitReaders(hosts.filter((host) => host !== restarted).map(({ id }) => id));
+  await waitUntilWatching();
+  allowReaders(hosts.filter((host) => host !== restarted).map(({ id }) => id));
   await restarted.restart();
-  await waitLeaving([restarted], 'engine-3');
-  limitReaders(hosts.map(({ id }) => id));
+  await waitUntilLeaving([restarted], 'engine-3');
+  allowReaders(hosts.map(({ id }) => id));
   await fleet.setHostState('plain-1', 'leaving');
-  await waitWatching();
+  await waitUntilWatching();
   t.equal(await isLeavingAt(restarted, 'engine-3'), true);
   await fleet.setHostState('plain-1', 'live');
 });
 
-t.test('a frozen entry host wakes with an old list and starts nothing by it', async (t) => {
-  // Symptom: a report was cut by the end of an engine that everybody knew to be
-  // leaving. Sequence: the dispatcher froze, the engine was listed as leaving, the
-  // dispatcher woke with calls in its sockets and out of everybody's reach. Cause:
-  // it acted on what it had known before the pause.
+t.test('an entry host that resumes with an outdated list starts no run from it', async (t) => {
+  // Guards against a report that is cut off when a draining engine stops: the dispatcher is
+  // frozen, the engine is listed as leaving, and the dispatcher resumes with calls in its
+  // sockets while it can reach no peer. It must not act on its state from before the pause.
   const frozen = await findDispatcher();
   const others = hosts.filter((host) => host !== frozen);
   const ids = await Promise.all(
-    Array.from({ length: CALLS }, () => caller.assign(fleet, frozen.url)),
+    Array.from({ length: CALL_COUNT }, () => caller.assign(fleet, frozen.url)),
   );
   const before = await countRuns('engine-4');
   t.ok(before > 0, 'the engine had work before');
   frozen.kill('SIGSTOP');
-  const names = [[frozen.id], others.map(({ id }) => id)];
-  fleet.splitEntryHosts(names, LinkFault.Held);
-  limitReaders(others.map(({ id }) => id));
-  const pauses = frozen.output.split('event=process_paused').length;
-  const told = ids.map((id, at) => caller.sendReport(frozen.url, id, `Frozen ${at}.`));
+  const groups = [[frozen.id], others.map(({ id }) => id)];
+  fleet.partitionEntryHosts(groups, LinkFault.Held);
+  allowReaders(others.map(({ id }) => id));
+  const pauseCount = frozen.output.split('event=process_paused').length;
+  const pendingOutcomes = ids.map((id, index) =>
+    caller.sendReport(frozen.url, id, `Frozen ${index}.`),
+  );
   await fleet.setHostState('engine-4', 'leaving');
-  t.comment(`the others knew ${await waitLeaving(others, 'engine-4')} ms after it was listed`);
-  await waitAll(others, 'the suspicion of the frozen entry host', async (host) =>
+  t.comment(
+    `known to the others ${await waitUntilLeaving(others, 'engine-4')} ms after the listing`,
+  );
+  await waitForAll(others, 'the suspicion of the frozen entry host', async (host) =>
     (await listSuspected(host)).includes(frozen.id),
   );
 
   frozen.kill('SIGCONT');
-  await waitAll(
+  await waitForAll(
     [frozen],
     'the pause',
-    async ({ output }) => output.split('event=process_paused').length > pauses,
+    async ({ output }) => output.split('event=process_paused').length > pauseCount,
   );
   const health = await readAdmin<{ fresh: boolean }>(frozen, '/v1/health');
-  t.equal(health.fresh, false, 'it knows that it may be out of date');
-  t.equal(await isLeavingAt(frozen, 'engine-4'), false, 'and does not know of the engine');
-  await waitAll(
+  t.equal(health.fresh, false, 'it knows that its view may be outdated');
+  t.equal(await isLeavingAt(frozen, 'engine-4'), false, 'it does not know that engine-4 leaves');
+  await waitForAll(
     [frozen],
-    'the calls at the woken entry host',
+    'the calls at the resumed entry host',
     async (host) =>
       (await readAdmin<{ runningRequests: number }>(host, '/v1/health')).runningRequests > 0,
   );
-  await waitAll(
+  await waitForAll(
     [frozen],
-    'its suspicion of all others',
+    'the suspicion of all peers by the resumed entry host',
     async (host) => (await listSuspected(host)).length === others.length,
   );
   const { runningRequests } = await readAdmin<{ runningRequests: number }>(frozen, '/v1/health');
-  t.comment(`it holds ${runningRequests} of ${CALLS} calls`);
-  t.equal(await countRuns('engine-4'), before, 'it starts nothing before it is fresh');
-
-  limitReaders(hosts.map(({ id }) => id));
-  fleet.mergeEntryHosts();
-  await waitLeaving(hosts, 'engine-4');
-  const wokenAtMs = performance.now();
-  const outcomes = await Promise.all(told);
-  t.comment(`all answered ${Math.round(performance.now() - wokenAtMs)} ms after it was fresh`);
-  const kinds = outcomes.map(({ status, code, run }) => `${status} ${code} ${run}`);
-  t.comment([...new Set(kinds)].join(', '));
+  t.comment(`it holds ${runningRequests} of ${CALL_COUNT} calls`);
+  t.equal(await countRuns('engine-4'), before, 'it starts no run before its view is fresh');
+
+  allowReaders(hosts.map(({ id }) => id));
+  fleet.healPartition();
+  await waitUntilLeaving(hosts, 'engine-4');
+  const freshAtMs = performance.now();
+  const outcomes = await Promise.all(pendingOutcomes);
+  t.comment(
+    `all answered ${Math.round(performance.now() - freshAtMs)} ms after its view was fresh`,
+  );
+  const summaries = outcomes.map(({ status, code, run }) => `${status} ${code} ${run}`);
+  t.comment([...new Set(summaries)].join(', '));
   t.ok(outcomes.every(({ status, run }) => status === 200 || run !== undefined));
-  t.same(new Set(await sendReports('Awake.')), new Set([200]), 'it serves on');
+  t.same(new Set(await sendReports('Awake.')), new Set([200]), 'it keeps serving');
   t.equal(await countRuns('engine-4'), before, 'no new run there');
-  t.same(findBroken(caller.outcomes, await fleet.readRuns()), []);
+  t.same(findViolations(caller.outcomes, await fleet.readRuns()), []);
 });
--- a/test/faults/planned_stop_test.ts
+++ b/test/faults/planned_stop_test.ts
@@ -1,49 +1,49 @@
 /**
- * Planned stops under load, one entry host after the other.
+ * Planned stops of entry hosts under load, one after the other.
  *
  * @module
  */
 import t from 'tap';
 import { startFleet, waitUntil } from '../fleet/mod.js';
-import { findBroken, TestCaller } from './_caller.js';
+import { findViolations, TestCaller } from './_caller.js';
 
-const KEEP_ADDRESS_MS = 1000;
-const CALLERS = 6;
+const ADDRESS_LIFETIME_MS = 1000;
+const CALLER_COUNT = 6;
 const MAX_TOKENS = 30;
 
-t.test('a planned stop of each entry host in turn cuts no request', async (t) => {
-  // Symptom: reports that broke off whenever a host was replaced. Sequence: the
-  // host was told to stop while callers still held its address. Cause: it closed
-  // its listener before the last address it had given out had run out.
+t.test('planned stops of the entry hosts, one after the other, cut no request', async (t) => {
+  // Guards against reports that break off when a host is replaced: the host is told to stop while
+  // callers still hold its address. It must not close its listener before the lifetime of the
+  // last address that it gave out has passed.
   const fleet = await startFleet({
     engineCount: 2,
-    entryHostFlags: ['--keep-address-ms', String(KEEP_ADDRESS_MS)],
+    entryHostFlags: ['--keep-address-ms', String(ADDRESS_LIFETIME_MS)],
   });
   t.teardown(() => fleet.stop());
   const caller = new TestCaller(fleet.accounts[0]?.apiKey ?? '');
-  const isOver = { value: false };
+  const isDone = { value: false };
 
-  /** Works like a real caller: asks, keeps the address for its lifetime, goes on. */
+  /** Acts like a real caller: requests an address, uses it for its lifetime, then repeats. */
   const work = async (): Promise<void> => {
     let address = '';
-    let keptUntilMs = 0;
-    while (!isOver.value) {
-      const isKept = performance.now() < keptUntilMs;
-      const asked = isKept ? address : (fleet.entryHosts[0]?.url ?? '');
-      const given = await caller.send(asked, { method: 'POST', path: '/v1/requests' });
-      const assignment = JSON.parse(given.text) as {
+    let validUntilMs = 0;
+    while (!isDone.value) {
+      const isAddressValid = performance.now() < validUntilMs;
+      const url = isAddressValid ? address : (fleet.entryHosts[0]?.url ?? '');
+      const assigned = await caller.send(url, { method: 'POST', path: '/v1/requests' });
+      const assignment = JSON.parse(assigned.text) as {
         id: string;
         keepMs: number;
         entryHost: { url: string };
       };
-      if (!isKept) {
+      if (!isAddressValid) {
         address = assignment.entryHost.url;
-        keptUntilMs = performance.now() + assignment.keepMs;
+        validUntilMs = performance.now() + assignment.keepMs;
       }
       await caller.sendReport(address, assignment.id, 'Report on the hall.', MAX_TOKENS);
     }
   };
-  const working = Promise.all(Array.from({ length: CALLERS }, work));
+  const working = Promise.all(Array.from({ length: CALLER_COUNT }, work));
 
   for (const host of fleet.entryHosts.slice(1)) {
     host.kill('SIGTERM');
@@ -51,13 +51,13 @@
     t.equal(host.exitCode, 0, `${host.id} stops cleanly`);
     await host.restart();
   }
-  isOver.value = true;
+  isDone.value = true;
   await working;
 
   const reports = caller.outcomes.filter(
     (one) => one.requestId !== '' && one.text.includes('data:'),
   );
-  t.ok(reports.length > CALLERS, `${reports.length} reports were asked for meanwhile`);
+  t.ok(reports.length > CALLER_COUNT, `${reports.length} reports were sent during the stops`);
   t.same(
     caller.outcomes.filter((one) => one.status !== 200),
     [],
@@ -65,18 +65,18 @@
   );
   t.ok(
     reports.every((one) => one.text.includes('[DONE]')),
-    'and whole',
+    'every report is complete',
   );
-  t.same(findBroken(caller.outcomes, await fleet.readRuns()), []);
+  t.same(findViolations(caller.outcomes, await fleet.readRuns()), []);
 });
 
-t.test('a caller that comes late, yet within its address’s life, is served', async (t) => {
-  // Symptom: connections refused in a planned stop of an idle entry host.
-  // Sequence: a caller was given its address, the host was told to stop and had
-  // nothing to do, the caller connected. Cause: it ended as soon as it was idle.
+t.test('a stopping entry host serves callers until the lifetime of its address ends', async (t) => {
+  // Guards against refused connections in a planned stop of an idle entry host: a caller gets the
+  // address of the host, the idle host is told to stop, and then the caller connects. The host
+  // must not exit as soon as it is idle.
   const fleet = await startFleet({
     engineCount: 1,
-    entryHostFlags: ['--keep-address-ms', String(KEEP_ADDRESS_MS)],
+    entryHostFlags: ['--keep-address-ms', String(ADDRESS_LIFETIME_MS)],
   });
   t.teardown(() => fleet.stop());
   const caller = new TestCaller(fleet.accounts[0]?.apiKey ?? '');
@@ -89,46 +89,49 @@
     limitMs: 10_000,
   });
   await new Promise((resolve) => {
-    setTimeout(resolve, KEEP_ADDRESS_MS / 2);
+    setTimeout(resolve, ADDRESS_LIFETIME_MS / 2);
   });
   t.equal((await caller.sendReport(host.url, id, 'Report on the hall.')).status, 200);
   await host.waitExit();
   t.equal(host.exitCode, 0);
 });
 
-t.test('a second signal ends a stop at once, with an honest answer', async (t) => {
-  const fleet = await startFleet({ engineCount: 1 });
-  t.teardown(() => fleet.stop());
-  const caller = new TestCaller(fleet.accounts[0]?.apiKey ?? '');
-  const [host] = fleet.entryHosts;
-  if (!host) throw new Error('no entry host');
-  const id = await caller.assign(fleet, host.url);
-  let noteStreaming = (): void => undefined;
-  const isStreaming = new Promise<void>((resolve) => {
-    noteStreaming = resolve;
-  });
-  const sent = caller.send(host.url, {
-    path: '/v1/chat/completions',
-    requestId: id,
-    workKind: 'report',
-    body: {
-      model: 'monsoon-draft',
-      messages: [{ role: 'user', content: 'A long report.' }],
-      max_tokens: 2000,
-      stream: true,
-    },
-    onPart: () => noteStreaming(),
-  });
-  await isStreaming;
-  host.kill('SIGTERM');
-  await waitUntil(async () => host.output.includes('stop_started'), {
-    subject: 'the begin of the stop',
-    limitMs: 10_000,
-  });
-  host.kill('SIGTERM');
-  await host.waitExit();
-  t.equal(host.exitCode, 1);
-  const told = await sent;
-  t.match(told.text, /entry_host_stopping/);
-  t.match(told.text, /may_have_run/, 'the stream goes on at the engine: nobody says not_run');
-});
+t.test(
+  'a second signal forces a stop at once, and the call is answered may_have_run',
+  async (t) => {
+    const fleet = await startFleet({ engineCount: 1 });
+    t.teardown(() => fleet.stop());
+    const caller = new TestCaller(fleet.accounts[0]?.apiKey ?? '');
+    const [host] = fleet.entryHosts;
+    if (!host) throw new Error('no entry host');
+    const id = await caller.assign(fleet, host.url);
+    let markStreaming = (): void => undefined;
+    const streaming = new Promise<void>((resolve) => {
+      markStreaming = resolve;
+    });
+    const pending = caller.send(host.url, {
+      path: '/v1/chat/completions',
+      requestId: id,
+      workKind: 'report',
+      body: {
+        model: 'monsoon-draft',
+        messages: [{ role: 'user', content: 'A long report.' }],
+        max_tokens: 2000,
+        stream: true,
+      },
+      onChunk: () => markStreaming(),
+    });
+    await streaming;
+    host.kill('SIGTERM');
+    await waitUntil(async () => host.output.includes('stop_started'), {
+      subject: 'the begin of the stop',
+      limitMs: 10_000,
+    });
+    host.kill('SIGTERM');
+    await host.waitExit();
+    t.equal(host.exitCode, 1);
+    const outcome = await pending;
+    t.match(outcome.text, /entry_host_stopping/);
+    t.match(outcome.text, /may_have_run/, 'not not_run, since the stream continues at the engine');
+  },
+);
--- a/test/fleet/_control.ts
+++ b/test/fleet/_control.ts
@@ -1,5 +1,6 @@
 /**
- * Calls to the stand-ins' control surfaces and to administration listeners.
+ * HTTP calls to the control endpoints of stand-ins and to the administration listeners of
+ * entry hosts.
  *
  * @module
  */
@@ -7,7 +8,7 @@
 
 const CONTROL_TIMEOUT_MS = 10_000;
 
-/** What a control call sends. */
+/** Options of a control call. */
 export interface ControlOptions {
   readonly method?: string;
   readonly body?: string;
@@ -15,21 +16,21 @@
   readonly timeoutMs?: number;
 }
 
-/** Answer of a control call. */
-export interface ControlAnswer {
+/** Response to a control call. */
+export interface ControlResponse {
   readonly status: number;
   readonly text: string;
 }
 
 /**
- * Sends one call on a connection of its own, so that no kept connection which
- * a fault has silenced is used again.
+ * Sends one call on a new connection, since a pooled connection may have been silenced by an
+ * injected fault.
  *
- * @param url - where to
+ * @param url - URL to call
  * @param options - method (GET by default), body and headers
- * @returns status and body
+ * @returns status and body of the response
  */
-export function sendControl(url: string, options: ControlOptions = {}): Promise<ControlAnswer> {
+export function sendControl(url: string, options: ControlOptions = {}): Promise<ControlResponse> {
   return new Promise((resolve, reject) => {
     const call = request(url, {
       method: options.method ?? 'GET',
@@ -37,7 +38,7 @@
       agent: false,
       timeout: options.timeoutMs ?? CONTROL_TIMEOUT_MS,
     });
-    call.on('timeout', () => call.destroy(new Error(`Cannot read ${url}: no answer in time`)));
+    call.on('timeout', () => call.destroy(new Error(`Call to ${url} timed out`)));
     call.on('error', reject);
     call.on('response', (response) => {
       const chunks: Buffer[] = [];
@@ -54,13 +55,13 @@
 /**
  * Sends a control call that must succeed.
  *
- * @param url - where to
+ * @param url - URL to call
  * @param options - see {@link sendControl}
  * @returns the parsed JSON body
- * @throws Error when the status is not 200
+ * @throws Error if the status is not 200
  */
 export async function sendJsonControl<T>(url: string, options: ControlOptions = {}): Promise<T> {
   const { status, text } = await sendControl(url, options);
-  if (status !== 200) throw new Error(`Cannot use ${url}: status ${status}, ${text}`);
+  if (status !== 200) throw new Error(`Call to ${url} failed: status ${status}, ${text}`);
   return JSON.parse(text) as T;
 }
--- a/test/fleet/_fleet_builder.ts
+++ b/test/fleet/_fleet_builder.ts
@@ -1,12 +1,12 @@
 /**
- * The steps of a fleet's start.
+ * Starts the processes of a test fleet step by step.
  *
  * @module
  */
 import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
-import { Guardian } from './_guardian.js';
+import { ProcessReaper } from './_process_reaper.js';
 import {
   buildEngineSpec,
   buildEntryHostSpec,
@@ -20,7 +20,7 @@
 import { CutProxy } from './cut_proxy.js';
 import type { BackendServerDocument, FleetDocument } from './documents.js';
 import { Fleet } from './fleet.js';
-import type { FilledFleetOptions } from './fleet_options.js';
+import type { ResolvedFleetOptions } from './fleet_options.js';
 import { BackendServer, EntryHost, PlatformProcess } from './fleet_process.js';
 import type { FleetProcess, ProgramSpec } from './fleet_process.js';
 import type { HostEntry } from './operator.js';
@@ -33,21 +33,21 @@
   return `http://${CLIENT_HOST}:${port}`;
 }
 
-function listNumbers(count: number): number[] {
+function createIndexRange(count: number): number[] {
   return Array.from({ length: count }, (_, index) => index);
 }
 
 function buildServiceDocuments(
-  options: FilledFleetOptions,
+  options: ResolvedFleetOptions,
   engines: readonly BackendServerDocument[],
   plainServers: readonly BackendServerDocument[],
 ): FleetDocument {
   const { shape, dispatchGroupSize } = options;
-  const common = { checksOrders: true, dispatchGroupSize };
+  const commonFields = { checksOrders: true, dispatchGroupSize };
   return {
     services: [
       {
-        ...common,
+        ...commonFields,
         id: shape.modelService,
         kind: 'model',
         models: [shape.model],
@@ -55,7 +55,7 @@
         backendServers: engines,
       },
       {
-        ...common,
+        ...commonFields,
         id: shape.plainService,
         kind: 'plain',
         models: [],
@@ -67,11 +67,11 @@
   };
 }
 
-/** Starts one fleet, or ends what there is of it. */
+/** Starts one fleet, or stops the part of it that has been started. */
 export class FleetBuilder {
   readonly #folder = mkdtempSync(path.join(tmpdir(), 'monsoonhall-fleet-'));
 
-  readonly #guardian = new Guardian(this.#folder);
+  readonly #reaper = new ProcessReaper(this.#folder);
 
   readonly #ports = new PortReservation();
 
@@ -79,10 +79,10 @@
 
   readonly #proxies: CutProxy[] = [];
 
-  /** @param options - what the fleet is made of */
-  constructor(readonly options: FilledFleetOptions) {}
+  /** @param options - options of the fleet */
+  constructor(readonly options: ResolvedFleetOptions) {}
 
-  /** @returns the running fleet */
+  /** Starts all processes and publishes the documents. @returns the running fleet */
   async build(): Promise<Fleet> {
     this.options.onProgress('starting the platform and the backend servers');
     const configuration = await this.#createPlatform('configuration', 0);
@@ -100,7 +100,7 @@
     const { options } = this;
     return new Fleet({
       options,
-      guardian: this.#guardian,
+      reaper: this.#reaper,
       ports: this.#ports,
       configuration,
       hostList,
@@ -110,12 +110,12 @@
     });
   }
 
-  /** Ends what was started so far. */
+  /** Stops all processes and proxies that have been started so far. */
   async stop(): Promise<void> {
     this.#processes.forEach((each) => each.kill('SIGKILL'));
     await Promise.all(this.#processes.map((each) => each.waitExit()));
     await Promise.all(this.#proxies.map((proxy) => proxy.close()));
-    await this.#guardian.close();
+    await this.#reaper.close();
     await this.#ports.close();
   }
 
@@ -125,18 +125,18 @@
   }
 
   async #openProxyIf(
-    wished: boolean | undefined,
+    isWanted: boolean | undefined,
     port: number,
     findSource?: (ports: ConnectionPorts) => Promise<string>,
   ): Promise<CutProxy | undefined> {
-    if (!wished) return undefined;
+    if (!isWanted) return undefined;
     const proxy = new CutProxy({ host: CLIENT_HOST, port }, findSource);
     await proxy.open(await this.#ports.take());
     this.#proxies.push(proxy);
     return proxy;
   }
 
-  /** Finds the entry host at the other end of a proxied connection. */
+  /** Returns the ID of the entry host that opened a proxied connection; empty if none did. */
   async #findSource(ports: ConnectionPorts): Promise<string> {
     const entryHosts = this.#processes.filter((each) => each instanceof EntryHost);
     const pid = await findSocketOwner(
@@ -155,7 +155,7 @@
       url,
       spec: buildPlatformSpec(role, port, lagMs),
       readyUrl: `${url}/_standin/reads`,
-      guardian: this.#guardian,
+      reaper: this.#reaper,
       proxy: await this.#openProxyIf(
         role === 'host-list' ? hostList : configuration,
         port,
@@ -172,7 +172,7 @@
       const spec = buildEngineSpec(index, port, this.#buildSpecOptions(id));
       return this.#createBackendServer(id, shape.modelService, port, spec);
     };
-    return Promise.all(listNumbers(engineCount).map(create));
+    return Promise.all(createIndexRange(engineCount).map(create));
   }
 
   #createPlainServers(): Promise<BackendServer[]> {
@@ -183,7 +183,7 @@
       const spec = buildPlainSpec(index, port, this.#buildSpecOptions(id));
       return this.#createBackendServer(id, shape.plainService, port, spec);
     };
-    return Promise.all(listNumbers(plainServerCount).map(create));
+    return Promise.all(createIndexRange(plainServerCount).map(create));
   }
 
   async #createBackendServer(
@@ -193,7 +193,7 @@
     spec: ProgramSpec,
   ): Promise<BackendServer> {
     const url = buildUrl(port);
-    // To find whose connection it is may take longer than an entry host waits for 100.
+    // No findSource here: the look-up may take longer than an entry host waits for 100 Continue.
     const proxy = await this.#openProxyIf(this.options.proxied.backendServers, port);
     const listed: HostEntry = {
       id,
@@ -202,10 +202,10 @@
       availabilityZone: this.#pickZone(Number(id.split('-').at(-1)) - 1),
       state: 'live',
     };
-    const facts = { id, url, spec, readyUrl: `${url}/_standin/runs`, proxy };
+    const processOptions = { id, url, spec, readyUrl: `${url}/_standin/runs`, proxy };
     const { runsFile } = this.#buildSpecOptions(id);
     const options = { service, listed, runsFile };
-    return new BackendServer({ ...facts, guardian: this.#guardian }, options);
+    return new BackendServer({ ...processOptions, reaper: this.#reaper }, options);
   }
 
   #buildSpecOptions(id: string): BackendSpecOptions {
@@ -236,8 +236,8 @@
   }
 
   async #createEntryHosts(configurationUrl: string, hostListUrl: string): Promise<EntryHost[]> {
-    const numbers = listNumbers(this.options.entryHostCount);
-    const ports = await Promise.all(numbers.map(() => this.#takeEntryHostPorts()));
+    const indexes = createIndexRange(this.options.entryHostCount);
+    const ports = await Promise.all(indexes.map(() => this.#reserveEntryHostPorts()));
     const proxies = await Promise.all(
       ports.map((each) =>
         this.#openProxyIf(this.options.proxied.peers, each.peers, (links) =>
@@ -262,7 +262,7 @@
     });
   }
 
-  async #takeEntryHostPorts(): Promise<EntryHostPorts> {
+  async #reserveEntryHostPorts(): Promise<EntryHostPorts> {
     return {
       callers: await this.#ports.take(),
       peers: await this.#ports.take(),
@@ -274,12 +274,12 @@
     const { id, availabilityZone, peerUrl, ports } = settings;
     const url = buildUrl(ports.callers);
     const adminUrl = buildUrl(ports.admin);
-    const facts = {
+    const processOptions = {
       id,
       url,
       spec: buildEntryHostSpec(settings, this.options.entryHostFlags),
       readyUrl: `${adminUrl}/v1/readiness`,
-      guardian: this.#guardian,
+      reaper: this.#reaper,
       proxy,
     };
     const listed: HostEntry = {
@@ -290,7 +290,7 @@
       availabilityZone,
       state: 'live',
     };
-    return new EntryHost(facts, adminUrl, listed);
+    return new EntryHost(processOptions, adminUrl, listed);
   }
 
   #pickZone(index: number): string {
--- a/test/fleet/_guardian_main.ts
+++ b/test/fleet/_process_reaper_main.ts
@@ -1,7 +1,7 @@
 /**
- * Program: kills the processes of a fleet, and removes its temporary folder,
- * when its starter has died without doing so. It reads `+pid` and `-pid` lines; the end of its input means
- * that the starter is gone.
+ * Entry point of the helper process that kills the processes of a fleet and removes its
+ * temporary folder when the starter of the fleet is gone, even if that was killed. It reads
+ * lines `+pid` (started) and `-pid` (exited) from stdin, whose end means that the starter is gone.
  *
  * @module
  */
@@ -22,7 +22,7 @@
     try {
       process.kill(pid, 'SIGKILL');
     } catch {
-      // It ended by itself.
+      // The process has already exited.
     }
   });
   if (folder !== undefined) rmSync(folder, { recursive: true, force: true });
--- a/test/fleet/_program_specs.ts
+++ b/test/fleet/_program_specs.ts
@@ -1,38 +1,38 @@
 /**
- * How each program of a fleet is started.
+ * Builds the command line of each program of a test fleet.
  *
  * @module
  */
 import { fileURLToPath } from 'node:url';
-import type { FilledFleetOptions } from './fleet_options.js';
+import type { ResolvedFleetOptions } from './fleet_options.js';
 import type { ProgramSpec } from './fleet_process.js';
 import { ENGINE_KINDS } from './shapes.js';
 
-/** Key of every administration listener in tests. */
+/** Key for the administration listeners of all entry hosts in tests. */
 export const ADMIN_KEY = 'test-administration-key';
 
 const CLUSTER_KEY = '5a'.repeat(32);
 
-/** What the start of a backend server needs. */
+/** Options for the command line of a backend server. */
 export interface BackendSpecOptions {
-  readonly options: FilledFleetOptions;
-  /** Where it keeps its runs. */
+  readonly options: ResolvedFleetOptions;
+  /** File in which the server records its runs. */
   readonly runsFile: string;
 }
 
-/** Addresses of one entry host. */
+/** Ports of the listeners of one entry host. */
 export interface EntryHostPorts {
   readonly callers: number;
   readonly peers: number;
   readonly admin: number;
 }
 
-/** Everything that an entry host is told. */
+/** Settings of one entry host. */
 export interface EntryHostSettings {
   readonly id: string;
   readonly availabilityZone: string;
   readonly ports: EntryHostPorts;
-  /** URL at which peers reach it. */
+  /** URL at which other entry hosts reach this one. */
   readonly peerUrl: string;
   readonly configurationUrl: string;
   readonly hostListUrl: string;
@@ -40,7 +40,7 @@
   readonly peerUrls: readonly string[];
 }
 
-/** The compiled tree stands two folders above this file, whatever its name. */
+/** Resolves a path in the tree of compiled files, whose root is two folders above this file. */
 function findProgram(path: string): string {
   return fileURLToPath(new URL(`../../${path}`, import.meta.url));
 }
@@ -50,12 +50,12 @@
 }
 
 /**
- * Builds the start of a platform stand-in.
+ * Builds the command line of a platform stand-in.
  *
  * @param role - `configuration` or `host-list`
- * @param port - where it listens
- * @param lagMs - how late its keys show, in milliseconds
- * @returns the start
+ * @param port - port to listen on
+ * @param lagMs - delay before a write becomes visible, in milliseconds
+ * @returns the command line
  */
 export function buildPlatformSpec(role: string, port: number, lagMs: number): ProgramSpec {
   return {
@@ -65,22 +65,22 @@
 }
 
 /**
- * Picks the kind of an engine: the kinds take turns.
+ * Picks the kind of an engine, in rotation.
  *
- * @param index - which engine, from 0 on
- * @returns the kind
+ * @param index - index of the engine, from 0
+ * @returns the engine kind
  */
 export function pickEngineKind(index: number): (typeof ENGINE_KINDS)[number] {
   return ENGINE_KINDS[index % ENGINE_KINDS.length] as (typeof ENGINE_KINDS)[number];
 }
 
 /**
- * Builds the start of an engine stand-in.
+ * Builds the command line of an engine stand-in.
  *
- * @param index - which engine, from 0 on
- * @param port - where it listens
- * @param options - the fleet's options, and where its runs are kept
- * @returns the start
+ * @param index - index of the engine, from 0
+ * @param port - port to listen on
+ * @param options - options of the fleet and the file for the runs of the engine
+ * @returns the command line
  */
 export function buildEngineSpec(
   index: number,
@@ -107,12 +107,12 @@
 }
 
 /**
- * Builds the start of a plain service's stand-in.
+ * Builds the command line of a stand-in plain server.
  *
- * @param index - which server, from 0 on
- * @param port - where it listens
- * @param options - the fleet's options, and where its runs are kept
- * @returns the start
+ * @param index - index of the server, from 0
+ * @param port - port to listen on
+ * @param options - options of the fleet and the file for the runs of the server
+ * @returns the command line
  */
 export function buildPlainSpec(
   index: number,
@@ -134,11 +134,11 @@
 }
 
 /**
- * Builds the start of an entry host.
+ * Builds the command line and environment of an entry host.
  *
- * @param settings - what it is told
- * @param flags - more flags
- * @returns the start
+ * @param settings - settings of the entry host
+ * @param flags - additional flags
+ * @returns the command line and environment
  */
 export function buildEntryHostSpec(
   settings: EntryHostSettings,
--- a/test/fleet/_wait_ready.ts
+++ b/test/fleet/_wait_ready.ts
@@ -1,5 +1,5 @@
 /**
- * Readiness of the processes of a fleet.
+ * Waits for the processes of a fleet to become ready.
  *
  * @module
  */
@@ -7,22 +7,22 @@
 import type { FleetProcess } from './fleet_process.js';
 import { waitUntil } from './wait_until.js';
 
-const READY_LIMIT_MS = 20_000;
-const ANSWER_LIMIT_MS = 1000;
+const READY_TIMEOUT_MS = 20_000;
+const CHECK_TIMEOUT_MS = 1000;
 
 /**
- * Waits until a process answers 200.
+ * Waits until a process answers a readiness check with status 200.
  *
- * @param url - what to ask
- * @param process - the process, whose end makes the wait pointless
- * @throws Error with the process's output
+ * @param url - URL of the readiness check
+ * @param process - the process; its exit ends the wait
+ * @throws Error with the output of the process if it exits or is not ready in time
  */
-export async function waitReady(url: string, process: FleetProcess): Promise<void> {
+export async function waitUntilReady(url: string, process: FleetProcess): Promise<void> {
   const isReady = async (): Promise<boolean> =>
-    (await sendControl(url, { timeoutMs: ANSWER_LIMIT_MS })).status === 200;
+    (await sendControl(url, { timeoutMs: CHECK_TIMEOUT_MS })).status === 200;
   const findFailure = (): string | undefined =>
-    process.isRunning ? undefined : `${process.id} ended with ${process.exitCode}`;
-  await waitUntil(isReady, { subject: url, limitMs: READY_LIMIT_MS, findFailure }).catch(
+    process.isRunning ? undefined : `${process.id} exited with ${process.exitCode}`;
+  await waitUntil(isReady, { subject: url, limitMs: READY_TIMEOUT_MS, findFailure }).catch(
     (error: Error) => {
       throw new Error(`${error.message}\n${process.output}`, { cause: error });
     },
--- a/test/fleet/cut_proxy.ts
+++ b/test/fleet/cut_proxy.ts
@@ -1,5 +1,5 @@
 /**
- * A small TCP proxy that cuts or silences a link.
+ * A TCP proxy that injects network faults: it cuts, silences or delays connections.
  *
  * @module
  */
@@ -7,51 +7,51 @@
 import type { AddressInfo, Server, Socket } from 'node:net';
 import type { ConnectionPorts } from './_socket_owner.js';
 
-/** What can be wrong with the link. */
+/** Network faults that the proxy can inject. */
 export enum LinkFault {
   None = 'none',
-  /** Everything is taken and dropped, on old and new connections; none closes. */
+  /** Bytes are read and dropped on old and new connections; no connection closes. */
   Silent = 'silent',
-  /** Connections that are open at the order go silent for good; new ones work. */
+  /** Connections that are open when the fault begins are silenced for good; new ones work. */
   SilentOld = 'silent-old',
-  /** New connections are closed at once; old ones go on. */
+  /** New connections are closed at once; old ones keep working. */
   RefuseNew = 'refuse-new',
-  /** Bytes go to the server and none comes back, on old and new connections. */
+  /** Bytes reach the server but none come back, on old and new connections. */
   HalfOpen = 'half-open',
-  /** Old connections are reset, new ones are closed at once. */
+  /** Old connections are destroyed, and new ones are closed at once. */
   Cut = 'cut',
-  /** Nothing passes while it holds and everything arrives late after it, as in a partition. */
+  /** Nothing passes during the fault, and everything arrives after it, as in a partition. */
   Held = 'held',
 }
 
-/** Which way bytes are still dropped on one connection. */
-interface Dropping {
+/** Directions in which bytes of one connection are dropped. */
+interface DroppedDirections {
   toServer: boolean;
   toClient: boolean;
 }
 
 /** One proxied connection. */
 interface ProxiedLink {
-  /** Who opened it; empty when nobody can tell. */
+  /** ID of the client that opened the connection; empty if it is unknown. */
   readonly source: string;
   readonly client: Socket;
   readonly server: Socket;
-  readonly dropping: Dropping;
+  readonly dropping: DroppedDirections;
 }
 
-/** Address that is proxied. */
+/** Address to which the proxy forwards connections. */
 export interface ProxyTarget {
   readonly host: string;
   readonly port: number;
 }
 
-/** Stands before one server. A connection that lost bytes never works again. */
+/** Proxies connections to one server. A connection that has lost bytes stays broken. */
 export class CutProxy {
   readonly #server: Server;
 
   readonly #links = new Set<ProxiedLink>();
 
-  /** Clients whose connections wait for the end of {@link LinkFault.Held}, and their sources. */
+  /** Clients whose new connections wait for the end of {@link LinkFault.Held}, with their sources. */
   readonly #heldClients = new Map<Socket, string>();
 
   #fault = LinkFault.None;
@@ -59,9 +59,9 @@
   #faultSources: ReadonlySet<string> | undefined;
 
   /**
-   * @param target - where connections go on to
-   * @param findSource - finds who opened a connection, by the port it comes
-   *   from and the proxy's own; by default nobody can tell
+   * @param target - address to which connections are forwarded
+   * @param findSource - returns the ID of the client that opened a connection, by the ports of
+   *   the connection; by default the source is unknown (empty)
    */
   constructor(
     readonly target: ProxyTarget,
@@ -76,7 +76,7 @@
   /**
    * Starts listening on 127.0.0.1.
    *
-   * @param port - port; 0 takes a free one
+   * @param port - port to listen on; 0 picks a free port
    * @returns the port
    */
   async open(port = 0): Promise<number> {
@@ -87,39 +87,41 @@
     return this.port;
   }
 
-  /** Where it listens. */
+  /** Port on which the proxy listens. */
   get port(): number {
     return (this.#server.address() as AddressInfo).port;
   }
 
-  /** Base URL of what stands behind it, for HTTP. */
+  /** HTTP base URL of the target through the proxy. */
   get url(): string {
     return `http://127.0.0.1:${this.port}`;
   }
 
-  /** How many connections go through it. */
+  /** Number of open proxied connections. */
   get linkCount(): number {
     return this.#links.size;
   }
 
   /**
-   * Puts a fault in force, or ends it.
+   * Injects a fault in place of the current one, or ends it.
    *
-   * @param fault - what is wrong from now on
-   * @param sources - only connections from these are affected; by default all
+   * @param fault - the new fault
+   * @param sources - IDs of the clients whose connections are affected; by default all are
    */
   setFault(fault: LinkFault, sources?: ReadonlySet<string>): void {
-    const last = [...this.#links].map((link) => ({ link, fault: this.#getFault(link.source) }));
+    const previous = [...this.#links].map((link) => ({ link, fault: this.#getFault(link.source) }));
     this.#fault = fault;
     this.#faultSources = sources;
-    last.forEach((each) => this.#apply(each.link, this.#getFault(each.link.source), each.fault));
-    this.#releaseHeld();
+    previous.forEach((each) =>
+      this.#applyFault(each.link, this.#getFault(each.link.source), each.fault),
+    );
+    this.#releaseHeldClients();
   }
 
   /** Closes every connection and stops listening. */
   async close(): Promise<void> {
     [...this.#heldClients.keys()].forEach((client) => client.destroy());
-    this.#links.forEach((link) => this.#closeByReset(link));
+    this.#links.forEach((link) => this.#destroyLink(link));
     await new Promise<void>((resolve) => {
       this.#server.close(() => resolve());
     });
@@ -144,10 +146,10 @@
     else if (fault === LinkFault.Held) {
       this.#heldClients.set(client, source);
       client.once('close', () => this.#heldClients.delete(client));
-    } else this.#open(client, source);
+    } else this.#openLink(client, source);
   }
 
-  #releaseHeld(): void {
+  #releaseHeldClients(): void {
     const clients = [...this.#heldClients];
     this.#heldClients.clear();
     clients
@@ -155,7 +157,7 @@
       .forEach(([client, source]) => this.#accept(client, source));
   }
 
-  #open(client: Socket, source: string): void {
+  #openLink(client: Socket, source: string): void {
     const server = connect({ ...this.target, allowHalfOpen: true });
     const link = { source, client, server, dropping: { toServer: false, toClient: false } };
     this.#links.add(link);
@@ -163,15 +165,15 @@
     this.#forward(link, server, client);
     [client, server].forEach((socket) => {
       socket.on('error', () => undefined);
-      socket.once('close', (hadError: boolean) => this.#closeLink(link, hadError));
+      socket.once('close', (hadError: boolean) => this.#handleSocketClose(link, hadError));
     });
     const fault = this.#getFault(source);
-    if (fault === LinkFault.Silent) this.#applyDropping(link, true);
-    if (fault === LinkFault.HalfOpen) this.#applyDropping(link, false);
+    if (fault === LinkFault.Silent) this.#startDropping(link, true);
+    if (fault === LinkFault.HalfOpen) this.#startDropping(link, false);
     client.resume();
   }
 
-  /** Keeps the pace of the slower end. */
+  /** Forwards bytes in one direction, with backpressure from the receiving end. */
   #forward(link: ProxiedLink, from: Socket, to: Socket): void {
     const isDropping = (): boolean =>
       to === link.server ? link.dropping.toServer : link.dropping.toClient;
@@ -188,26 +190,29 @@
     });
   }
 
-  #apply(link: ProxiedLink, fault: LinkFault, last: LinkFault): void {
+  #applyFault(link: ProxiedLink, fault: LinkFault, previous: LinkFault): void {
     if (fault === LinkFault.Silent || fault === LinkFault.SilentOld)
-      this.#applyDropping(link, true);
-    if (fault === LinkFault.HalfOpen) this.#applyDropping(link, false);
-    if (fault === LinkFault.Cut) this.#closeByReset(link);
+      this.#startDropping(link, true);
+    if (fault === LinkFault.HalfOpen) this.#startDropping(link, false);
+    if (fault === LinkFault.Cut) this.#destroyLink(link);
     if (fault === LinkFault.Held) [link.client, link.server].forEach((socket) => socket.pause());
-    else if (last === LinkFault.Held) {
+    else if (previous === LinkFault.Held) {
       [link.client, link.server].forEach((socket) => socket.resume());
     }
   }
 
-  #applyDropping({ dropping }: ProxiedLink, toServer: boolean): void {
+  #startDropping({ dropping }: ProxiedLink, toServer: boolean): void {
     Object.assign(dropping, { toClient: true, toServer: dropping.toServer || toServer });
   }
 
-  /** The end of the server's side is not told to the client while the link is silent. */
-  #closeLink(link: ProxiedLink, hadError: boolean): void {
+  /**
+   * Handles the close of one end of a connection. While the connection is silent, the client
+   * is not told that the server closed its end.
+   */
+  #handleSocketClose(link: ProxiedLink, hadError: boolean): void {
     const isSilent = link.dropping.toServer || link.dropping.toClient;
     if (isSilent && !link.client.destroyed) return;
-    if (hadError || isSilent) this.#closeByReset(link);
+    if (hadError || isSilent) this.#destroyLink(link);
     else {
       this.#links.delete(link);
       link.client.destroySoon();
@@ -215,7 +220,7 @@
     }
   }
 
-  #closeByReset(link: ProxiedLink): void {
+  #destroyLink(link: ProxiedLink): void {
     this.#links.delete(link);
     link.client.destroy();
     link.server.destroy();
--- a/test/fleet/cut_proxy_test.ts
+++ b/test/fleet/cut_proxy_test.ts
@@ -8,10 +8,13 @@
 /** An echo server behind a proxy. */
 interface Setup {
   readonly proxy: CutProxy;
-  /** Bytes that the server has got, as text. */
+  /** Returns the bytes that the server has received so far, as text. */
   readonly getReceived: () => string;
   readonly open: () => Promise<Socket>;
-  /** Sends to the server past the proxy; what the proxy let through before is there by then. */
+  /**
+   * Sends to the server directly and waits for its echo. Bytes that the proxy forwarded
+   * before have reached the server by then.
+   */
   readonly sendPastProxy: (text: string) => Promise<void>;
 }
 
@@ -56,7 +59,7 @@
   return bytes.toString();
 }
 
-t.test('CutProxy passes bytes both ways', async (t) => {
+t.test('CutProxy forwards bytes in both directions', async (t) => {
   const { open, proxy } = await startSetup(t);
   t.equal(await sendAndRead(await open(), 'one'), 'one');
   t.equal(proxy.linkCount, 1);
@@ -77,7 +80,7 @@
   t.notOk(old.destroyed);
 });
 
-t.test('CutProxy lets bytes in and none out when half open', async (t) => {
+t.test('CutProxy forwards bytes to the server but not back when half open', async (t) => {
   const { open, proxy, getReceived, sendPastProxy } = await startSetup(t);
   const socket = await open();
   await sendAndRead(socket, 'one');
@@ -93,7 +96,7 @@
   t.notOk(socket.destroyed);
 });
 
-t.test('CutProxy resets old connections and closes new ones when cut', async (t) => {
+t.test('CutProxy destroys old connections and closes new ones when cut', async (t) => {
   const { open, proxy } = await startSetup(t);
   const socket = await open();
   await sendAndRead(socket, 'one');
@@ -105,7 +108,7 @@
   t.equal(await sendAndRead(await open(), 'two'), 'two');
 });
 
-t.test('CutProxy refuses new connections while old ones go on', async (t) => {
+t.test('CutProxy refuses new connections while old ones keep working', async (t) => {
   const { open, proxy } = await startSetup(t);
   const old = await open();
   await sendAndRead(old, 'one');
@@ -114,7 +117,7 @@
   t.equal(await sendAndRead(old, 'two'), 'two');
 });
 
-t.test('CutProxy delivers what was held after a partition', async (t) => {
+t.test('CutProxy delivers held bytes after a partition', async (t) => {
   const { open, proxy, getReceived, sendPastProxy } = await startSetup(t);
   const old = await open();
   await sendAndRead(old, 'one');
@@ -132,7 +135,7 @@
   );
 });
 
-t.test('CutProxy affects only the sources that it is told', async (t) => {
+t.test('CutProxy affects only the given sources', async (t) => {
   const { open, proxy } = await startSetup(t);
   const sources = ['entry-1', 'entry-2'];
   const named = new CutProxy(proxy.target, async () => sources.shift() ?? '');
--- a/test/fleet/documents.ts
+++ b/test/fleet/documents.ts
@@ -1,5 +1,5 @@
 /**
- * The documents that operators publish, as the tests write them.
+ * Types of the configuration documents that operators publish, as the tests write them.
  *
  * @module
  */
@@ -38,7 +38,7 @@
   readonly engineKinds: readonly EngineKindDocument[];
 }
 
-/** One kind of work of a contract document. */
+/** One work kind of a contract document. */
 export interface WorkDocument {
   readonly kind: string;
   readonly service: string;
@@ -50,7 +50,7 @@
   readonly pathPrefixes?: readonly string[];
 }
 
-/** One client account's contract document. */
+/** The contract document of one client account. */
 export interface ContractDocument {
   readonly account: string;
   readonly keys: readonly { readonly sha256: string }[];
@@ -64,26 +64,26 @@
   readonly work: readonly WorkDocument[];
 }
 
-/** A client account, as its callers know it. */
+/** Credentials of a client account. */
 export interface ClientAccount {
   readonly id: string;
   readonly apiKey: string;
 }
 
 /**
- * Builds the API key that an account has in tests.
+ * Builds the API key of an account in tests.
  *
- * @param accountId - which account
- * @returns the key
+ * @param accountId - ID of the account
+ * @returns the API key
  */
 export function buildApiKey(accountId: string): string {
   return `test-key-of-${accountId}`;
 }
 
 /**
- * Hashes an API key as contracts hold it.
+ * Hashes an API key for a contract document.
  *
- * @param apiKey - the key
+ * @param apiKey - the API key
  * @returns SHA-256 in lower-case hex
  */
 export function hashApiKey(apiKey: string): string {
--- a/test/fleet/fleet.ts
+++ b/test/fleet/fleet.ts
@@ -1,30 +1,30 @@
 /**
- * A running fleet.
+ * A running fleet of test processes, with access to each process and to fault injection.
  *
  * @module
  */
 import type { RunRecord } from '../../standin/mod.js';
 import { sendJsonControl } from './_control.js';
-import type { Guardian } from './_guardian.js';
+import type { ProcessReaper } from './_process_reaper.js';
 import { LinkFault } from './cut_proxy.js';
 import { buildApiKey } from './documents.js';
 import type { ClientAccount, ContractDocument } from './documents.js';
-import type { FilledFleetOptions } from './fleet_options.js';
+import type { ResolvedFleetOptions } from './fleet_options.js';
 import type { BackendServer, EntryHost, PlatformProcess } from './fleet_process.js';
 import type { HostEntry } from './operator.js';
 import type { PortReservation } from './port_reservation.js';
 
-/** A fault of a backend server's stand-in. */
+/** A fault to inject into a stand-in backend server. */
 export interface BackendFault {
   readonly kind: 'none' | 'slow' | 'silent' | 'refuse' | 'die-midway' | 'no-continue';
   readonly factor?: number;
   readonly oldConnectionsOnly?: boolean;
 }
 
-/** The parts of a fleet, as its start made them. */
+/** The processes and resources of a fleet. */
 export interface FleetParts {
-  readonly options: FilledFleetOptions;
-  readonly guardian: Guardian;
+  readonly options: ResolvedFleetOptions;
+  readonly reaper: ProcessReaper;
   readonly ports: PortReservation;
   readonly configuration: PlatformProcess;
   readonly hostList: PlatformProcess;
@@ -33,11 +33,11 @@
   readonly entryHosts: readonly EntryHost[];
 }
 
-/** Entry hosts, stand-ins and proxies, each process its own. */
+/** A fleet of entry hosts and stand-ins, each in its own process, and proxies in this process. */
 export class Fleet {
   readonly accounts: readonly ClientAccount[];
 
-  /** @param parts - what it is made of */
+  /** @param parts - processes and resources of the fleet */
   constructor(readonly parts: FleetParts) {
     this.accounts = parts.options.shape.contracts.map(({ account }) => ({
       id: account,
@@ -50,32 +50,32 @@
     return this.parts.entryHosts;
   }
 
-  /** All engines and plain servers. */
+  /** All backend servers: engines and plain servers. */
   get backendServers(): readonly BackendServer[] {
     return [...this.parts.engines, ...this.parts.plainServers];
   }
 
-  /** The configuration service. */
+  /** Process of the configuration service. */
   get configuration(): PlatformProcess {
     return this.parts.configuration;
   }
 
-  /** The host list. */
+  /** Process of the host list. */
   get hostList(): PlatformProcess {
     return this.parts.hostList;
   }
 
-  /** @returns every run that the backend servers recorded, those of killed ones too */
+  /** @returns all runs that the backend servers recorded, including those of killed servers */
   async readRuns(): Promise<RunRecord[]> {
     const lists = await Promise.all(this.backendServers.map((server) => server.readRuns()));
     return lists.flat();
   }
 
   /**
-   * Switches a fault on or off in a backend server.
+   * Injects a fault into a backend server, or ends it.
    *
-   * @param backendServerId - such as `engine-1` or `plain-1`
-   * @param fault - what is wrong from now on
+   * @param backendServerId - ID of the server, such as `engine-1` or `plain-1`
+   * @param fault - the new fault
    */
   async setFault(backendServerId: string, fault: BackendFault): Promise<void> {
     const { url } = this.findBackendServer(backendServerId);
@@ -84,11 +84,11 @@
   }
 
   /**
-   * Finds a backend server.
+   * Finds a backend server by its ID.
    *
-   * @param id - its ID
-   * @returns it
-   * @throws Error when there is none
+   * @param id - ID of the server
+   * @returns the server
+   * @throws Error if there is none
    */
   findBackendServer(id: string): BackendServer {
     const server = this.backendServers.find((each) => each.id === id);
@@ -97,11 +97,11 @@
   }
 
   /**
-   * Finds an entry host.
+   * Finds an entry host by its ID.
    *
-   * @param id - its ID
-   * @returns it
-   * @throws Error when there is none
+   * @param id - ID of the entry host
+   * @returns the entry host
+   * @throws Error if there is none
    */
   findEntryHost(id: string): EntryHost {
     const host = this.entryHosts.find((each) => each.id === id);
@@ -109,22 +109,22 @@
     return host;
   }
 
-  /** @param document - a contract to be published. @returns the write's index */
+  /** Publishes a contract. @param document - the contract. @returns index of the write */
   publishContract(document: ContractDocument): Promise<number> {
     return this.configuration.operator.publishContract(document);
   }
 
-  /** @param id - a host that the host list forgets. @returns the write's index */
+  /** Removes a host from the host list. @param id - ID of the host. @returns index of the write */
   removeHost(id: string): Promise<number> {
     return this.hostList.operator.remove(`hosts/${id}`);
   }
 
   /**
-   * Lists a host as live or leaving.
+   * Sets the state of a host in the host list.
    *
-   * @param id - an entry host or a backend server
-   * @param state - what the host list says from now on
-   * @returns the write's index
+   * @param id - ID of an entry host or a backend server
+   * @param state - the new state
+   * @returns index of the write
    */
   setHostState(id: string, state: HostEntry['state']): Promise<number> {
     const host = [...this.entryHosts, ...this.backendServers].find((each) => each.id === id);
@@ -133,28 +133,28 @@
   }
 
   /**
-   * Splits the entry hosts: between groups nothing passes any more, inside a
-   * group everything does. It needs `proxied: { peers: true }`.
+   * Partitions the entry hosts into groups. Links between groups have the given fault, links
+   * within a group work. Requires the option `proxied: { peers: true }`.
    *
-   * @param groups - entry host IDs by group
-   * @param fault - what happens to bytes between groups; by default they are
-   *   held, and arrive late when the split ends
+   * @param groups - entry host IDs of each group
+   * @param fault - fault of links between groups; by default bytes are held and arrive when the
+   *   partition ends
    */
-  splitEntryHosts(groups: readonly (readonly string[])[], fault = LinkFault.Held): void {
+  partitionEntryHosts(groups: readonly (readonly string[])[], fault = LinkFault.Held): void {
     this.entryHosts.forEach((host) => {
       const group = groups.find((each) => each.includes(host.id)) ?? [];
       const others = this.entryHosts.map((each) => each.id).filter((id) => !group.includes(id));
-      if (!host.proxy) throw new Error('Cannot split entry hosts: no proxies were asked for');
+      if (!host.proxy) throw new Error('Cannot partition entry hosts without peer proxies');
       host.proxy.setFault(fault, new Set(others));
     });
   }
 
-  /** Ends every fault between entry hosts. */
-  mergeEntryHosts(): void {
+  /** Ends all faults of the links between entry hosts. */
+  healPartition(): void {
     this.entryHosts.forEach((host) => host.proxy?.setFault(LinkFault.None));
   }
 
-  /** Ends every process and proxy that the fleet started. */
+  /** Stops all processes and proxies of the fleet. */
   async stop(): Promise<void> {
     const { parts } = this;
     const processes = [
@@ -166,7 +166,7 @@
     processes.forEach((each) => each.kill('SIGKILL'));
     await Promise.all(processes.map((each) => each.waitExit()));
     await Promise.all(processes.map((each) => each.proxy?.close()));
-    await parts.guardian.close();
+    await parts.reaper.close();
     await parts.ports.close();
   }
 }
--- a/test/fleet/fleet_options.ts
+++ b/test/fleet/fleet_options.ts
@@ -1,11 +1,11 @@
 /**
- * What a fleet is made of.
+ * Options of a test fleet.
  *
  * @module
  */
 import type { FleetShape } from './shapes.js';
 
-/** Which links stand behind a {@link CutProxy}. */
+/** Links that go through a {@link CutProxy}. */
 export interface ProxiedLinks {
   readonly peers?: boolean;
   readonly configuration?: boolean;
@@ -15,33 +15,33 @@
 
 /** Options of {@link startFleet}; each has a default. */
 export interface FleetOptions {
-  /** The user's shape. Default: Moulinet. */
+  /** Services, zones and accounts of the fleet. Default: Moulinet. */
   readonly shape?: FleetShape;
-  /** Default: 3. */
+  /** Number of entry hosts. Default: 3. */
   readonly entryHostCount?: number;
-  /** Engines, of fast, middle and slow kinds in turn. Default: 3. */
+  /** Number of engines, whose kinds rotate through fast, middle and slow. Default: 3. */
   readonly engineCount?: number;
-  /** Default: 1. */
+  /** Number of plain servers. Default: 1. */
   readonly plainServerCount?: number;
-  /** All of the engines' durations are multiplied by it. Default: 1. */
+  /** Factor by which all durations of the engines are multiplied. Default: 1. */
   readonly timeScale?: number;
-  /** More flags of every entry host, such as `['--strategy', 'first-come']`. */
+  /** Additional flags of every entry host, such as `['--strategy', 'first-come']`. */
   readonly entryHostFlags?: readonly string[];
-  /** More flags of every engine. */
+  /** Additional flags of every engine. */
   readonly engineFlags?: readonly string[];
-  /** More flags of every plain server, such as `['--no-continue']`. */
+  /** Additional flags of every plain server, such as `['--no-continue']`. */
   readonly plainServerFlags?: readonly string[];
-  /** What the fleet document says of the plain service. Default: true. */
+  /** Value of `honoursContinue` for the plain service in the fleet document. Default: true. */
   readonly plainHonoursContinue?: boolean;
-  /** Most backend servers that one dispatcher looks after. Default: 16. */
+  /** Maximum number of backend servers in the group of one dispatcher. Default: 16. */
   readonly dispatchGroupSize?: number;
-  /** How long after its write a host's entry shows, in milliseconds. Default: 0. */
+  /** Delay before a write to the host list becomes visible, in milliseconds. Default: 0. */
   readonly hostListLagMs?: number;
-  /** Default: no link is proxied. */
+  /** Links that are proxied. Default: none. */
   readonly proxied?: ProxiedLinks;
-  /** Called with a line about each step of the start. */
+  /** Called with a line of text at each step of the start. */
   readonly onProgress?: (line: string) => void;
 }
 
 /** {@link FleetOptions} with the defaults filled in. */
-export type FilledFleetOptions = Required<FleetOptions>;
+export type ResolvedFleetOptions = Required<FleetOptions>;
--- a/test/fleet/fleet_process.ts
+++ b/test/fleet/fleet_process.ts
@@ -1,5 +1,5 @@
 /**
- * One process of a fleet.
+ * Processes of a test fleet: entry hosts, backend servers and platform services.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 import { readRunFile } from '../../standin/mod.js';
 import type { RunRecord } from '../../standin/mod.js';
 import { sendJsonControl } from './_control.js';
-import type { Guardian } from './_guardian.js';
-import { waitReady } from './_wait_ready.js';
+import type { ProcessReaper } from './_process_reaper.js';
+import { waitUntilReady } from './_wait_ready.js';
 import type { CutProxy } from './cut_proxy.js';
 import { Operator } from './operator.js';
 import type { HostEntry } from './operator.js';
 
-/** How a process is started. */
+/** Command line and environment of a process. */
 export interface ProgramSpec {
   /** Path of the compiled program. */
   readonly program: string;
@@ -22,23 +22,23 @@
   readonly env?: Readonly<Record<string, string>>;
 }
 
-/** What a process is known by, and who looks after it. */
-export interface ProcessFacts {
+/** Identity and resources of a process. */
+export interface ProcessOptions {
   readonly id: string;
-  /** Its base URL. */
+  /** Base URL of the process. */
   readonly url: string;
   readonly spec: ProgramSpec;
-  /** Answers 200 when the process serves. */
+  /** URL that answers with status 200 when the process is ready. */
   readonly readyUrl: string;
-  /** Told of each start and end. */
-  readonly guardian: Guardian;
-  /** Stands before it, where that was asked for; it goes on over restarts. */
+  /** Receives the ID of each started and each exited process. */
+  readonly reaper: ProcessReaper;
+  /** Proxy of the process, if the fleet options ask for one; it survives restarts. */
   readonly proxy: CutProxy | undefined;
 }
 
-const MAX_KEPT_OUTPUT_CHARACTERS = 65_536;
+const MAX_OUTPUT_CHARACTERS = 65_536;
 
-/** A process that can be signalled and started again at the same address. */
+/** A process that can be signalled, and restarted at the same address. */
 export class FleetProcess {
   readonly id: string;
 
@@ -50,41 +50,41 @@
 
   #output = '';
 
-  /** @param facts - what it is known by, and how it is started */
-  constructor(readonly facts: ProcessFacts) {
+  /** @param facts - identity, command line and resources of the process */
+  constructor(readonly facts: ProcessOptions) {
     this.id = facts.id;
     this.url = facts.url;
   }
 
-  /** Stands before it (before an entry host: on its peers' side). */
+  /** Proxy of the process, if there is one; for an entry host, that of its peer listener. */
   get proxy(): CutProxy | undefined {
     return this.facts.proxy;
   }
 
-  /** Process ID of the running or last start; 0 before the first. */
+  /** Process ID of the current or last start; 0 before the first start. */
   get pid(): number {
     return this.#child?.pid ?? 0;
   }
 
-  /** Whether it runs (a stopped one by SIGSTOP runs too). */
+  /** Whether the process has not exited; a process stopped by SIGSTOP counts as running. */
   get isRunning(): boolean {
     return this.#child?.exitCode === null && this.#child.signalCode === null;
   }
 
-  /** Its exit code; null when it runs or ended by a signal. */
+  /** Exit code; null while the process runs and after it was ended by a signal. */
   get exitCode(): number | null {
     return this.#child?.exitCode ?? null;
   }
 
-  /** End of what it wrote to stdout and stderr, over all its starts. */
+  /** The most recent output to stdout and stderr, over all starts of the process. */
   get output(): string {
     return this.#output;
   }
 
   /**
-   * Starts it, and waits until it serves.
+   * Starts the process and waits until it is ready.
    *
-   * @throws Error with its output when it ends or doesn't serve in time
+   * @throws Error with the output of the process if it exits or is not ready in time
    */
   async start(): Promise<void> {
     const child = spawn(process.execPath, [this.facts.spec.program, ...this.facts.spec.args], {
@@ -96,57 +96,57 @@
     [child.stdout, child.stderr].forEach((stream) => {
       stream.setEncoding('utf8').on('data', (text: string) => this.#recordOutput(text));
     });
-    this.#exited = this.#watchExit(child);
-    await waitReady(this.facts.readyUrl, this);
+    this.#exited = this.#trackExit(child);
+    await waitUntilReady(this.facts.readyUrl, this);
   }
 
   /**
-   * Sends a signal.
+   * Sends a signal to the process if it runs.
    *
-   * @param signal - SIGKILL by default
+   * @param signal - the signal; SIGKILL by default
    */
   kill(signal: NodeJS.Signals = 'SIGKILL'): void {
     if (this.isRunning) this.#child?.kill(signal);
   }
 
-  /** Waits until it has ended. */
+  /** Waits until the process has exited. */
   waitExit(): Promise<void> {
     return this.#exited;
   }
 
-  /** Kills it where it still runs, starts it again at the same address, waits until it serves. */
+  /** Kills the process if it runs, starts it at the same address and waits until it is ready. */
   async restart(): Promise<void> {
     this.kill('SIGKILL');
     await this.waitExit();
     await this.start();
   }
 
-  #watchExit(child: ChildProcess): Promise<void> {
+  #trackExit(child: ChildProcess): Promise<void> {
     const pid = child.pid ?? 0;
-    if (pid > 0) this.facts.guardian.add(pid);
+    if (pid > 0) this.facts.reaper.add(pid);
     return new Promise((resolve) => {
       child.once('error', () => resolve());
       child.once('exit', () => {
-        this.facts.guardian.remove(pid);
+        this.facts.reaper.remove(pid);
         resolve();
       });
     });
   }
 
   #recordOutput(text: string): void {
-    this.#output = (this.#output + text).slice(-MAX_KEPT_OUTPUT_CHARACTERS);
+    this.#output = (this.#output + text).slice(-MAX_OUTPUT_CHARACTERS);
   }
 }
 
-/** An entry host's process. */
+/** Process of an entry host. */
 export class EntryHost extends FleetProcess {
   /**
    * @param facts - see {@link FleetProcess}
-   * @param adminUrl - base URL of its administration listener
-   * @param listed - what the host list says of it at first
+   * @param adminUrl - base URL of the administration listener
+   * @param listed - initial entry in the host list
    */
   constructor(
-    facts: ProcessFacts,
+    facts: ProcessOptions,
     readonly adminUrl: string,
     readonly listed: HostEntry,
   ) {
@@ -154,22 +154,22 @@
   }
 }
 
-/** A backend server's process. */
+/** Process of a stand-in backend server. */
 export class BackendServer extends FleetProcess {
-  /** Which service it serves. */
+  /** ID of the service to which the server belongs. */
   readonly service: string;
 
-  /** What the host list says of it at first. */
+  /** Initial entry in the host list. */
   readonly listed: HostEntry;
 
   readonly #runsFile: string;
 
   /**
    * @param facts - see {@link FleetProcess}
-   * @param options - service, entry of the host list, file of its runs
+   * @param options - service ID, entry in the host list, and file of the recorded runs
    */
   constructor(
-    facts: ProcessFacts,
+    facts: ProcessOptions,
     options: {
       readonly service: string;
       readonly listed: HostEntry;
@@ -182,25 +182,25 @@
     this.#runsFile = options.runsFile;
   }
 
-  /** @returns every run that it recorded, over all its starts, also when it was killed */
+  /** @returns all runs that the server recorded over all its starts, even after it was killed */
   async readRuns(): Promise<readonly RunRecord[]> {
     if (!this.isRunning) return readRunFile(this.#runsFile);
     return sendJsonControl(`${this.url}/_standin/runs`);
   }
 }
 
-/** A platform stand-in's process. */
+/** Process of a platform stand-in. */
 export class PlatformProcess extends FleetProcess {
-  /** Writes to it. */
+  /** Client that writes to the service and injects faults into it. */
   readonly operator: Operator;
 
   /** @param facts - see {@link FleetProcess} */
-  constructor(facts: ProcessFacts) {
+  constructor(facts: ProcessOptions) {
     super(facts);
     this.operator = new Operator(facts.url);
   }
 
-  /** URL for its readers: that of the proxy, where there is one. */
+  /** URL for readers of the service: that of the proxy if there is one. */
   get readUrl(): string {
     return this.proxy?.url ?? this.url;
   }
--- a/test/fleet/mod.ts
+++ b/test/fleet/mod.ts
@@ -1,7 +1,6 @@
 /**
- * Starts a whole fleet of real processes for the demo, benches and tests of
- * failures: entry hosts, platform, engines, plain servers, and proxies that cut
- * links.
+ * Starts a fleet of real processes for the demo, benchmarks and fault tests: entry hosts,
+ * platform services, engines, plain servers, and proxies that inject network faults.
  *
  * ```ts
  * const fleet = await startFleet({ entryHostCount: 3, proxied: { peers: true } });
@@ -23,7 +22,7 @@
 export { PortReservation } from './port_reservation.js';
 export { waitUntil } from './wait_until.js';
 export { sendControl, sendJsonControl } from './_control.js';
-export type { ControlAnswer, ControlOptions } from './_control.js';
+export type { ControlResponse, ControlOptions } from './_control.js';
 export { ADMIN_KEY } from './_program_specs.js';
 export { buildApiKey, hashApiKey } from './documents.js';
 export type * from './documents.js';
--- a/test/fleet/operator.ts
+++ b/test/fleet/operator.ts
@@ -1,5 +1,6 @@
 /**
- * What operators do: publish documents, list hosts.
+ * Client that writes to a platform stand-in as an operator does: it publishes documents and
+ * lists hosts.
  *
  * @module
  */
@@ -16,57 +17,57 @@
   readonly state: 'live' | 'leaving';
 }
 
-/** A fault of a platform stand-in. */
+/** A fault to inject into a platform stand-in. */
 export interface PlatformFault {
   readonly kind: 'none' | 'down' | 'stale' | 'slow';
   readonly factor?: number;
 }
 
-/** How many reads a platform stand-in has had, and how many watches wait there. */
+/** Number of reads that a platform stand-in has received, and of watches that wait there. */
 export interface ReadCounts {
   readonly reads: number;
   readonly waiting: number;
 }
 
-/** Writes to one platform stand-in. */
+/** Writes to one platform stand-in and injects faults into it. */
 export class Operator {
-  /** @param url - the stand-in's base URL */
+  /** @param url - base URL of the stand-in */
   constructor(readonly url: string) {}
 
   /**
    * Publishes one key.
    *
-   * @param key - such as `monsoonhall/fleet`
-   * @param text - the raw value, valid or not
-   * @returns the write's index
+   * @param key - key, such as `monsoonhall/fleet`
+   * @param text - raw value, valid or not
+   * @returns index of the write
    */
   async publish(key: string, text: string): Promise<number> {
     const url = `${this.url}/_standin/kv/${key}`;
     return (await sendJsonControl<{ index: number }>(url, { method: 'PUT', body: text })).index;
   }
 
-  /** @param key - which key to delete. @returns the write's index */
+  /** Deletes a key. @param key - the key. @returns index of the write */
   async remove(key: string): Promise<number> {
     const url = `${this.url}/_standin/kv/${key}`;
     return (await sendJsonControl<{ index: number }>(url, { method: 'DELETE' })).index;
   }
 
-  /** @param document - the fleet document. @returns the write's index */
+  /** Publishes the fleet document. @param document - it. @returns index of the write */
   publishFleet(document: FleetDocument): Promise<number> {
     return this.publish('monsoonhall/fleet', JSON.stringify(document));
   }
 
-  /** @param document - a contract. @returns the write's index */
+  /** Publishes a contract. @param document - the contract. @returns index of the write */
   publishContract(document: ContractDocument): Promise<number> {
     return this.publish(`monsoonhall/contracts/${document.account}`, JSON.stringify(document));
   }
 
-  /** @param host - a host. @returns the write's index */
+  /** Publishes an entry of the host list. @param host - the entry. @returns index of the write */
   publishHost(host: HostEntry): Promise<number> {
     return this.publish(`hosts/${host.id}`, JSON.stringify(host));
   }
 
-  /** @param fault - what is wrong with the service from now on */
+  /** Injects a fault in place of the current one. @param fault - the new fault */
   async setFault(fault: PlatformFault): Promise<void> {
     await sendJsonControl(`${this.url}/_standin/faults`, {
       method: 'POST',
@@ -74,13 +75,13 @@
     });
   }
 
-  /** @param index - the older state that is put back */
-  async putBack(index: number): Promise<void> {
+  /** Restores an older state. @param index - index of the last write to keep */
+  async restore(index: number): Promise<void> {
     const body = JSON.stringify({ index });
     await sendJsonControl(`${this.url}/_standin/restore`, { method: 'POST', body });
   }
 
-  /** @returns how often it was read */
+  /** @returns the number of reads and of waiting watches */
   readCounts(): Promise<ReadCounts> {
     return sendJsonControl(`${this.url}/_standin/reads`);
   }
--- a/test/fleet/port_reservation.ts
+++ b/test/fleet/port_reservation.ts
@@ -1,6 +1,5 @@
 /**
- * Ports that stay a fleet's own until a process is started on them, and again
- * for its restart.
+ * Reserves ports for the processes of a fleet, until they start and across their restarts.
  *
  * @module
  */
@@ -9,8 +8,8 @@
 import type { Server } from 'node:net';
 
 /**
- * Below the range that the kernel gives to outgoing connections, which could
- * otherwise take the port of a process that is being restarted.
+ * The ports lie below the kernel's ephemeral range; otherwise an outgoing connection could
+ * take the port of a process that is being restarted.
  */
 const FIRST_PORT = 12_000;
 const PORTS_PER_BLOCK = 50;
@@ -38,54 +37,53 @@
 }
 
 /**
- * Reserves ports of 127.0.0.1 in blocks. Between the look whether a port is
- * free and the start of the process that is to listen there, another fleet
- * could take it: that process would end with EADDRINUSE. So the first port of
- * each block is held by a listener, and other fleets leave the block alone.
- * The kernel ends the listener with its process, however that ends.
+ * Reserves ports of 127.0.0.1 in blocks. Between the check that a port is free and the start of
+ * the process that listens on it, another fleet could take the port, and the process would fail
+ * with EADDRINUSE. Therefore a listener occupies the first port of each block, and other fleets
+ * skip the block. The kernel closes the listener when its process ends in any way.
  */
 export class PortReservation {
-  readonly #holders: Server[] = [];
+  readonly #blockListeners: Server[] = [];
 
-  #ports: number[] = [];
+  #availablePorts: number[] = [];
 
-  /** Takes one block after the other, since blocks are looked for while ports are handed out. */
-  #turn: Promise<unknown> = Promise.resolve();
+  /** Serializes requests for ports, since the search for a block of ports is asynchronous. */
+  #lastReservation: Promise<unknown> = Promise.resolve();
 
   /**
-   * Takes a free port. None is given out twice.
+   * Reserves a free port. No port is returned twice.
    *
    * @returns the port
-   * @throws Error when none is free
+   * @throws Error if all blocks are taken
    */
   take(): Promise<number> {
-    const taken = this.#turn.then(() => this.#takeNext());
-    this.#turn = taken.catch(() => undefined);
+    const taken = this.#lastReservation.then(() => this.#reserveNext());
+    this.#lastReservation = taken.catch(() => undefined);
     return taken;
   }
 
-  /** Gives every port back. */
+  /** Releases all reserved ports. */
   async close(): Promise<void> {
-    await Promise.all(this.#holders.map(closeServer));
+    await Promise.all(this.#blockListeners.map(closeServer));
   }
 
-  async #takeNext(): Promise<number> {
+  async #reserveNext(): Promise<number> {
     for (;;) {
-      if (this.#ports.length === 0) this.#ports = await this.#reserveBlock();
-      const port = this.#ports.shift() as number;
+      if (this.#availablePorts.length === 0) this.#availablePorts = await this.#reserveBlock();
+      const port = this.#availablePorts.shift() as number;
       if (await isFree(port)) return port;
     }
   }
 
   async #reserveBlock(): Promise<number[]> {
-    const start = randomInt(BLOCK_COUNT);
+    const startBlock = randomInt(BLOCK_COUNT);
     for (let step = 0; step < BLOCK_COUNT; step += 1) {
-      const first = FIRST_PORT + ((start + step) % BLOCK_COUNT) * PORTS_PER_BLOCK;
-      const holder = await listenOn(first);
-      if (holder) {
-        holder.unref();
-        this.#holders.push(holder);
-        return Array.from({ length: PORTS_PER_BLOCK - 1 }, (_, index) => first + 1 + index);
+      const firstPort = FIRST_PORT + ((startBlock + step) % BLOCK_COUNT) * PORTS_PER_BLOCK;
+      const blockListener = await listenOn(firstPort);
+      if (blockListener) {
+        blockListener.unref();
+        this.#blockListeners.push(blockListener);
+        return Array.from({ length: PORTS_PER_BLOCK - 1 }, (_, index) => firstPort + 1 + index);
       }
     }
     throw new Error('Cannot reserve ports: every block is taken');
--- a/test/fleet/port_reservation_test.ts
+++ b/test/fleet/port_reservation_test.ts
@@ -3,10 +3,9 @@
 
 const PORT_COUNT = 120;
 
-// Symptom: a process of a fleet ends at its start with EADDRINUSE.
-// Sequence: two fleets look for free ports at once and find the same one.
-// Cause: a port that was found free is free until somebody listens on it.
-t.test('PortReservation gives no port to two fleets', async (t) => {
+// Guards against a fleet process that fails to start with EADDRINUSE: two fleets that search for
+// free ports at once can find the same port, since it stays free until a process listens on it.
+t.test('PortReservation never reserves a port for two fleets', async (t) => {
   const reservations = [new PortReservation(), new PortReservation(), new PortReservation()];
   const takes = reservations.flatMap((each) =>
     Array.from({ length: PORT_COUNT }, () => each.take()),
--- a/test/fleet/shapes.ts
+++ b/test/fleet/shapes.ts
@@ -1,12 +1,12 @@
 /**
- * The two users' deployments, made small.
+ * Small versions of the deployments of two users, as test fixtures.
  *
  * @module
  */
 import { buildApiKey, hashApiKey } from './documents.js';
 import type { ContractDocument, EngineKindDocument, WorkDocument } from './documents.js';
 
-/** A user's region, services and client accounts. */
+/** Region, services and client accounts of one user. */
 export interface FleetShape {
   readonly name: string;
   readonly region: string;
@@ -17,15 +17,15 @@
   readonly contracts: readonly ContractDocument[];
 }
 
-/** An account and how large it is. */
-interface AccountSize {
+/** An account and its weight, which scales its limits. */
+interface AccountWeight {
   readonly id: string;
   readonly weight: number;
 }
 
 const MINUTE_MS = 60_000;
 
-/** Three generations of hardware, slowest last. */
+/** Engine kinds for three generations of hardware, slowest last. */
 export const ENGINE_KINDS: readonly EngineKindDocument[] = [
   { id: 'fast', prefillTokensPerSecond: 8000, decodeTokensPerSecond: 60, slots: 16 },
   { id: 'middle', prefillTokensPerSecond: 4000, decodeTokensPerSecond: 40, slots: 12 },
@@ -36,7 +36,7 @@
 const TOKENS_PER_SECOND_PER_WEIGHT = 100_000;
 const IN_FLIGHT_PER_WEIGHT = 64;
 
-function buildContract(account: AccountSize, work: readonly WorkDocument[]): ContractDocument {
+function buildContract(account: AccountWeight, work: readonly WorkDocument[]): ContractDocument {
   return {
     account: account.id,
     keys: [{ sha256: hashApiKey(buildApiKey(account.id)) }],
@@ -137,7 +137,7 @@
   },
 ];
 
-/** Moulinet Humidity Reporting Consortium. */
+/** Deployment of the Moulinet Humidity Reporting Consortium. */
 export const MOULINET: FleetShape = {
   name: 'Moulinet',
   region: 'mu-north',
@@ -154,7 +154,7 @@
   ].map((account) => buildContract(account, MOULINET_WORK)),
 };
 
-/** Padmaraag Rights Clearance Franchise Office. */
+/** Deployment of the Padmaraag Rights Clearance Franchise Office. */
 export const PADMARAAG: FleetShape = {
   name: 'Padmaraag',
   region: 'bengal-east',
--- a/test/fleet/start_fleet.ts
+++ b/test/fleet/start_fleet.ts
@@ -1,14 +1,14 @@
 /**
- * Starts a fleet.
+ * Starts a fleet of test processes.
  *
  * @module
  */
 import { FleetBuilder } from './_fleet_builder.js';
 import type { Fleet } from './fleet.js';
-import type { FilledFleetOptions, FleetOptions } from './fleet_options.js';
+import type { ResolvedFleetOptions, FleetOptions } from './fleet_options.js';
 import { MOULINET } from './shapes.js';
 
-function applyDefaults(options: FleetOptions): FilledFleetOptions {
+function applyDefaults(options: FleetOptions): ResolvedFleetOptions {
   return {
     shape: MOULINET,
     entryHostCount: 3,
@@ -28,12 +28,12 @@
 }
 
 /**
- * Starts the stand-ins and entry hosts as processes of their own, publishes
- * the documents, and waits until every entry host is ready.
+ * Starts each stand-in and entry host in its own process, publishes the documents, and waits
+ * until all entry hosts are ready. If a process fails to start, the others are stopped.
  *
- * @param options - what the fleet is made of
- * @returns the fleet; it must be stopped
- * @throws Error with a process's output when one does not come up; nothing is left behind then
+ * @param options - options of the fleet
+ * @returns the fleet, which the caller must stop
+ * @throws Error with the output of the process that failed to start
  */
 export async function startFleet(options: FleetOptions = {}): Promise<Fleet> {
   const builder = new FleetBuilder(applyDefaults(options));
--- a/test/fleet/start_fleet_test.ts
+++ b/test/fleet/start_fleet_test.ts
@@ -22,7 +22,7 @@
   return [...processes, fleet.configuration, fleet.hostList].map((each) => each.pid);
 }
 
-/** Sends a status ping through one entry host. */
+/** Sends a status request through one entry host. @returns the HTTP status */
 async function sendPing(fleet: Fleet, entryHostId: string): Promise<number> {
   const { url } = fleet.findEntryHost(entryHostId);
   const authorization = `Bearer ${fleet.accounts[0]?.apiKey}`;
@@ -33,8 +33,8 @@
 async function listLivePeers(fleet: Fleet, entryHostId: string): Promise<string[]> {
   const { adminUrl } = fleet.findEntryHost(entryHostId);
   const headers = { authorization: `Bearer ${ADMIN_KEY}` };
-  const seen = await sendJsonControl<SeenEntryHost[]>(`${adminUrl}/v1/entry-hosts`, { headers });
-  return seen.filter((host) => host.state === 'live').map((host) => host.identity.id);
+  const hosts = await sendJsonControl<SeenEntryHost[]>(`${adminUrl}/v1/entry-hosts`, { headers });
+  return hosts.filter((host) => host.state === 'live').map((host) => host.identity.id);
 }
 
 async function waitForLivePeers(fleet: Fleet, id: string, peers: readonly string[]): Promise<void> {
@@ -44,7 +44,7 @@
   );
 }
 
-t.test('startFleet() serves callers, and its stop leaves nothing behind', async (t) => {
+t.test('startFleet() starts a serving fleet whose stop() ends all processes', async (t) => {
   const fleet = await startFleet({ entryHostCount: 2, engineCount: 1 });
   const pids = listPids(fleet);
   try {
@@ -58,10 +58,9 @@
   t.notOk(pids.some(hasProcess));
 });
 
-// Symptom: doubles and losses are counted too low after a backend server's crash.
-// Sequence: a backend server runs a request, is killed, and is started again.
-// Cause: it held the record of its runs in memory only.
-t.test('readRuns() tells the runs of a killed backend server', async (t) => {
+// Guards against counting too few duplicate and lost runs after a backend server is killed and
+// restarted, which happens if the server records its runs in memory only.
+t.test('readRuns() returns the runs of a killed backend server', async (t) => {
   const fleet = await startFleet({ entryHostCount: 1, engineCount: 1 });
   try {
     t.equal(await sendPing(fleet, 'entry-1'), 200);
@@ -76,7 +75,7 @@
   }
 });
 
-t.test('splitEntryHosts() cuts groups from each other and not from themselves', async () => {
+t.test('partitionEntryHosts() cuts links between groups but not within a group', async () => {
   const fleet = await startFleet({
     engineCount: 1,
     proxied: { peers: true },
@@ -86,10 +85,10 @@
     const all = ['entry-1', 'entry-2', 'entry-3'];
     await waitForLivePeers(fleet, 'entry-1', all);
     await waitForLivePeers(fleet, 'entry-2', all);
-    fleet.splitEntryHosts([['entry-1'], ['entry-2', 'entry-3']]);
+    fleet.partitionEntryHosts([['entry-1'], ['entry-2', 'entry-3']]);
     await waitForLivePeers(fleet, 'entry-1', ['entry-1']);
     await waitForLivePeers(fleet, 'entry-2', ['entry-2', 'entry-3']);
-    fleet.mergeEntryHosts();
+    fleet.healPartition();
     await waitForLivePeers(fleet, 'entry-1', all);
     await waitForLivePeers(fleet, 'entry-3', all);
   } finally {
--- a/test/fleet/wait_until.ts
+++ b/test/fleet/wait_until.ts
@@ -1,38 +1,38 @@
 /**
- * Bounded polling of real processes.
+ * Polls a condition of another process, with a timeout.
  *
  * @module
  */
 
 const POLL_INTERVAL_MS = 25;
 
-/** Bounds of a wait. */
+/** Options of a wait. */
 export interface WaitOptions {
-  /** What is waited for, for the error's message. */
+  /** Name of the condition, for error messages. */
   readonly subject: string;
-  /** Longest wait in milliseconds. */
+  /** Timeout in milliseconds. */
   readonly limitMs: number;
-  /** Ends the wait early, with a reason. */
+  /** Returns a reason to end the wait early, or undefined to keep waiting. */
   readonly findFailure?: () => string | undefined;
 }
 
 /**
- * Waits until a condition of another process holds.
+ * Polls a condition until it holds.
  *
- * @param check - asked again and again; an error counts as "not yet"
- * @param options - what is waited for, and for how long
- * @throws Error when it doesn't hold in time
+ * @param check - returns whether the condition holds; an error counts as false
+ * @param options - name of the condition, timeout and early exit
+ * @throws Error if the wait times out or ends early
  */
 export async function waitUntil(
   check: () => Promise<boolean>,
   options: WaitOptions,
 ): Promise<void> {
-  const endMs = performance.now() + options.limitMs;
+  const deadlineMs = performance.now() + options.limitMs;
   while (!(await check().catch(() => false))) {
     const failure = options.findFailure?.();
-    if (failure !== undefined) throw new Error(`Cannot see ${options.subject}: ${failure}`);
-    if (performance.now() > endMs) {
-      throw new Error(`Cannot see ${options.subject} within ${options.limitMs} ms`);
+    if (failure !== undefined) throw new Error(`Waiting for ${options.subject} failed: ${failure}`);
+    if (performance.now() > deadlineMs) {
+      throw new Error(`Waiting for ${options.subject} timed out after ${options.limitMs} ms`);
     }
     await new Promise((resolve) => {
       setTimeout(resolve, POLL_INTERVAL_MS);
--- a/test/whole_path_test.ts
+++ b/test/whole_path_test.ts
@@ -1,6 +1,5 @@
 /**
- * The whole path with real processes: caller, entry host, owner, dispatcher,
- * backend server.
+ * End-to-end test with real processes: caller, entry host, owner, dispatcher and backend server.
  *
  * @module
  */
@@ -10,7 +9,7 @@
 
 const MODEL = 'monsoon-draft';
 
-t.test('a request goes the whole way through any entry host, and runs once', async (t) => {
+t.test('copies of a request sent through different entry hosts run once', async (t) => {
   const fleet = await startFleet();
   t.teardown(() => fleet.stop());
   const [account] = fleet.accounts;
@@ -30,10 +29,10 @@
   });
   const words: string[] = [];
   for await (const event of stream) words.push(event.choices[0]?.delta.content ?? '');
-  t.equal(words.join('').trim().split(' ').length, 12, 'the bare call streams its whole answer');
+  t.equal(words.join('').trim().split(' ').length, 12, 'a call without an ID is streamed in full');
 
-  const answer = await fetch(`${first?.url}/v1/requests`, { method: 'POST', headers });
-  const { id } = (await answer.json()) as { id: string };
+  const assignment = await fetch(`${first?.url}/v1/requests`, { method: 'POST', headers });
+  const { id } = (await assignment.json()) as { id: string };
   const texts = await Promise.all(
     fleet.entryHosts.map(async (host) => {
       const copy = await fetch(`${host.url}/v1/chat/completions`, {
@@ -49,9 +48,9 @@
       return copy.text();
     }),
   );
-  t.equal(new Set(texts).size, 1, 'every copy gets the one answer');
+  t.equal(new Set(texts).size, 1, 'every copy gets the same response');
 
   const runs = await fleet.readRuns();
-  t.equal(runs.filter((run) => run.requestId === id).length, 1, 'the copies ran once together');
+  t.equal(runs.filter((run) => run.requestId === id).length, 1, 'the copies caused one run');
   t.equal(runs.length, 2);
 });
