--- a/test/support/allowance_fakes.ts
+++ b/test/support/allowance_fakes.ts
@@ -1,5 +1,5 @@
 /**
- * Fakes of the ports and views that the allowances use, driven by callbacks.
+ * Fakes of the ports and views that allowance managers use. Callbacks of the test drive them.
  *
  * @module
  */
@@ -21,7 +21,7 @@
   (from: EntryHostIdentity, message: never) => void
 >;
 
-/** A configuration with one account. */
+/** A configuration with one client account. */
 export class FakeConfiguration extends ConfigurationView {
   constructor(readonly account: AccountContract) {
     super();
@@ -52,13 +52,13 @@
   override onChange = (): void => undefined;
 }
 
-/** What {@link FakeMembership} asks the test. */
+/** Provides the hosts for {@link FakeMembership}. */
 export interface MembershipSource {
   listEntryHosts(): readonly EntryHostView[];
   listListedIds(): readonly string[];
 }
 
-/** A membership that the test decides on. */
+/** A membership view whose hosts a test provides. */
 export class FakeMembership extends MembershipView {
   constructor(
     override readonly self: EntryHostIdentity,
@@ -87,7 +87,7 @@
   override onChange = (): void => undefined;
 }
 
-/** A clock whose time and timers the test keeps. */
+/** A clock whose time and timers a test provides. */
 export class CallbackClock extends Clock {
   constructor(
     override readonly nowMs: () => number,
@@ -101,7 +101,7 @@
   }
 }
 
-/** A network whose messages the test delivers. */
+/** A peer network whose messages a test delivers. */
 export class CallbackNetwork extends PeerNetwork {
   constructor(
     readonly handlers: MessageHandlers,
--- a/test/support/allowance_hosts.ts
+++ b/test/support/allowance_hosts.ts
@@ -1,6 +1,6 @@
 /**
- * Entry hosts that share one account's limits, for tests: keepers on one virtual
- * time, with links that lose, delay and cut, and with pauses and restarts.
+ * Simulates entry hosts that share the limits of one client account in virtual time. Links can
+ * lose and delay messages and be cut; entry hosts can be paused and restarted.
  *
  * @module
  */
@@ -22,13 +22,13 @@
 import { buildIdentity } from './fake_peer_network.js';
 import { FakeLog, FakeMetrics, SeededRandom } from './fakes.js';
 
-/** Silence after which an entry host is suspected, in milliseconds. */
+/** Duration of a cut after which each entry host suspects the other, in milliseconds. */
 const SUSPECT_AFTER_MS = 2000;
 
-/** The one account of these tests. */
+/** ID of the only client account. */
 export const ACCOUNT_ID = 'firm-a';
 
-interface Event {
+interface ScheduledEvent {
   readonly atMs: number;
   readonly order: number;
   readonly host: string;
@@ -38,32 +38,32 @@
 /** One entry host of {@link AllowanceHosts}. */
 interface Host {
   readonly identity: EntryHostIdentity;
-  readonly keeper: AllowanceKeeper;
+  readonly manager: AllowanceKeeper;
   readonly handlers: MessageHandlers;
   readonly running: Set<Admission>;
   pausedUntilMs: number;
 }
 
-/** One admitted request. */
+/** An admitted request. */
 export interface AdmittedRequest {
   readonly atMs: number;
   readonly host: string;
   readonly tokens: number;
 }
 
-/** How the entry hosts are set up. */
+/** Options of {@link AllowanceHosts}. */
 export interface AllowanceHostsOptions {
   readonly ids: readonly string[];
   readonly limits: AccountLimits;
-  /** Default 1. */
+  /** Seed of the random numbers. Default: 1. */
   readonly seed?: number;
-  /** Part of the messages that is lost. Default 0. */
+  /** Fraction of the messages that is lost. Default: 0. */
   readonly loss?: number;
-  /** Longest delay of a message in milliseconds; at least 1. Default 1. */
+  /** Longest delay of a message in milliseconds; at least 1. Default: 1. */
   readonly maxDelayMs?: number;
 }
 
-/** Entry hosts on one virtual time. */
+/** A simulation of entry hosts in virtual time. */
 export class AllowanceHosts {
   readonly admitted: AdmittedRequest[] = [];
 
@@ -73,7 +73,7 @@
 
   nowMs = 0;
 
-  /** Most requests that were in flight at once. */
+  /** Highest number of requests in flight at the same time. */
   mostRunning = 0;
 
   readonly #account: AccountContract;
@@ -84,16 +84,16 @@
 
   readonly #cutSinceMs = new Map<string, number>();
 
-  readonly #arrivals = new Map<string, number>();
+  readonly #lastArrivalsMs = new Map<string, number>();
 
-  #events: Event[] = [];
+  #events: ScheduledEvent[] = [];
 
-  #order = 0;
+  #lastOrder = 0;
 
-  /** Host list as each entry host sees it; all see the same by default. */
+  /** Host list that each entry host sees, by its ID; by default all see all hosts. */
   readonly listed = new Map<string, readonly string[]>();
 
-  /** @param options - how they are set up */
+  /** @param options - options of the simulation */
   constructor(readonly options: AllowanceHostsOptions) {
     this.#random = new SeededRandom(options.seed);
     this.#account = {
@@ -107,24 +107,24 @@
     options.ids.forEach((id) => this.start(id));
   }
 
-  /** Entry host that lends the account's allowance out. */
+  /** ID of the entry host that is the allowance lender of the account. */
   get home(): string {
     return pickAllowanceHome(ACCOUNT_ID, this.options.ids) ?? '';
   }
 
-  /** Requests in flight now. */
+  /** Number of requests in flight. */
   get running(): number {
     return [...this.#hosts.values()].reduce((sum, { running }) => sum + running.size, 0);
   }
 
-  /** Starts an entry host, or restarts it: what it knew and ran is gone. */
+  /** Starts an entry host, or restarts it without its earlier state and requests. */
   start(id: string): void {
-    this.#hosts.get(id)?.keeper.stop();
+    this.#hosts.get(id)?.manager.stop();
     this.#events = this.#events.filter((event) => event.host !== id);
-    this.#order += 1;
-    const identity = buildIdentity(id, `${id}-${this.#order}`);
+    this.#lastOrder += 1;
+    const identity = buildIdentity(id, `${id}-${this.#lastOrder}`);
     const handlers: MessageHandlers = new Map();
-    const keeper = new AllowanceKeeper({
+    const manager = new AllowanceKeeper({
       clock: new CallbackClock(
         () => this.nowMs,
         (delayMs, callback) => this.#setTimer(id, delayMs, callback),
@@ -137,29 +137,35 @@
         this.#forward(identity, incarnation, structuredClone(message)),
       ),
     });
-    this.#hosts.set(id, { identity, keeper, handlers, running: new Set(), pausedUntilMs: 0 });
-    keeper.start();
+    this.#hosts.set(id, {
+      identity,
+      manager,
+      handlers,
+      running: new Set(),
+      pausedUntilMs: 0,
+    });
+    manager.start();
   }
 
-  /** Freezes an entry host: its timers and messages wait. */
+  /** Pauses an entry host: its timers and messages are delayed until the end of the pause. */
   setPaused(id: string, forMs: number): void {
     const host = this.#hosts.get(id);
     if (host) host.pausedUntilMs = this.nowMs + forMs;
   }
 
-  /** Cuts or mends the link of two entry hosts. */
+  /** Cuts or restores the link between two entry hosts. */
   setCut(a: string, b: string, isCut: boolean): void {
     const pair = [a, b].sort().join('|');
     if (!isCut) this.#cutSinceMs.delete(pair);
     else if (!this.#cutSinceMs.has(pair)) this.#cutSinceMs.set(pair, this.nowMs);
   }
 
-  /** Tries one request. @returns whether it was admitted */
+  /** Sends one request to an entry host. @returns whether it was admitted */
   sendRequest(id: string, tokens: number, runMs: number): boolean {
     const host = this.#hosts.get(id);
     if (!host || host.pausedUntilMs > this.nowMs) return false;
     try {
-      const admission = host.keeper.admit(this.#account, tokens);
+      const admission = host.manager.admit(this.#account, tokens);
       host.running.add(admission);
       this.#schedule(id, runMs, () => {
         host.running.delete(admission);
@@ -175,30 +181,32 @@
     return true;
   }
 
-  /** Lets time pass. */
+  /** Advances the virtual time and runs all events that are due. */
   advance(byMs: number): void {
     const endMs = this.nowMs + byMs;
-    for (let event = this.#takeNext(endMs); event; event = this.#takeNext(endMs)) {
+    for (let event = this.#removeNextDue(endMs); event; event = this.#removeNextDue(endMs)) {
       this.nowMs = Math.max(this.nowMs, event.atMs);
       event.run();
     }
     this.nowMs = endMs;
   }
 
-  #takeNext(endMs: number): Event | undefined {
-    const due = (event: Event): number =>
+  #removeNextDue(endMs: number): ScheduledEvent | undefined {
+    const computeDueMs = (event: ScheduledEvent): number =>
       Math.max(event.atMs, this.#hosts.get(event.host)?.pausedUntilMs ?? 0);
-    let next: Event | undefined;
+    let next: ScheduledEvent | undefined;
     this.#events.forEach((event) => {
-      if (due(event) > endMs) return;
+      if (computeDueMs(event) > endMs) return;
       const isEarlier =
-        !next || due(event) < due(next) || (due(event) === due(next) && event.order < next.order);
+        !next ||
+        computeDueMs(event) < computeDueMs(next) ||
+        (computeDueMs(event) === computeDueMs(next) && event.order < next.order);
       if (isEarlier) next = event;
     });
     if (!next) return undefined;
-    const taken = next;
-    this.#events = this.#events.filter((event) => event !== taken);
-    return { ...taken, atMs: due(taken) };
+    const removed = next;
+    this.#events = this.#events.filter((event) => event !== removed);
+    return { ...removed, atMs: computeDueMs(removed) };
   }
 
   #setTimer(id: string, delayMs: number, callback: () => void): Timer {
@@ -210,9 +218,9 @@
     };
   }
 
-  #schedule(host: string, delayMs: number, run: () => void): Event {
-    this.#order += 1;
-    const event = { atMs: this.nowMs + delayMs, order: this.#order, host, run };
+  #schedule(host: string, delayMs: number, run: () => void): ScheduledEvent {
+    this.#lastOrder += 1;
+    const event = { atMs: this.nowMs + delayMs, order: this.#lastOrder, host, run };
     this.#events.push(event);
     return event;
   }
@@ -244,10 +252,10 @@
     const isCut = this.#cutSinceMs.has([from.id, id].sort().join('|'));
     if (isCut || this.#random.nextFraction() < (this.options.loss ?? 0)) return true;
     const delayMs = 1 + this.#random.nextFraction() * ((this.options.maxDelayMs ?? 1) - 1);
-    // Messages of one link stay in order.
+    // Messages of one link arrive in the order in which they were sent.
     const link = `${from.incarnation}>${incarnation}`;
-    const atMs = Math.max(this.nowMs + delayMs, this.#arrivals.get(link) ?? 0);
-    this.#arrivals.set(link, atMs);
+    const atMs = Math.max(this.nowMs + delayMs, this.#lastArrivalsMs.get(link) ?? 0);
+    this.#lastArrivalsMs.set(link, atMs);
     this.#schedule(id, atMs - this.nowMs, () => {
       target.handlers.get(message.type)?.(from, message as never);
     });
@@ -256,23 +264,23 @@
 }
 
 /**
- * Computes the most by which any window exceeds its rate.
+ * Computes the largest amount by which the admissions in any window exceed a rate.
  *
- * @param events - when how much was admitted, in order of time
- * @param ratePerSecond - limit
+ * @param events - time and amount of each admission, in order of time
+ * @param ratePerSecond - the rate
  * @returns the largest excess over all windows
  */
 export function computeLargestBurst(
   events: readonly { readonly atMs: number; readonly amount: number }[],
   ratePerSecond: number,
 ): number {
-  let largest = 0;
-  let level = 0;
+  let largestExcess = 0;
+  let excess = 0;
   let lastMs = 0;
   events.forEach(({ atMs, amount }) => {
-    level = Math.max(0, level - (ratePerSecond * (atMs - lastMs)) / 1000) + amount;
+    excess = Math.max(0, excess - (ratePerSecond * (atMs - lastMs)) / 1000) + amount;
     lastMs = atMs;
-    largest = Math.max(largest, level);
+    largestExcess = Math.max(largestExcess, excess);
   });
-  return largest;
+  return largestExcess;
 }
--- a/test/support/caller_hosts.ts
+++ b/test/support/caller_hosts.ts
@@ -1,5 +1,5 @@
 /**
- * Two small entry hosts and a caller before them, for callers' tests.
+ * Two fake entry hosts and a client that calls them, for tests of the caller client.
  *
  * @module
  */
@@ -12,72 +12,76 @@
 import { FakeEntryHost, sendJson } from './fake_entry_host.js';
 import type { FakeHandler } from './fake_entry_host.js';
 
-/** Path of a chat completion. */
+/** Path of chat completions. */
 export const CHAT = '/v1/chat/completions';
-/** A chat completion's call. */
+/** A call of a chat completion. */
 export const CALL = { method: 'POST', path: CHAT, body: '{"model":"m"}' };
-/** Events of a streamed answer, without its last. */
+/** Events of a streamed response, without the last one. */
 export const EVENTS = [1, 2, 3, 4].map((index) => `data: {"part":"é${index}"}\n\n`);
-/** The whole streamed answer. */
+/** The complete body of the streamed response. */
 export const WHOLE = Buffer.from([...EVENTS, 'data: [DONE]\n\n'].join(''));
-/** Its headers. */
+/** Headers of the streamed response. */
 export const HEADERS = {
   'content-type': 'text/event-stream',
   'backend-server': 'engine-1',
   'stream-id': 'stream-7',
 };
 
-/** Pauses between tries take no time; limits stay as they are. */
-class PauselessClock extends SystemClock {
+/**
+ * A clock whose timers between 20 and 2000 ms fire at once: a backoff takes no time, while other
+ * timers such as timeouts keep their duration.
+ */
+class ImmediateBackoffClock extends SystemClock {
   override setTimer(delayMs: number, callback: () => void): Timer {
     return super.setTimer(delayMs < 2000 && delayMs > 20 ? 0 : delayMs, callback);
   }
 }
 
-/** What a test works with. */
-export interface Hosts {
+/** The entry hosts and the client of a test. */
+export interface CallerSetup {
   readonly owner: FakeEntryHost;
   readonly other: FakeEntryHost;
   readonly client: CallerClient;
 }
 
 /**
- * Starts two entry hosts, which say that they are two, and a caller that asks the first.
+ * Starts two fake entry hosts that name each other as peers, and a client that knows the URL of
+ * the first.
  *
- * @param t - the test that they end with
- * @param handlers - answer all but the question which entry host to use
- * @param silenceMs - the caller's, in milliseconds
- * @returns the hosts and the caller
+ * @param t - test at whose end they stop
+ * @param handlers - handlers of all requests except those for a request ID
+ * @param silenceMs - silence timeout of the client in milliseconds
+ * @returns the entry hosts and the client
  */
 export async function startHosts(
   t: Test,
   handlers: { readonly owner: FakeHandler; readonly other: FakeHandler },
   silenceMs?: number,
-): Promise<Hosts> {
+): Promise<CallerSetup> {
   const owner = await FakeEntryHost.start();
   const other = await FakeEntryHost.start();
-  let ids = 0;
-  const assign =
+  let idCount = 0;
+  const assignIds =
     (self: FakeEntryHost, peer: FakeEntryHost, handle: FakeHandler): FakeHandler =>
     (request, response) => {
       if (request.path !== '/v1/requests') {
         handle(request, response);
         return;
       }
-      ids += 1;
+      idCount += 1;
       sendJson(response, 200, {
-        id: `request-${ids}`,
+        id: `request-${idCount}`,
         entryHost: { id: 'self', url: self.url },
         entryHosts: [{ id: 'peer', url: peer.url }],
         keepMs: 30_000,
       });
     };
-  owner.handle = assign(owner, other, handlers.owner);
-  other.handle = assign(other, owner, handlers.other);
+  owner.handle = assignIds(owner, other, handlers.owner);
+  other.handle = assignIds(other, owner, handlers.other);
   const client = new CallerClient({
     urls: [owner.url],
     apiKey: 'secret-key',
-    clock: new PauselessClock(),
+    clock: new ImmediateBackoffClock(),
     silenceMs,
   });
   t.teardown(() => {
@@ -87,17 +91,17 @@
   return { owner, other, client };
 }
 
-/** @param reply - an answer. @returns its whole body */
+/** Reads the complete body of a reply. @param reply - the reply. @returns the bytes */
 export async function readAll(reply: CallerReply): Promise<Buffer> {
-  const parts: Uint8Array[] = [];
-  for await (const part of reply.body) parts.push(part);
-  return Buffer.concat(parts);
+  const chunks: Uint8Array[] = [];
+  for await (const chunk of reply.body) chunks.push(chunk);
+  return Buffer.concat(chunks);
 }
 
 /**
- * Sends the first bytes of an answer, then cuts the connection.
+ * Sends the first bytes of a response, then closes the connection.
  *
- * @param response - where to
+ * @param response - response to write to
  * @param bytes - the first bytes
  */
 export function closeAfter(response: ServerResponse, bytes: Buffer): void {
@@ -106,12 +110,12 @@
   response.write(bytes, () => response.socket?.destroySoon());
 }
 
-/** Answers `GET /v1/requests/{id}?offset=N`. */
+/** Handles `GET /v1/requests/{id}?offset=N`: sends the streamed response from the offset on. */
 export const readOn: FakeHandler = ({ query }, response) => {
   response.writeHead(200, HEADERS).end(WHOLE.subarray(Number(query.get('offset'))));
 };
 
-/** @param step - must fail with CallerError. @returns the error */
+/** Waits for a promise to fail. @param step - must fail with CallerError. @returns the error */
 export async function waitForCallerError(step: Promise<unknown>): Promise<CallerError> {
   const error: unknown = await step.then(
     () => new Error('it was answered'),
--- a/test/support/configuration_hosts.ts
+++ b/test/support/configuration_hosts.ts
@@ -1,5 +1,5 @@
 /**
- * Entry hosts' configuration keepers in one process, for tests:
+ * The configuration replicas of several entry hosts in one process, for tests:
  * `const deployment = await startDeployment(['a', 'b']);`
  *
  * @module
@@ -18,18 +18,18 @@
 /** Time between two heartbeats, in milliseconds. */
 export const HEARTBEAT_MS = 500;
 
-/** How long a starting keeper waits for peers, in milliseconds. */
+/** Longest time for which a starting entry host waits for its peers, in milliseconds. */
 export const PATIENCE_MS = 2000;
 
-/** How long the service holds a watch, in milliseconds. */
+/** Longest time for which the service holds a watch, in milliseconds. */
 export const WAIT_MS = 10_000;
 
 /**
  * Builds a valid contract document.
  *
- * @param weight - tells one version from another
- * @param account - whose it is
- * @returns the text
+ * @param weight - weight of the account, by which tests distinguish versions
+ * @param account - ID of the account
+ * @returns the document as JSON
  */
 export function buildContract(weight: number, account = 'firm-a'): string {
   return JSON.stringify({
@@ -41,18 +41,18 @@
   });
 }
 
-/** One entry host's keeper and what stands around it. */
+/** The configuration replica of one entry host and its collaborators. */
 export interface ConfigurationHost {
   readonly keeper: ConfigurationKeeper;
   readonly network: FakePeerNetwork;
   readonly reader: FakePlatformReader;
   readonly log: FakeLog;
   readonly metrics: FakeMetrics;
-  /** Weights of firm-a that this incarnation had in force, in order. */
+  /** Weights of firm-a that were in effect in this incarnation, in order. */
   readonly weights: number[];
 }
 
-/** Entry hosts with one service, their heartbeats included. */
+/** Entry hosts with one configuration service, and the heartbeats between them. */
 export class Deployment {
   readonly clock = new VirtualClock();
 
@@ -62,11 +62,11 @@
 
   readonly hosts = new Map<string, ConfigurationHost>();
 
-  #incarnations = 0;
+  #incarnationCount = 0;
 
   start(id: string, isCut = false): ConfigurationHost {
-    this.#incarnations += 1;
-    const identity = buildIdentity(id, `${id}-${this.#incarnations}`);
+    this.#incarnationCount += 1;
+    const identity = buildIdentity(id, `${id}-${this.#incarnationCount}`);
     const network = new FakePeerNetwork(this.hub, identity);
     const reader = this.service.createReader();
     reader.setCut(isCut);
@@ -97,7 +97,7 @@
     await host?.keeper.stop();
   }
 
-  /** Lets time pass, with heartbeats over every open link. */
+  /** Advances the virtual time, with heartbeats over every open link. */
   async advance(byMs: number): Promise<void> {
     for (let restMs = byMs; restMs > 0; restMs -= HEARTBEAT_MS) {
       await this.clock.advance(Math.min(restMs, HEARTBEAT_MS));
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Ends everything, so that no watch is left behind. */
+  /** Stops all entry hosts, so that no watch stays open. */
   async close(): Promise<void> {
     const stopping = [...this.hosts.keys()].map((id) => this.stop(id));
     await this.clock.advance(0);
@@ -128,7 +128,7 @@
   }
 }
 
-/** Starts a deployment whose first documents are in force. @param ids - its entry hosts */
+/** Starts a deployment whose first documents are in effect. @param ids - entry host IDs */
 export async function startDeployment(ids: readonly string[]): Promise<Deployment> {
   const deployment = new Deployment();
   deployment.service.publish(FLEET_KEY, '{"services":[]}');
--- a/test/support/crash_fleet.ts
+++ b/test/support/crash_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Entry hosts before backend servers that some requests end, over fakes.
+ * Simulates entry hosts and backend servers that crash under some requests, over fakes.
  *
  * @module
  */
@@ -14,64 +14,67 @@
 import { buildIdentity, FakePeerHub } from './fake_peer_network.js';
 import { settle, VirtualClock } from './virtual_clock.js';
 
-/** Time from a request's arrival at a server to the server's end, in milliseconds. */
-const CRASH_AFTER_MS = 60;
+/** Time from the arrival of a crashing request to the crash of the server, in milliseconds. */
+const CRASH_DELAY_MS = 60;
 
-/** Time from a request's arrival to an answer with an error, in milliseconds. */
-const ERR_AFTER_MS = 40;
+/** Time from the arrival of a request to an error response, in milliseconds. */
+const ERROR_DELAY_MS = 40;
 
-/** Time from a server's end until it is back, and until its entry is removed, in milliseconds. */
-const DOWN_MS = 4_000;
-const LAPSE_MS = 1_500;
+/** Time from a crash until the restart, and until the entry is removed, in milliseconds. */
+const RESTART_DELAY_MS = 4_000;
+const ENTRY_REMOVAL_DELAY_MS = 1_500;
 
-/** How a fleet is made. */
+/** Options of a {@link CrashFleet}. */
 export interface CrashFleetOptions extends DocumentChanges {
   readonly hosts: number;
   readonly servers: number;
   readonly slots?: number;
-  /** How long a sound request runs, in milliseconds. Default: 200. */
+  /** Duration of a harmless request in milliseconds. Default: 200. */
   readonly runMs?: number;
-  /** Part of all requests that servers answer with status 500 instead of running them. Default: 0. */
+  /** Fraction of requests that are answered with status 500 instead of being run. Default: 0. */
   readonly errorShare?: number;
-  /** Time from which on bodies that begin with `turns` end their servers, too, in milliseconds. */
+  /** Time after the start from which bodies that begin with `turns` crash servers too, in ms. */
   readonly turnsAfterMs?: number;
-  /** Part of all answers without a length, which look whole when their server ends. Default: 0. */
+  /**
+   * Fraction of the requests at a crashing server whose response has no length, so that it looks
+   * complete. Default: 0.
+   */
   readonly unframedShare?: number;
-  /** Seed of what is answered so. */
+  /** Seed for the choice of responses with an error or without a length. */
   readonly seed?: number;
 }
 
-/** A request that reached a server. */
+/** The arrival of a request at a server. */
 export interface Arrival {
   readonly atMs: number;
   readonly body: string;
   readonly lifeId: string;
 }
 
-/** Servers run what they are sent, and end under bodies that begin with `ends`. */
+/** Entry hosts, and servers that run all requests but crash under bodies that begin with `ends`. */
 export class CrashFleet {
   readonly clock = new VirtualClock();
 
   readonly hub = new FakePeerHub();
 
-  /** What the servers' addresses answer. */
-  readonly #addresses = new Map<string, Reachability>();
+  /** Reachability of each server by address. */
+  readonly #reachability = new Map<string, Reachability>();
 
   readonly hosts: DirectHost[] = [];
 
   readonly arrivals: Arrival[] = [];
 
-  /** When servers ended, and under which body; no body: for a reason of their own. */
+  /** Crashes, with the body that caused each; undefined for a crash that no request caused. */
   readonly ends: { readonly atMs: number; readonly body: string | undefined }[] = [];
 
   readonly #options: CrashFleetOptions;
 
-  /** The life that each server has now; undefined while it is down. */
-  readonly #lives = new Map<string, string | undefined>();
+  /** Incarnation ID of each server; undefined while the server is down. */
+  readonly #incarnations = new Map<string, string | undefined>();
 
   readonly #running = new Map<FakeExchange, string>();
 
-  #lifeCount = 0;
+  #incarnationCount = 0;
 
   readonly #startedAtMs = this.clock.nowMs();
 
@@ -84,17 +87,17 @@
     t.teardown(() => this.hosts.forEach((host) => host.stop()));
   }
 
-  /** Starts an entry host; it has read nothing yet. */
+  /** Adds an entry host and starts to follow the feed; its first read completes later. */
   addHost(t: Test, index: number): DirectHost {
     const { clock, hub } = this;
-    const probe = new FakeProbe(this.#addresses);
+    const probe = new FakeProbe(this.#reachability);
     const identity = buildIdentity(`h-${index}`);
     const host = new DirectHost({ clock, hub, probe, identity });
     this.hosts.push(host);
     host.backend.onSend = (exchange) => this.#serve(exchange);
     host.feed.put('configuration', buildDocument(1, this.#options));
-    this.#lives.forEach((lifeId, serverId) => {
-      if (lifeId !== undefined) this.#register(host, serverId, lifeId);
+    this.#incarnations.forEach((incarnationId, serverId) => {
+      if (incarnationId !== undefined) this.#register(host, serverId, incarnationId);
     });
     host.start(this.#options, []);
     return host;
@@ -111,51 +114,53 @@
     return host.call({ body: Buffer.from(body), ...changes });
   }
 
-  /** @returns requests with this body that reached servers after a moment */
+  /** @returns the number of requests with a body that reached servers after a given time */
   countArrivals(body: string, afterMs = 0): number {
     return this.arrivals.filter((arrival) => arrival.body === body && arrival.atMs > afterMs)
       .length;
   }
 
-  /** @returns when the n-th server ended under this body; Infinity before */
+  /** @returns time of the n-th crash that a body caused; Infinity if it has not happened */
   findEndMs(body: string, number: number): number {
-    const ends = this.ends.filter((end) => end.body === body);
-    return ends[number - 1]?.atMs ?? Infinity;
+    const crashes = this.ends.filter((end) => end.body === body);
+    return crashes[number - 1]?.atMs ?? Infinity;
   }
 
-  /** Servers that run something with this body. */
+  /** Lists the IDs of the servers that run a request with a given body. */
   listServersOf(body: string): string[] {
     return [...this.#running]
       .filter(([exchange]) => exchange.request.request.body.toString() === body)
       .map(([, serverId]) => serverId);
   }
 
-  /** Ends servers, all at the same moment. */
+  /** Crashes several servers at the same time; each restarts later. */
   endServers(serverIds: readonly string[], body?: string): void {
-    const ending = new Set(serverIds.filter((serverId) => this.#lives.get(serverId)));
-    ending.forEach((serverId) => {
-      const key = `servers/${this.#lives.get(serverId)}`;
-      this.clock.setTimer(LAPSE_MS, () => this.hosts.forEach((host) => host.feed.remove(key)));
+    const crashingIds = new Set(serverIds.filter((serverId) => this.#incarnations.get(serverId)));
+    crashingIds.forEach((serverId) => {
+      const key = `servers/${this.#incarnations.get(serverId)}`;
+      this.clock.setTimer(ENTRY_REMOVAL_DELAY_MS, () =>
+        this.hosts.forEach((host) => host.feed.remove(key)),
+      );
       this.ends.push({ atMs: this.clock.nowMs(), body });
-      this.#lives.set(serverId, undefined);
-      this.#addresses.set(formatAddress(serverId), Reachability.Refused);
-      this.clock.setTimer(DOWN_MS, () => this.#startServer(serverId));
+      this.#incarnations.set(serverId, undefined);
+      this.#reachability.set(formatAddress(serverId), Reachability.Refused);
+      this.clock.setTimer(RESTART_DELAY_MS, () => this.#startServer(serverId));
     });
     [...this.#running]
-      .filter(([, serverId]) => ending.has(serverId))
-      .forEach(([exchange]) => this.#finish(exchange, () => this.#breakOff(exchange)));
+      .filter(([, serverId]) => crashingIds.has(serverId))
+      .forEach(([exchange]) => this.#finish(exchange, () => this.#breakConnection(exchange)));
   }
 
-  /** Servers say that they leave. */
+  /** Marks servers as draining in their registry entries. */
   drainServers(serverIds: readonly string[]): void {
     serverIds.forEach((serverId) => {
-      const lifeId = this.#lives.get(serverId);
-      if (lifeId === undefined) return;
-      this.hosts.forEach((host) => this.#register(host, serverId, lifeId, true));
+      const incarnationId = this.#incarnations.get(serverId);
+      if (incarnationId === undefined) return;
+      this.hosts.forEach((host) => this.#register(host, serverId, incarnationId, true));
     });
   }
 
-  /** Closes connections of one host without any server's end. */
+  /** Breaks all connections of one entry host to servers without any crash. */
   resetHost(host: DirectHost): void {
     [...this.#running.keys()]
       .filter((exchange) => host.backend.sent.includes(exchange))
@@ -163,39 +168,39 @@
   }
 
   #startServer(serverId: string): void {
-    this.#lifeCount += 1;
-    const lifeId = `${serverId}.${this.#lifeCount}`;
-    this.#lives.set(serverId, lifeId);
-    this.#addresses.set(formatAddress(serverId), Reachability.Open);
-    this.hosts.forEach((host) => this.#register(host, serverId, lifeId));
+    this.#incarnationCount += 1;
+    const incarnationId = `${serverId}.${this.#incarnationCount}`;
+    this.#incarnations.set(serverId, incarnationId);
+    this.#reachability.set(formatAddress(serverId), Reachability.Open);
+    this.hosts.forEach((host) => this.#register(host, serverId, incarnationId));
   }
 
-  #register(host: DirectHost, serverId: string, lifeId: string, isLeaving = false): void {
+  #register(host: DirectHost, serverId: string, incarnationId: string, isLeaving = false): void {
     const { slots = 8 } = this.#options;
     const entry = { slots, isLeaving, address: formatAddress(serverId) };
-    host.feed.put(`servers/${lifeId}`, buildServer(lifeId, entry));
+    host.feed.put(`servers/${incarnationId}`, buildServer(incarnationId, entry));
   }
 
   #serve(exchange: FakeExchange): void {
-    const { address, lifeId, request } = exchange.request;
+    const { address, lifeId: incarnationId, request } = exchange.request;
     const serverId = address.split(':')[0] as string;
-    const isThere = this.#lives.get(serverId) === lifeId;
-    if (!isThere) {
+    const isUp = this.#incarnations.get(serverId) === incarnationId;
+    if (!isUp) {
       this.clock.setTimer(1, () => {
         if (!exchange.isCancelled) exchange.fail(BackendFailure.NotSent);
       });
       return;
     }
     const body = request.body.toString();
-    this.arrivals.push({ atMs: this.clock.nowMs(), body, lifeId });
+    this.arrivals.push({ atMs: this.clock.nowMs(), body, lifeId: incarnationId });
     this.#running.set(exchange, serverId);
     if (this.#random.nextFraction() < (this.#options.errorShare ?? 0)) {
-      this.clock.setTimer(ERR_AFTER_MS, () => this.#finish(exchange, () => exchange.answer(500)));
+      this.clock.setTimer(ERROR_DELAY_MS, () => this.#finish(exchange, () => exchange.answer(500)));
       return;
     }
-    if (this.#isEnding(body)) {
-      this.clock.setTimer(CRASH_AFTER_MS, () => {
-        const isSame = this.#lives.get(serverId) === lifeId;
+    if (this.#isCrashing(body)) {
+      this.clock.setTimer(CRASH_DELAY_MS, () => {
+        const isSame = this.#incarnations.get(serverId) === incarnationId;
         if (isSame && !exchange.isCancelled) this.endServers([serverId], body);
       });
       return;
@@ -205,21 +210,21 @@
     );
   }
 
-  #breakOff(exchange: FakeExchange): void {
+  #breakConnection(exchange: FakeExchange): void {
     const { unframedShare = 0 } = this.#options;
     if (this.#random.nextFraction() < unframedShare) exchange.answer(200, 'ok', false);
     else exchange.fail(BackendFailure.Lost);
   }
 
-  #isEnding(body: string): boolean {
+  #isCrashing(body: string): boolean {
     const { turnsAfterMs = Infinity } = this.#options;
-    const hasTurned = this.clock.nowMs() - this.#startedAtMs >= turnsAfterMs;
-    return body.startsWith('ends') || (body.startsWith('turns') && hasTurned);
+    const isTurnDue = this.clock.nowMs() - this.#startedAtMs >= turnsAfterMs;
+    return body.startsWith('ends') || (body.startsWith('turns') && isTurnDue);
   }
 
-  #finish(exchange: FakeExchange, end: () => void): void {
+  #finish(exchange: FakeExchange, onFinish: () => void): void {
     if (!this.#running.delete(exchange) || exchange.isCancelled) return;
-    end();
+    onFinish();
   }
 }
 
--- a/test/support/crash_line.ts
+++ b/test/support/crash_line.ts
@@ -1,5 +1,5 @@
 /**
- * Entry hosts in a line that share what they know of servers' ends, over fakes.
+ * Simulates a chain of entry hosts that exchange crash notes, over fakes.
  *
  * @module
  */
@@ -14,8 +14,8 @@
 import { FakeLog, FakeMetrics, SeededRandom } from './fakes.js';
 import { VirtualClock } from './virtual_clock.js';
 
-/** Hosts in a line: each is linked with its neighbours only, and passes on what it hears. */
-class LinePaths extends CrashPaths {
+/** Paths of crash notes along the chain: an inner host forwards notes between its neighbours. */
+class ChainPaths extends CrashPaths {
   constructor(
     readonly peers: FakePeerNetwork,
     readonly hub: FakePeerHub,
@@ -54,7 +54,7 @@
   }
 }
 
-/** The hosts, and servers that end. */
+/** A chain of entry hosts, each linked with its neighbours only, and servers that crash. */
 export class CrashLine {
   readonly clock = new VirtualClock();
 
@@ -66,7 +66,7 @@
 
   readonly probes: FakeProbe[] = [];
 
-  #crashes = 0;
+  #crashCount = 0;
 
   constructor(
     readonly t: Test,
@@ -90,7 +90,7 @@
       random: new SeededRandom(index + 1),
       probe,
       peers,
-      paths: new LinePaths(peers, hub, isRelay),
+      paths: new ChainPaths(peers, hub, isRelay),
     });
     keeper.start();
     t.teardown(() => keeper.stop());
@@ -98,10 +98,10 @@
     this.probes.push(probe);
   }
 
-  /** A server ends under contents at one host. */
+  /** Crashes a new server while it runs requests with the given contents from one host. */
   async crash(index: number, contentIds: readonly string[]): Promise<void> {
-    this.#crashes += 1;
-    const serverId = `s-${this.#crashes}`;
+    this.#crashCount += 1;
+    const serverId = `s-${this.#crashCount}`;
     const address = `${serverId}:80`;
     this.ended.set(address, Reachability.Refused);
     const endedAtMs = this.clock.nowMs();
--- a/test/support/crash_storm.ts
+++ b/test/support/crash_storm.ts
@@ -1,5 +1,5 @@
 /**
- * Many requests that end servers, failing racks and sound requests all at once.
+ * Simulates a crash storm: crashing requests, rack failures and harmless requests at once.
  *
  * @module
  */
@@ -9,66 +9,67 @@
 import type { FakeReply } from './direct_ends.js';
 import { SeededRandom } from './fakes.js';
 
-const CONTACT_MS = 3_000;
-const MAX_LATER = 3;
-const ROUNDS = 150;
+const PROPAGATION_MS = 3_000;
+const MAX_LATE_ARRIVALS = 3;
+const ROUND_COUNT = 150;
 
-/** Servers of one rack, which end at the same moment. */
+/** Number of servers in one rack, which fail at the same time. */
 const RACK_SIZE = 3;
 
-/** What one storm showed. */
-export interface Storm {
-  /** Contents that were held and end no server. */
+/** Wrong decisions of the entry hosts in one storm. */
+export interface StormResult {
+  /** Harmless contents that were quarantined. */
   readonly heldSound: readonly string[];
-  /** Contents that end servers, and were sent on too often. */
+  /** Crashing contents that were still sent to servers too often after their third crash. */
   readonly sentOn: readonly string[];
 }
 
-/** How a storm is played. */
+/** Options of a storm. */
 export interface StormOptions {
   readonly seed: number;
-  /** Rounds before the first trouble, in which what many callers ask for is answered. */
+  /** Rounds before the first crash, in which popular contents are answered. */
   readonly calmRounds: number;
-  /** Part of all requests that servers answer with an error instead of running them. Default: 0. */
+  /** Fraction of requests that are answered with an error instead of being run. Default: 0. */
   readonly errorShare?: number;
 }
 
 /**
- * Plays a storm.
+ * Simulates one storm.
  *
- * @param t - the test that it ends with
- * @param options - how it is played
- * @returns what was held, and what was not
+ * @param t - test at whose end the simulation stops
+ * @param options - options of the storm
+ * @returns the harmless contents that were quarantined, and the crashing ones sent too often
  */
 export async function playStorm(
   t: Test,
   { seed, calmRounds, errorShare = 0 }: StormOptions,
-): Promise<Storm> {
+): Promise<StormResult> {
   const random = new SeededRandom(seed);
-  const pick = (count: number): number => Math.floor(random.nextFraction() * count);
-  const hosts = 3 + pick(6);
-  const servers = 6 + pick(14);
-  const kinds = pick(5);
+  const pickInteger = (count: number): number => Math.floor(random.nextFraction() * count);
+  const hosts = 3 + pickInteger(6);
+  const servers = 6 + pickInteger(14);
+  const crashingCount = pickInteger(5);
   const fleet = new CrashFleet(t, {
     hosts,
     servers,
-    slots: 2 + pick(8),
-    runMs: 50 + pick(600),
-    route: { isRepeatable: pick(2) === 0, maxAttempts: 1 + pick(3) },
+    slots: 2 + pickInteger(8),
+    runMs: 50 + pickInteger(600),
+    route: { isRepeatable: pickInteger(2) === 0, maxAttempts: 1 + pickInteger(3) },
     errorShare,
     seed,
   });
   await fleet.start();
   const replies: { readonly body: string; readonly reply: FakeReply }[] = [];
-  const roundMs = 40 + pick(200);
-  for (let round = 0; round < ROUNDS; round += 1) {
+  const roundMs = 40 + pickInteger(200);
+  for (let round = 0; round < ROUND_COUNT; round += 1) {
     const isCalm = round < calmRounds;
-    if (kinds > 0 && pick(3) > 0 && !isCalm) fleet.call(pick(hosts), `ends ${pick(kinds)}`);
-    [`sound ${round}`, `sound ${pick(10)}`, `popular ${pick(2)}`].forEach((body) => {
-      replies.push({ body, reply: fleet.call(pick(hosts), body) });
+    if (crashingCount > 0 && pickInteger(3) > 0 && !isCalm)
+      fleet.call(pickInteger(hosts), `ends ${pickInteger(crashingCount)}`);
+    [`sound ${round}`, `sound ${pickInteger(10)}`, `popular ${pickInteger(2)}`].forEach((body) => {
+      replies.push({ body, reply: fleet.call(pickInteger(hosts), body) });
     });
-    if (pick(40) === 0 && !isCalm) {
-      const first = pick(servers);
+    if (pickInteger(40) === 0 && !isCalm) {
+      const first = pickInteger(servers);
       const rack = Array.from(
         { length: RACK_SIZE },
         (_, at) => `s-${1 + ((first + at) % servers)}`,
@@ -77,12 +78,13 @@
     }
     await fleet.clock.advance(roundMs * (0.5 + random.nextFraction()));
   }
-  const held = replies.filter(({ reply }) => reply.error?.kind === ErrorKind.RequestHeld);
-  const ending = Array.from({ length: kinds }, (_, kind) => `ends ${kind}`);
+  const quarantined = replies.filter(({ reply }) => reply.error?.kind === ErrorKind.RequestHeld);
+  const crashingBodies = Array.from({ length: crashingCount }, (_, kind) => `ends ${kind}`);
   return {
-    heldSound: [...new Set(held.map(({ body }) => body))],
-    sentOn: ending.filter(
-      (body) => fleet.countArrivals(body, fleet.findEndMs(body, 3) + CONTACT_MS) > MAX_LATER,
+    heldSound: [...new Set(quarantined.map(({ body }) => body))],
+    sentOn: crashingBodies.filter(
+      (body) =>
+        fleet.countArrivals(body, fleet.findEndMs(body, 3) + PROPAGATION_MS) > MAX_LATE_ARRIVALS,
     ),
   };
 }
--- a/test/support/direct_ends.ts
+++ b/test/support/direct_ends.ts
@@ -1,6 +1,6 @@
 /**
- * Both ends of a call that bears its own ID: a backend server that tests play, and a
- * caller that keeps what it is sent.
+ * Fakes of both ends of a call that carries its own request ID: a backend server whose responses
+ * a test gives, and a caller's connection that records the response.
  *
  * @module
  */
@@ -20,7 +20,7 @@
   DirectHead,
 } from '../../src/ports/mod.js';
 
-/** A request that reached a fake backend server; tests play the server. */
+/** A request that reached a fake backend server. Tests send the response. */
 export class FakeExchange implements BackendExchange {
   isCancelled = false;
 
@@ -35,7 +35,7 @@
     this.isCancelled = true;
   }
 
-  /** Begins an answer. */
+  /** Sends a response head. */
   head(changes: Partial<BackendHead> = {}): void {
     this.listener.onHead({
       status: 200,
@@ -48,14 +48,14 @@
     });
   }
 
-  /** Sends events of a stream. */
+  /** Sends the events of a stream with the IDs in a range, both ends included. */
   events(from: number, to: number): void {
     for (let id = from; id <= to; id += 1) {
       this.listener.onBody(Buffer.from(`id: ${id}\ndata: ${id}\n\n`));
     }
   }
 
-  /** Answers whole. */
+  /** Sends a complete response. */
   answer(status = 200, body = 'ok', isFramed = true): void {
     this.head({ status, isFramed });
     this.listener.onBody(Buffer.from(body));
@@ -67,11 +67,11 @@
   }
 }
 
-/** Collects what is sent. */
+/** A backend client that records the requests it is given. */
 export class FakeBackend extends DirectBackendClient {
   readonly sent: FakeExchange[] = [];
 
-  /** Called with each request, for tests whose servers play by themselves. */
+  /** Called with each request, for tests that answer automatically. */
   onSend: (exchange: FakeExchange) => void = () => undefined;
 
   override send(request: BackendRequest, listener: BackendListener): BackendExchange {
@@ -82,14 +82,14 @@
   }
 }
 
-/** Answers for addresses as tests have set them; all others accept connections. */
+/** A server probe with a configurable result per address; other addresses are open. */
 export class FakeProbe extends ServerProbe {
   readonly asked: string[] = [];
 
-  /** Every connection is refused, whoever listens. */
+  /** Whether every address counts as refusing connections. */
   isCut = false;
 
-  /** @param ended - what addresses answer, which several entry hosts may share */
+  /** @param ended - result by address; several entry hosts may share the map */
   constructor(readonly ended = new Map<string, Reachability>()) {
     super();
   }
@@ -101,7 +101,7 @@
   }
 }
 
-/** Collects an answer. */
+/** A reply that records the response written to it. */
 export class FakeReply extends DirectReply {
   head: DirectHead | undefined;
 
@@ -149,11 +149,11 @@
   }
 
   override refuse(error: SchedulerError): void {
-    if (this.head || this.error) throw new Error('Cannot answer twice');
+    if (this.head || this.error) throw new Error('Cannot send two responses');
     this.error = error;
   }
 
-  /** The caller closes its connection. */
+  /** Simulates that the caller disconnects. */
   leave(): void {
     this.isGone = true;
     this.#handler?.();
--- a/test/support/direct_host.ts
+++ b/test/support/direct_host.ts
@@ -1,5 +1,5 @@
 /**
- * One entry host of calls that bear their own ID, over fakes.
+ * One entry host for calls that carry their own request ID, over fakes.
  *
  * @module
  */
@@ -31,7 +31,7 @@
 import { FakeLog, FakeMetrics, SeededRandom } from './fakes.js';
 import { settle, VirtualClock } from './virtual_clock.js';
 
-/** What {@link buildDocument} may be told. */
+/** Overrides for {@link buildDocument}. */
 export interface DocumentChanges {
   readonly keys?: readonly string[];
   readonly limit?: AccountLimit;
@@ -57,7 +57,7 @@
 
 const ENGINES = { id: 'engines', maxConnections: 10, isEngine: true, tokensPerEvent: 1 };
 
-/** @returns a configuration with one route, one service and one account */
+/** @returns a routing document with one route, one service and one client account */
 export function buildDocument(version: number, changes: DocumentChanges = {}): RoutingDocument {
   const account: ClientAccount = {
     id: 'firm-a',
@@ -79,7 +79,7 @@
   };
 }
 
-/** @returns an entry of a backend server as the fake feed holds it */
+/** @returns the registry entry of a backend server, as the fake feed stores it */
 export function buildServer(id: string, changes: Partial<BackendServerEntry> = {}): object {
   return {
     id,
@@ -95,10 +95,10 @@
   };
 }
 
-/** Regions of the zones that tests use. */
+/** Region of each availability zone in tests. */
 export const TEST_ZONE_REGIONS = { 'hall-a': 'north', 'hall-b': 'north', 'far-a': 'south' };
 
-/** Start of the keys that close a zone in tests. */
+/** Prefix of the keys that close an availability zone in tests. */
 export const CLOSED_ZONES_PREFIX = 'closed/';
 
 const NO_HOSTS: readonly HostState[] = [];
@@ -111,10 +111,10 @@
   decodeServer: (_key, value) => JSON.parse(Buffer.from(value).toString()) as BackendServerEntry,
 };
 
-/** Age up to which a key is believed in tests, in milliseconds. */
+/** Age up to which an API key from the store is accepted in tests, in milliseconds. */
 export const MAX_KEY_AGE_MS = 4_000;
 
-/** What a host may share with others. */
+/** Objects that several hosts may share; by default each host has its own. */
 export interface DirectHostOptions {
   readonly clock?: VirtualClock;
   readonly hub?: FakePeerHub;
@@ -122,14 +122,14 @@
   readonly identity?: EntryHostIdentity;
 }
 
-/** All hosts are linked, and a life ends once. */
-class LifeCrashPaths extends MeshCrashPaths {
+/** Paths of crash notes in a full mesh; the incarnation of a server is the ID of its crash. */
+class IncarnationCrashPaths extends MeshCrashPaths {
   override createCrashId(serverId: string): string {
     return serverId;
   }
 }
 
-/** A gateway with its keepers. */
+/** A gateway for calls that carry their own request ID, and its collaborators. */
 export class DirectHost {
   readonly clock: VirtualClock;
 
@@ -159,7 +159,7 @@
 
   readonly follower: FeedFollower;
 
-  /** Whether it has had the time to hear of all others. */
+  /** Whether the host has had the time to receive reports of all other hosts. */
   isSettled = true;
 
   #nextId = 0;
@@ -188,7 +188,7 @@
       ...shared,
       probe: this.probe,
       peers: this.peers,
-      paths: new LifeCrashPaths({
+      paths: new IncarnationCrashPaths({
         peers: this.peers,
         random,
         selfId: identity.id,
@@ -224,7 +224,7 @@
     this.servers.onChange(() => this.gateway.advance());
   }
 
-  /** Begins with a configuration and backend servers. */
+  /** Publishes a routing document and backend servers, and starts the host. */
   async start(
     changes: DocumentChanges = {},
     serverIds: readonly string[] = ['s-1'],
@@ -236,13 +236,13 @@
     await settle();
   }
 
-  /** Ends the keepers, so that the test's process can end. */
+  /** Stops the timers of the host, so that the test process can exit. */
   stop(): void {
     this.follower.stop();
     this.crashes.stop();
   }
 
-  /** Sends one call. */
+  /** Sends one call through the gateway. @returns the recorded reply */
   call(changes: Partial<DirectRequest> = {}): FakeReply {
     this.#nextId += 1;
     const reply = new FakeReply();
@@ -267,21 +267,21 @@
     return reply;
   }
 
-  /** The n-th request that was sent to a backend server, from 0. */
+  /** @returns the request to a backend server with a given index, from 0 */
   sent(index: number): FakeExchange {
     const exchange = this.backend.sent[index];
     if (!exchange)
-      throw new Error(`Cannot find request ${index}: ${this.backend.sent.length} sent`);
+      throw new Error(`Cannot find request ${index}: only ${this.backend.sent.length} were sent`);
     return exchange;
   }
 }
 
 /**
- * Starts a host for one test.
+ * Starts an entry host for one test.
  *
- * @param t - the test that it ends with
- * @param changes - its configuration
- * @param servers - backend servers that it knows
+ * @param t - test at whose end the host stops
+ * @param changes - overrides of the routing document
+ * @param servers - IDs of the backend servers
  * @returns the host
  */
 export async function startDirectHost(
--- a/test/support/fake_backend.ts
+++ b/test/support/fake_backend.ts
@@ -1,6 +1,6 @@
 /**
- * A backend server in the test's own process: records each run, streams an
- * answer that follows from the call's body, and fails as it is told.
+ * A fake backend server in the process of the test. It records each run, streams a response
+ * that is derived from the request body, and fails as the test configures.
  *
  * @module
  */
@@ -15,54 +15,54 @@
 } from '../../src/ports/mod.js';
 import type { ProcessGate } from './frozen_host.js';
 
-/** How the next call fares. */
+/** Behaviour of the fake backend server for one call. */
 export enum CallFate {
   Answered = 'answered',
-  /** Refused in place of the 100. */
+  /** The call is refused instead of receiving 100 Continue. */
   Refused = 'refused',
-  /** The connection is dead: no 100 ever comes. */
+  /** The connection is dead, and 100 Continue never arrives. */
   SilentBefore = 'silent_before',
-  /** The body arrives, the connection breaks before the head. */
+  /** The body arrives, then the connection breaks before the response head. */
   LostAfter = 'lost_after',
-  /** The body arrives, nothing comes back. */
+  /** The body arrives, but no response is sent. */
   SilentAfter = 'silent_after',
-  /** The connection breaks inside the answer; the stream goes on. */
+  /** The connection breaks within the response; the stream continues and can be resumed. */
   CutMidway = 'cut_midway',
-  /** The backend server dies inside the answer. */
+  /** The backend server crashes within the response, and the stream is lost. */
   DiesMidway = 'dies_midway',
-  /** A whole answer with status 500. */
+  /** The response is complete and has status 500. */
   Erred = 'erred',
-  /** An answer whose end isn't marked. */
+  /** The response has neither a length nor chunked framing that marks its end. */
   Unframed = 'unframed',
 }
 
-const CONTINUE_MS = 15;
-const PART_MS = 20;
-const PARTS = 4;
+const CONTINUE_DELAY_MS = 15;
+const CHUNK_INTERVAL_MS = 20;
+const CHUNK_COUNT = 4;
 
-/** One run that a body started. */
+/** One run, which starts when the body arrives. */
 export interface FakeRun {
   readonly requestId: string;
   readonly text: string;
-  fate: CallFate;
+  behaviour: CallFate;
   startedAtMs: number;
 }
 
-/** @returns the whole answer to a body */
+/** @returns the complete response body for a request body */
 export function buildExpectedAnswer(body: string): string {
-  return Array.from({ length: PARTS }, (_, at) => `<${body}:${at}>`).join('');
+  return Array.from({ length: CHUNK_COUNT }, (_, at) => `<${body}:${at}>`).join('');
 }
 
-/** What every client of one fake backend server shares. */
+/** State of one fake backend server, which its clients share. */
 export class FakeBackend {
   readonly runs: FakeRun[] = [];
 
-  /** Fates of the next calls; answered when it is empty. */
+  /** Behaviour for each of the next calls; once the list is empty, calls are answered. */
   readonly fates: CallFate[] = [];
 
   constructor(readonly clock: Clock) {}
 
-  /** @returns when the time has passed */
+  /** Waits on the clock of the test. @param delayMs - duration in milliseconds */
   wait(delayMs: number): Promise<void> {
     return new Promise((resolve) => {
       this.clock.setTimer(delayMs, resolve);
@@ -70,7 +70,7 @@
   }
 }
 
-/** One entry host's client of a {@link FakeBackend}. */
+/** The client of one entry host for a {@link FakeBackend}. */
 export class FakeBackendClient extends BackendServerClient {
   readonly cancelled: string[] = [];
 
@@ -83,37 +83,41 @@
 
   override async dispatch(call: BackendCall): Promise<BackendAnswer> {
     const { backend, gate } = this;
-    const fate = backend.fates.shift() ?? CallFate.Answered;
-    await backend.wait(CONTINUE_MS);
-    await gate.pass();
-    if (fate === CallFate.SilentBefore) await backend.wait(call.continueTimeoutMs);
-    if (fate === CallFate.SilentBefore || fate === CallFate.Refused || !call.mayHandOver()) {
-      throw new BackendCallError(BackendCallStage.BeforeHandOver, fate);
+    const behaviour = backend.fates.shift() ?? CallFate.Answered;
+    await backend.wait(CONTINUE_DELAY_MS);
+    await gate.waitUntilRunning();
+    if (behaviour === CallFate.SilentBefore) await backend.wait(call.continueTimeoutMs);
+    if (
+      behaviour === CallFate.SilentBefore ||
+      behaviour === CallFate.Refused ||
+      !call.mayHandOver()
+    ) {
+      throw new BackendCallError(BackendCallStage.BeforeHandOver, behaviour);
     }
     call.onHandOver();
     const run = {
       requestId: call.headers['request-id'] ?? '',
       text: buildExpectedAnswer(Buffer.from(call.body).toString()),
-      fate,
+      behaviour,
       startedAtMs: backend.clock.nowMs(),
     };
     backend.runs.push(run);
-    await backend.wait(PART_MS);
-    await gate.pass();
-    if (fate === CallFate.LostAfter) {
-      throw new BackendCallError(BackendCallStage.AfterHandOver, fate);
+    await backend.wait(CHUNK_INTERVAL_MS);
+    await gate.waitUntilRunning();
+    if (behaviour === CallFate.LostAfter) {
+      throw new BackendCallError(BackendCallStage.AfterHandOver, behaviour);
     }
-    if (fate === CallFate.SilentAfter) await waitForAbort(call.signal);
-    return { ...this.#answer(run, 0, fate), streamId: run.requestId };
+    if (behaviour === CallFate.SilentAfter) await waitForAbort(call.signal);
+    return { ...this.#buildAnswer(run, 0, behaviour), streamId: run.requestId };
   }
 
   override async resume(point: ResumePoint): Promise<BackendAnswer> {
-    await this.gate.pass();
+    await this.gate.waitUntilRunning();
     const run = this.backend.runs.find((candidate) => candidate.requestId === point.streamId);
-    if (!run || run.fate === CallFate.DiesMidway) {
+    if (!run || run.behaviour === CallFate.DiesMidway) {
       throw new BackendCallError(BackendCallStage.Answering, 'no such stream');
     }
-    return this.#answer(run, point.offset, CallFate.Answered);
+    return this.#buildAnswer(run, point.offset, CallFate.Answered);
   }
 
   override cancel(_server: unknown, streamId: string): Promise<void> {
@@ -129,26 +133,30 @@
     return Promise.resolve([]);
   }
 
-  #answer(run: FakeRun, offset: number, fate: CallFate): BackendAnswer {
+  #buildAnswer(run: FakeRun, offset: number, behaviour: CallFate): BackendAnswer {
     return {
-      status: fate === CallFate.Erred ? 500 : 200,
+      status: behaviour === CallFate.Erred ? 500 : 200,
       headers: {},
-      isFramed: fate !== CallFate.Unframed,
+      isFramed: behaviour !== CallFate.Unframed,
       streamId: run.requestId,
-      body: this.#read(run, offset, fate),
+      body: this.#streamChunks(run, offset, behaviour),
     };
   }
 
-  async *#read(run: FakeRun, offset: number, fate: CallFate): AsyncGenerator<Uint8Array> {
-    const partLength = run.text.length / PARTS;
-    for (let at = 0; at < PARTS; at += 1) {
-      await this.backend.wait(PART_MS);
-      await this.gate.pass();
-      const from = Math.max(offset, Math.floor(partLength * at));
-      const to = at === PARTS - 1 ? run.text.length : Math.floor(partLength * (at + 1));
+  async *#streamChunks(
+    run: FakeRun,
+    offset: number,
+    behaviour: CallFate,
+  ): AsyncGenerator<Uint8Array> {
+    const chunkLength = run.text.length / CHUNK_COUNT;
+    for (let at = 0; at < CHUNK_COUNT; at += 1) {
+      await this.backend.wait(CHUNK_INTERVAL_MS);
+      await this.gate.waitUntilRunning();
+      const from = Math.max(offset, Math.floor(chunkLength * at));
+      const to = at === CHUNK_COUNT - 1 ? run.text.length : Math.floor(chunkLength * (at + 1));
       if (to > from) yield Buffer.from(run.text.slice(from, to));
-      if (at === 1 && (fate === CallFate.CutMidway || fate === CallFate.DiesMidway)) {
-        throw new BackendCallError(BackendCallStage.Answering, fate);
+      if (at === 1 && (behaviour === CallFate.CutMidway || behaviour === CallFate.DiesMidway)) {
+        throw new BackendCallError(BackendCallStage.Answering, behaviour);
       }
     }
   }
--- a/test/support/fake_entry_host.ts
+++ b/test/support/fake_entry_host.ts
@@ -1,6 +1,5 @@
 /**
- * A small entry host for callers' tests: a real HTTP server whose answers the
- * test gives.
+ * A fake entry host for tests of callers: a real HTTP server whose responses the test defines.
  *
  * @module
  */
@@ -8,8 +7,8 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** One request as it came. */
-export interface SeenRequest {
+/** A received request. */
+export interface ReceivedRequest {
   readonly method: string;
   /** Path without query. */
   readonly path: string;
@@ -18,27 +17,27 @@
   readonly body: string;
 }
 
-/** Answers one request; does nothing to stay silent. */
-export type FakeHandler = (request: SeenRequest, response: ServerResponse) => void;
+/** Answers one request; a handler that does nothing simulates a silent host. */
+export type FakeHandler = (request: ReceivedRequest, response: ServerResponse) => void;
 
-async function readRequest(request: IncomingMessage): Promise<SeenRequest> {
-  const parts: Buffer[] = [];
-  for await (const part of request as AsyncIterable<Buffer>) parts.push(part);
+async function readRequest(request: IncomingMessage): Promise<ReceivedRequest> {
+  const chunks: Buffer[] = [];
+  for await (const part of request as AsyncIterable<Buffer>) chunks.push(part);
   const url = new URL(request.url ?? '/', 'http://fake');
   return {
     method: request.method ?? '',
     path: url.pathname,
     query: url.searchParams,
     headers: request.headers,
-    body: Buffer.concat(parts).toString('utf8'),
+    body: Buffer.concat(chunks).toString('utf8'),
   };
 }
 
-/** Answers what the test tells it, and remembers what came. */
+/** An HTTP server that records requests and answers them with the handler of the test. */
 export class FakeEntryHost {
-  readonly seen: SeenRequest[] = [];
+  readonly seen: ReceivedRequest[] = [];
 
-  /** May be replaced between requests. */
+  /** Handler of requests, which a test may replace at any time. */
   handle: FakeHandler = (request, response) => {
     response.writeHead(404).end();
   };
@@ -57,7 +56,7 @@
     });
   }
 
-  /** @returns a server on a free port of the loopback interface */
+  /** Starts a server. @returns the server, on a free port of the loopback interface */
   static async start(): Promise<FakeEntryHost> {
     const host = new FakeEntryHost();
     await new Promise<void>((resolve) => {
@@ -66,17 +65,17 @@
     return host;
   }
 
-  /** Base URL. */
+  /** Base URL of the server. */
   get url(): string {
     return `http://127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** @returns requests for a path, such as `/v1/requests` */
-  listSeen(method: string, path: string): readonly SeenRequest[] {
+  /** @returns the received requests with a method and a path, such as `/v1/requests` */
+  listSeen(method: string, path: string): readonly ReceivedRequest[] {
     return this.seen.filter((request) => request.method === method && request.path === path);
   }
 
-  /** Closes the port and cuts every connection. @returns when both are done */
+  /** Stops listening and destroys all connections. */
   close(): Promise<void> {
     return new Promise((resolve) => {
       this.#server.close(() => resolve());
@@ -86,33 +85,33 @@
 }
 
 /**
- * Answers JSON.
+ * Sends a JSON response.
  *
- * @param response - where to
+ * @param response - response to write to
  * @param status - HTTP status
- * @param body - the value
+ * @param body - value of the body
  */
 export function sendJson(response: ServerResponse, status: number, body: unknown): void {
   response.writeHead(status, { 'content-type': 'application/json' }).end(JSON.stringify(body));
 }
 
 /**
- * Answers an error in the system's form.
+ * Sends an error response in the format of entry hosts.
  *
- * @param response - where to
+ * @param response - response to write to
  * @param status - HTTP status
- * @param error - code, outcome and advice
+ * @param error - error code, run outcome and retry-after time
  */
 export function sendRefusal(
   response: ServerResponse,
   status: number,
   error: { readonly code: string; readonly run: string; readonly retryAfterMs?: number },
 ): void {
-  const full = {
+  const completeError = {
     message: `refused: ${error.code}`,
     type: 'server_error',
     retryAfterMs: 0,
     ...error,
   };
-  sendJson(response, status, { error: full });
+  sendJson(response, status, { error: completeError });
 }
--- a/test/support/fake_feed.ts
+++ b/test/support/fake_feed.ts
@@ -1,16 +1,17 @@
 /**
- * A change feed in memory, on the tests' clock.
+ * An in-memory change feed on the clock of a test.
  *
  * @module
  */
 import { ChangeFeed, HistoryLostError } from '../../src/ports/mod.js';
 import type { Clock, FeedChange, FeedChanges, FeedSnapshot } from '../../src/ports/mod.js';
 
-/** Keys with revisions; reads fail while it is down. */
+/** A change feed whose keys tests write. It can be down, silent or without history. */
 export class FakeFeed extends ChangeFeed {
+  /** Whether reads fail. */
   isDown = false;
 
-  /** Reads are never answered. */
+  /** Whether reads are never answered. */
   isSilent = false;
 
   readCount = 0;
@@ -21,20 +22,20 @@
 
   #history: FeedChange[] = [];
 
-  #forgottenTo = 0;
+  #discardedRevision = 0;
 
   #revision = 0;
 
-  readonly #waiting = new Set<() => void>();
+  readonly #waiters = new Set<() => void>();
 
-  #held: Promise<void> = Promise.resolve();
+  #snapshotsReleased: Promise<void> = Promise.resolve();
 
   constructor(clock: Clock) {
     super();
     this.#clock = clock;
   }
 
-  /** Writes one key. */
+  /** Writes a key. @param key - the key. @param value - text, or a value to store as JSON */
   put(key: string, value: unknown): void {
     this.#write(key, Buffer.from(typeof value === 'string' ? value : JSON.stringify(value)));
   }
@@ -43,16 +44,16 @@
     this.#write(key, undefined);
   }
 
-  /** Forgets all changes so far. */
+  /** Discards the history of changes, so that older revisions can no longer be followed. */
   forgetHistory(): void {
-    this.#forgottenTo = this.#revision;
+    this.#discardedRevision = this.#revision;
     this.#history = [];
   }
 
-  /** Holds answers to reads of everything back until they are released. */
+  /** Delays the responses to snapshot reads. @returns the function that releases them */
   holdAll(): { release: () => void } {
     let release = (): void => undefined;
-    this.#held = new Promise((resolve) => {
+    this.#snapshotsReleased = new Promise((resolve) => {
       release = resolve;
     });
     return { release };
@@ -65,7 +66,7 @@
         .flatMap(({ key, value, revision }) => (value ? [{ key, value, revision }] : [])),
       revision: this.#revision,
     }));
-    await this.#held;
+    await this.#snapshotsReleased;
     return snapshot;
   }
 
@@ -74,7 +75,8 @@
     afterRevision: number,
     waitMs: number,
   ): Promise<FeedChanges> {
-    if (afterRevision < this.#forgottenTo) throw new HistoryLostError('Cannot follow: forgotten');
+    if (afterRevision < this.#discardedRevision)
+      throw new HistoryLostError('Cannot follow: forgotten');
     await this.#read(() => undefined);
     if (this.#listChanges(prefix, afterRevision).length === 0) await this.#wait(waitMs);
     return this.#read(() => ({
@@ -89,7 +91,7 @@
     if (value) this.#items.set(key, change);
     else this.#items.delete(key);
     this.#history.push(change);
-    [...this.#waiting].forEach((wake) => wake());
+    [...this.#waiters].forEach((wake) => wake());
   }
 
   #listChanges(prefix: string, after: number): FeedChange[] {
@@ -106,11 +108,11 @@
   #wait(waitMs: number): Promise<void> {
     return new Promise((resolve) => {
       const wake = (): void => {
-        this.#waiting.delete(wake);
+        this.#waiters.delete(wake);
         resolve();
       };
       this.#clock.setTimer(waitMs, wake);
-      this.#waiting.add(wake);
+      this.#waiters.add(wake);
     });
   }
 }
--- a/test/support/fake_peer_network.ts
+++ b/test/support/fake_peer_network.ts
@@ -1,10 +1,10 @@
 /**
- * Links between entry hosts within one process, for tests:
+ * Links between entry hosts in one process, for tests:
  * `const hub = new FakePeerHub(); const a = new FakePeerNetwork(hub, identityA);`
  *
- * Every two networks of one hub are linked until the hub is told otherwise; with
- * `isDialled`, only once one of them has the other among its addresses.
- * Messages arrive asynchronously (in microtasks, no time passes) and in order.
+ * All networks of a hub are linked with each other unless a test cuts a link; with `isDialled`,
+ * two networks are linked once one of them has the URL of the other among its addresses.
+ * Messages arrive asynchronously (in microtasks, without time passing) and in order.
  *
  * @module
  */
@@ -17,12 +17,12 @@
 } from '../../src/ports/mod.js';
 import type { EntryHostIdentity } from '../../src/domain/membership/types.js';
 
-/** How a link between two entry hosts behaves. */
+/** State of a link between two entry hosts. */
 enum LinkState {
   Up = 'up',
-  /** Both ends know that it is gone. */
+  /** The link is down, and both ends know it. */
   Cut = 'cut',
-  /** Neither end is told; what is sent vanishes. */
+  /** Messages are lost, and neither end knows it. */
   Silent = 'silent',
 }
 
@@ -30,7 +30,7 @@
   return a < b ? `${a}|${b}` : `${b}|${a}`;
 }
 
-/** The medium between fake networks. Entry hosts are named by their ID. */
+/** Connects fake networks and controls the links between them. Hosts are named by their ID. */
 export class FakePeerHub {
   readonly networks = new Set<FakePeerNetwork>();
 
@@ -39,55 +39,55 @@
 
   readonly #links = new Map<string, LinkState>();
 
-  /** Who is linked with whom in a hub where links are dialled. */
+  /** Linked networks of each network, in a hub whose links are dialled. */
   readonly #partners = new Map<FakePeerNetwork, Set<FakePeerNetwork>>();
 
-  /** @param isDialled - whether only those are linked that have dialled each other */
+  /** @param isDialled - whether networks are linked only after one has dialled the other */
   constructor(readonly isDialled = false) {}
 
-  /** Links two networks, and tells both. */
-  make(one: FakePeerNetwork, other: FakePeerNetwork): void {
+  /** Links two networks and notifies both. */
+  link(one: FakePeerNetwork, other: FakePeerNetwork): void {
     if (!this.isDialled || this.listPartners(one).has(other)) return;
-    this.#takePartners(one).add(other);
-    this.#takePartners(other).add(one);
+    this.#getPartners(one).add(other);
+    this.#getPartners(other).add(one);
     one.notifyLink({ peer: other.identity, up: true });
     other.notifyLink({ peer: one.identity, up: true });
   }
 
-  /** Takes a link away, unless one of both still wants it. */
-  unmake(one: FakePeerNetwork, other: FakePeerNetwork): void {
+  /** Removes the link of two networks, unless one still has the other among its addresses. */
+  unlink(one: FakePeerNetwork, other: FakePeerNetwork): void {
     const isWanted =
       one.addresses.includes(other.identity.peerUrl) ||
       other.addresses.includes(one.identity.peerUrl);
     if (!this.isDialled || isWanted) return;
-    this.#takePartners(one).delete(other);
-    this.#takePartners(other).delete(one);
+    this.#getPartners(one).delete(other);
+    this.#getPartners(other).delete(one);
     one.notifyLink({ peer: other.identity, up: false });
     other.notifyLink({ peer: one.identity, up: false });
   }
 
-  /** @returns networks that may be linked with one, itself perhaps among them */
+  /** @returns the networks that may be linked with one; the result may include that one */
   listPartners(one: FakePeerNetwork): ReadonlySet<FakePeerNetwork> {
-    return this.isDialled ? this.#takePartners(one) : this.networks;
+    return this.isDialled ? this.#getPartners(one) : this.networks;
   }
 
-  #takePartners(one: FakePeerNetwork): Set<FakePeerNetwork> {
+  #getPartners(one: FakePeerNetwork): Set<FakePeerNetwork> {
     const partners = this.#partners.get(one) ?? new Set();
     this.#partners.set(one, partners);
     return partners;
   }
 
-  /** Cuts the link between two entry hosts; both ends notice. */
+  /** Cuts the link between two entry hosts; both ends are notified. */
   cut(a: string, b: string): void {
     this.#setLink(a, b, LinkState.Cut);
   }
 
-  /** Lets the link fall silent: sends succeed, nothing arrives, nobody is told. */
+  /** Silences a link: sends succeed, but no message arrives and neither end is notified. */
   silence(a: string, b: string): void {
     this.#setLink(a, b, LinkState.Silent);
   }
 
-  /** Puts the link back; both ends notice if they had noticed the cut. */
+  /** Restores a link; both ends are notified if they had been notified of the cut. */
   heal(a: string, b: string): void {
     this.#setLink(a, b, LinkState.Up);
   }
@@ -97,7 +97,7 @@
     sideA.forEach((a) => sideB.forEach((b) => this.cut(a, b)));
   }
 
-  /** Puts every link back. */
+  /** Restores all links. */
   healAll(): void {
     [...this.#links.keys()].forEach((pair) => {
       const [a, b] = pair.split('|') as [string, string];
@@ -105,12 +105,12 @@
     });
   }
 
-  /** @returns whether the two ends believe in their link */
+  /** @returns whether both ends consider the link as up */
   isLinked(a: string, b: string): boolean {
     return this.#getLink(a, b) !== LinkState.Cut;
   }
 
-  /** @returns whether what is sent arrives */
+  /** @returns whether messages on the link arrive */
   isOpen(a: string, b: string): boolean {
     return this.#getLink(a, b) === LinkState.Up;
   }
@@ -133,18 +133,18 @@
   }
 }
 
-/** One entry host's end of a {@link FakePeerHub}. */
+/** The peer network of one entry host, connected to a {@link FakePeerHub}. */
 export class FakePeerNetwork extends PeerNetwork {
-  /** Messages that this end sent, whether or not they arrived. */
+  /** Messages that this host sent, whether or not they arrived. */
   readonly sent: PeerMessage[] = [];
 
-  /** Incarnations whose link was asked to be replaced. */
+  /** Incarnations of peers for which a replacement of the link was requested. */
   readonly replaced: string[] = [];
 
-  /** Incarnations whose link was given up. */
+  /** Incarnations of peers whose link was dropped. */
   readonly dropped: string[] = [];
 
-  /** The last addresses that were set. */
+  /** Peer URLs that were set last. */
   addresses: readonly string[] = [];
 
   readonly #handlers = new Map<PeerMessageType, (from: never, message: never) => void>();
@@ -152,8 +152,8 @@
   readonly #linkHandlers: ((event: LinkEvent) => void)[] = [];
 
   /**
-   * @param hub - the medium that links it to others
-   * @param identity - whose end it is
+   * @param hub - hub that connects the network to others
+   * @param identity - identity of the entry host
    */
   constructor(
     readonly hub: FakePeerHub,
@@ -171,7 +171,7 @@
   override setAddresses(peerUrls: readonly string[]): void {
     this.addresses = peerUrls;
     this.hub.networks.forEach((other) => {
-      if (other !== this && peerUrls.includes(other.identity.peerUrl)) this.hub.make(this, other);
+      if (other !== this && peerUrls.includes(other.identity.peerUrl)) this.hub.link(this, other);
     });
   }
 
@@ -179,7 +179,7 @@
     const target = this.#findLinked(incarnation);
     if (!target) return false;
     this.sent.push(message);
-    // A copy, so that no two entry hosts ever share an object.
+    // The message is copied so that entry hosts never share an object.
     const copy = structuredClone(message);
     queueMicrotask(() => target.receive(this, copy));
     return true;
@@ -205,7 +205,7 @@
   override dropLink(incarnation: string): void {
     this.dropped.push(incarnation);
     const other = this.#findLinked(incarnation);
-    if (other) this.hub.unmake(this, other);
+    if (other) this.hub.unlink(this, other);
   }
 
   override close(): Promise<void> {
@@ -218,16 +218,16 @@
     return Promise.resolve();
   }
 
-  /** Tells this end of a link; used by the hub. */
+  /** Notifies this host that a link is up or down; called by the hub. */
   notifyLink(event: LinkEvent): void {
     queueMicrotask(() => this.#linkHandlers.forEach((handler) => handler(event)));
   }
 
-  /** Takes one message in; used by the other end. */
+  /** Receives a message; called by the sending network. */
   receive(from: FakePeerNetwork, message: PeerMessage): void {
     const { hub, identity } = this;
-    const isThere = hub.networks.has(this) && hub.networks.has(from);
-    if (!isThere || !hub.isOpen(from.identity.id, identity.id)) return;
+    const isConnected = hub.networks.has(this) && hub.networks.has(from);
+    if (!isConnected || !hub.isOpen(from.identity.id, identity.id)) return;
     hub.delivered.push({ from: from.identity.id, to: identity.id, message });
     const handler = this.#handlers.get(message.type);
     handler?.(from.identity as never, message as never);
@@ -250,8 +250,8 @@
 /**
  * Builds an identity for tests.
  *
- * @param id - the entry host's name
- * @param incarnation - by default derived from the name
+ * @param id - ID of the entry host
+ * @param incarnation - incarnation; by default derived from the ID
  * @returns the identity
  */
 export function buildIdentity(id: string, incarnation = `${id}-1`): EntryHostIdentity {
--- a/test/support/fake_platform.ts
+++ b/test/support/fake_platform.ts
@@ -1,5 +1,5 @@
 /**
- * A platform service within one process, for tests:
+ * A fake platform service in one process, for tests:
  * `const service = new FakePlatform(clock); const reader = service.createReader();`
  *
  * @module
@@ -13,12 +13,12 @@
 export class FakePlatformReader extends PlatformReader {
   #isCut = false;
 
-  /** @param service - what it reads */
+  /** @param service - the service to read */
   constructor(readonly service: FakePlatform) {
     super();
   }
 
-  /** Cuts this reader alone off, or lets it through again. */
+  /** Cuts off only this reader from the service, or reconnects it. */
   setCut(isCut: boolean): void {
     this.#isCut = isCut;
     this.service.notify();
@@ -41,33 +41,33 @@
   }
 }
 
-/** The service that several readers share. */
+/** A platform service that several readers share. */
 export class FakePlatform {
-  /** Reads so far, waiting ones included. */
+  /** Number of reads so far, including those that still wait. */
   readCount = 0;
 
   isDown = false;
 
   #history: PlatformSnapshot[] = [EMPTY_SNAPSHOT];
 
-  #frozen: PlatformSnapshot | undefined;
+  #staleSnapshot: PlatformSnapshot | undefined;
 
-  readonly #waiting = new Set<() => void>();
+  readonly #waiters = new Set<() => void>();
 
-  /** @param clock - times the waits */
+  /** @param clock - clock for the timeouts of waiting reads */
   constructor(readonly clock: Clock) {}
 
-  /** What it answers now. */
+  /** State that reads currently return. */
   get snapshot(): PlatformSnapshot {
-    return this.#frozen ?? this.#history.at(-1) ?? EMPTY_SNAPSHOT;
+    return this.#staleSnapshot ?? this.#history.at(-1) ?? EMPTY_SNAPSHOT;
   }
 
   /**
-   * Writes a key as an operator would.
+   * Writes a key, as an operator does.
    *
-   * @param key - which key
-   * @param value - its text; undefined deletes it
-   * @returns the index of the write
+   * @param key - the key
+   * @param value - text of the value; undefined deletes the key
+   * @returns index of the write
    */
   publish(key: string, value: string | undefined): number {
     const last = this.#history.at(-1) ?? EMPTY_SNAPSHOT;
@@ -80,59 +80,59 @@
     return index;
   }
 
-  /** Puts an older state back, as from a backup: later indices are counted again. */
+  /** Restores an older state, as from a backup; later writes reuse the indexes after it. */
   restore(index: number): void {
     this.#history = this.#history.filter((snapshot) => snapshot.index <= index);
     this.notify();
   }
 
   /**
-   * Goes stale: answers an older state until {@link FakePlatform.thaw}.
+   * Makes the service stale: reads return an older state until {@link FakePlatform.thaw}.
    *
-   * @param index - which state; by default that of this moment
+   * @param index - index of the state; by default the current one
    */
   freeze(index = this.snapshot.index): void {
-    this.#frozen = this.#history.findLast((snapshot) => snapshot.index <= index);
+    this.#staleSnapshot = this.#history.findLast((snapshot) => snapshot.index <= index);
   }
 
-  /** Answers the newest state again. */
+  /** Ends the staleness: reads return the newest state again. */
   thaw(): void {
-    this.#frozen = undefined;
+    this.#staleSnapshot = undefined;
     this.notify();
   }
 
-  /** Takes the service down, or brings it back. */
+  /** Sets whether the service is down, so that reads fail. */
   setDown(isDown: boolean): void {
     this.isDown = isDown;
     this.notify();
   }
 
-  /** @returns a reader of its own connection */
+  /** @returns a new reader, which can be cut off independently of others */
   createReader(): FakePlatformReader {
     return new FakePlatformReader(this);
   }
 
-  /** Lets waiting reads look again. */
+  /** Makes waiting reads check again whether they are done. */
   notify(): void {
-    [...this.#waiting].forEach((look) => look());
+    [...this.#waiters].forEach((look) => look());
   }
 
   /**
-   * Waits for something to happen, or for a time to pass.
+   * Waits until a condition holds or a time has passed.
    *
    * @param waitMs - longest wait in milliseconds
-   * @param isDone - asked after each change
+   * @param isDone - the condition, checked after each notification
    */
   wait(waitMs: number, isDone: () => boolean): Promise<void> {
     return new Promise((resolve) => {
       const timer = this.clock.setTimer(waitMs, resolve);
-      const look = (): void => {
+      const check = (): void => {
         if (!isDone()) return;
         timer.cancel();
-        this.#waiting.delete(look);
+        this.#waiters.delete(check);
         resolve();
       };
-      this.#waiting.add(look);
+      this.#waiters.add(check);
     });
   }
 }
--- a/test/support/fake_views.ts
+++ b/test/support/fake_views.ts
@@ -1,5 +1,5 @@
 /**
- * Fakes of the configuration and the membership for tests of the dispatcher.
+ * Fakes of the configuration view and the membership view for tests of the dispatcher.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import type { EntryHostIdentity, EntryHostView } from '../../src/domain/membership/mod.js';
 import { ConfigurationView, MembershipView } from '../../src/application/views/mod.js';
 
-/** The only service of the fixture. */
+/** ID of the only service. */
 export const SERVICE_ID = 'monsoon-llm';
 
-/** Builds a service with backend servers `engine-1` and so on. */
+/** Builds a service with a number of backend servers, named `engine-1`, `engine-2`, and so on. */
 export function buildService(serverCount: number, dispatchGroupSize = 16): Service {
   const backendServers = Array.from({ length: serverCount }, (_, index): BackendServer => ({
     id: `engine-${index + 1}`,
@@ -32,7 +32,7 @@
   };
 }
 
-/** A configuration with one service. */
+/** A configuration view with one service. */
 export class FakeConfiguration extends ConfigurationView {
   readonly engineKind: EngineKind;
 
@@ -51,7 +51,7 @@
     };
   }
 
-  /** Puts another service in force. */
+  /** Replaces the service and notifies the listeners. */
   put(service: Service): void {
     this.service = service;
     this.#handlers.forEach((handler) => handler());
@@ -84,7 +84,7 @@
   }
 }
 
-/** What one entry host believes, as the test sets it. */
+/** The membership view of one entry host, whose peer states a test sets. */
 export class FakeMembership extends MembershipView {
   readonly states = new Map<string, PeerState>();
 
@@ -101,7 +101,7 @@
     super();
   }
 
-  /** Tells the listeners that something changed. */
+  /** Notifies the listeners of a change. */
   notify(): void {
     this.#handlers.forEach((handler) => handler());
   }
--- a/test/support/fakes.ts
+++ b/test/support/fakes.ts
@@ -1,5 +1,5 @@
 /**
- * Small fakes of the ports for tests.
+ * Fakes of the log, random source, metrics and tracer ports for tests.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { Hop, LogFields, MetricLabels, Span } from '../../src/ports/mod.js';
 import type { LogLevel } from '../../src/domain/errors/mod.js';
 
-/** Keeps what was logged. */
+/** An event log that records its lines. */
 export class FakeLog extends EventLog {
   readonly lines: { level: LogLevel; event: string; fields: LogFields }[] = [];
 
@@ -15,13 +15,13 @@
     this.lines.push({ level, event, fields });
   }
 
-  /** @returns the fields of all lines of one event */
+  /** @returns the fields of all lines with a given event name */
   list(event: string): LogFields[] {
     return this.lines.filter((line) => line.event === event).map(({ fields }) => fields);
   }
 }
 
-/** A seeded generator (mulberry32). */
+/** A seeded pseudorandom generator (mulberry32). */
 export class SeededRandom extends RandomSource {
   #state: number;
 
@@ -42,7 +42,7 @@
   }
 }
 
-/** Keeps counts and recorded values. */
+/** Metrics that record counts and values. */
 export class FakeMetrics extends Metrics {
   readonly counts = new Map<string, number>();
 
@@ -62,7 +62,7 @@
   }
 }
 
-/** Keeps the names of the hops that ended. */
+/** A tracer that records the hops of ended spans. */
 export class FakeTracer extends Tracer {
   readonly hops: Hop[] = [];
 
--- a/test/support/fleet_fixture.ts
+++ b/test/support/fleet_fixture.ts
@@ -1,5 +1,5 @@
 /**
- * Several entry hosts in one process for tests of the dispatcher.
+ * Several entry hosts in one process, for tests of the dispatcher.
  *
  * @module
  */
@@ -17,8 +17,8 @@
 import { buildService, FakeConfiguration, FakeMembership, SERVICE_ID } from './fake_views.js';
 import { DispatcherService, SlotClient } from '../../src/application/dispatcher/mod.js';
 
-/** Backend servers that only report. */
-export class FakeReports extends BackendServerClient {
+/** A backend client that serves configured load reports and cache events, but runs no calls. */
+export class FakeReportClient extends BackendServerClient {
   readonly loads = new Map<string, BackendLoad>();
 
   readonly events = new Map<string, readonly CacheEvent[]>();
@@ -50,7 +50,7 @@
     (this.events.get(id) ?? []).filter(({ sequence }) => sequence > after);
 }
 
-/** One entry host of the fixture. */
+/** The dispatcher and the slot client of one entry host, with their collaborators. */
 export interface FixtureHost {
   readonly identity: EntryHostIdentity;
   readonly membership: FakeMembership;
@@ -59,43 +59,43 @@
   readonly slots: SlotClient;
 }
 
-/** At least two hosts. */
-export type HostsInOrder = readonly [FixtureHost, FixtureHost, ...FixtureHost[]];
+/** An ordered list of at least two hosts. */
+export type OrderedHosts = readonly [FixtureHost, FixtureHost, ...FixtureHost[]];
 
-/** Follows a promise without waiting for it. */
+/** Records the result of a promise. @returns an object that holds the result once it is settled */
 export function watch<T>(promise: Promise<T>): { value?: T; error?: unknown } {
-  const seen: { value?: T; error?: unknown } = {};
+  const result: { value?: T; error?: unknown } = {};
   promise.then(
     (value) => {
-      seen.value = value;
+      result.value = value;
     },
     (error: unknown) => {
-      seen.error = error;
+      result.error = error;
     },
   );
-  return seen;
+  return result;
 }
 
-/** What a fixture is made of. */
+/** Options of {@link DispatchFleet}. */
 export interface FixtureOptions {
   readonly hostIds?: readonly string[];
   readonly service?: Service;
-  /** Slots of each backend server. */
+  /** Number of slots of each backend server. */
   readonly slots?: number;
   readonly strategy?: SchedulingStrategy;
 }
 
-/** Entry hosts that share a clock, a configuration and a hub. */
+/** Entry hosts that share a clock, a configuration and a peer hub. */
 export class DispatchFleet {
   readonly clock = new VirtualClock();
 
   readonly hub = new FakePeerHub();
 
-  readonly backend = new FakeReports();
+  readonly backend = new FakeReportClient();
 
   readonly configuration: FakeConfiguration;
 
-  readonly hosts: HostsInOrder;
+  readonly hosts: OrderedHosts;
 
   readonly metrics = new FakeMetrics();
 
@@ -109,25 +109,25 @@
       options.strategy ?? createStrategy(StrategyName.Dispatcher, { reserveFraction: 0 });
     this.hosts = identities.map((identity) =>
       this.#startHost(identity, identities, strategy),
-    ) as unknown as HostsInOrder;
+    ) as unknown as OrderedHosts;
   }
 
-  /** @returns the host that is responsible for a group when everybody lives, then the others */
-  sortHosts(groupId = `${SERVICE_ID}/0`): HostsInOrder {
-    const left = [...this.hosts];
+  /** @returns the hosts in the order in which they become responsible for a group as hosts fail */
+  sortHosts(groupId = `${SERVICE_ID}/0`): OrderedHosts {
+    const remaining = [...this.hosts];
     const sorted: FixtureHost[] = [];
-    while (left.length > 0) {
+    while (remaining.length > 0) {
       const picked = pickByRendezvous(
         groupId,
-        left.map(({ identity }) => identity.incarnation),
+        remaining.map(({ identity }) => identity.incarnation),
       );
-      const index = left.findIndex(({ identity }) => identity.incarnation === picked);
-      sorted.push(...left.splice(index, 1));
+      const index = remaining.findIndex(({ identity }) => identity.incarnation === picked);
+      sorted.push(...remaining.splice(index, 1));
     }
-    return sorted as unknown as HostsInOrder;
+    return sorted as unknown as OrderedHosts;
   }
 
-  /** Lets every other host believe that one is in a state. */
+  /** Sets the state of a host in the membership views of all other hosts. */
   setState(host: FixtureHost, state: PeerState): void {
     this.hosts
       .filter((other) => other !== host)
@@ -137,13 +137,13 @@
       });
   }
 
-  /** Ends a host as SIGKILL would: its links go, its timers fire no more. */
+  /** Stops a host as SIGKILL does: its links close, and its timers no longer fire. */
   kill(host: FixtureHost): void {
     host.dispatcher.stop();
     host.peers.close().catch(() => undefined);
   }
 
-  /** Builds a wish that can wait for a minute. */
+  /** Builds a slot request with a deadline one minute ahead. */
   buildWish(changes: Partial<SlotWish> = {}): SlotWish {
     return {
       requestId: 'request-1',
--- a/test/support/frozen_host.ts
+++ b/test/support/frozen_host.ts
@@ -1,6 +1,6 @@
 /**
- * A process that can be frozen and killed, for tests in one process: what
- * would reach it waits while it is frozen, and is lost once it is dead.
+ * Simulates processes that can be frozen and killed, for tests in one process: the actions of a
+ * frozen process are deferred, and those of a killed process are dropped.
  *
  * @module
  */
@@ -8,57 +8,57 @@
 import type { Timer } from '../../src/ports/mod.js';
 import type { VirtualClock } from './virtual_clock.js';
 
-/** Holds back everything that a frozen process would not have done. */
+/** Defers the actions of a process while it is frozen, and drops them once it is killed. */
 export class ProcessGate {
   #isFrozen = false;
 
   #isDead = false;
 
-  #held: (() => void)[] = [];
+  #deferred: (() => void)[] = [];
 
-  /** Whether it was frozen since it was last asked; asking resets it. */
-  takeWasFrozen = false;
+  /** Whether the process was frozen since a reader last reset this flag. */
+  hasBeenFrozen = false;
 
-  /** Whether it was killed. */
+  /** Whether the process was killed. */
   get isDead(): boolean {
     return this.#isDead;
   }
 
-  /** Freezes it, as SIGSTOP does. */
+  /** Freezes the process, as SIGSTOP does. */
   freeze(): void {
     this.#isFrozen = true;
   }
 
-  /** Wakes it, as SIGCONT does: everything held back happens now, late. */
+  /** Resumes the process, as SIGCONT does, and runs all deferred actions. */
   thaw(): void {
     if (!this.#isFrozen) return;
     this.#isFrozen = false;
-    this.takeWasFrozen = true;
-    this.#held.splice(0).forEach((action) => action());
+    this.hasBeenFrozen = true;
+    this.#deferred.splice(0).forEach((action) => action());
   }
 
-  /** Kills it: nothing of it happens any more. */
+  /** Kills the process: its deferred and later actions never run. */
   kill(): void {
     this.#isDead = true;
-    this.#held = [];
+    this.#deferred = [];
   }
 
-  /** Does something in the process, now or when it wakes. */
+  /** Runs an action in the process, now or when the process resumes. */
   run(action: () => void): void {
     if (this.#isDead) return;
-    if (this.#isFrozen) this.#held.push(action);
+    if (this.#isFrozen) this.#deferred.push(action);
     else action();
   }
 
-  /** @returns when the process runs; never once it is dead */
-  pass(): Promise<void> {
+  /** Waits until the process is not frozen; the promise never resolves once it is killed. */
+  waitUntilRunning(): Promise<void> {
     return new Promise((resolve) => {
       this.run(resolve);
     });
   }
 }
 
-/** The clock of a process behind a gate: time goes on, timers fire when it wakes. */
+/** The clock of a process: time passes while it is frozen, but timers fire when it resumes. */
 export class GatedClock extends Clock {
   constructor(
     readonly base: VirtualClock,
--- a/test/support/group_fixture.ts
+++ b/test/support/group_fixture.ts
@@ -1,5 +1,5 @@
 /**
- * Groups and demands for tests of the scheduling.
+ * Builders of dispatch groups and slot demands for tests of the scheduling.
  *
  * @module
  */
@@ -18,7 +18,7 @@
   SlotResult,
 } from '../../src/domain/scheduling/mod.js';
 
-/** A short answer, as the engine kind promises it. */
+/** The result of a healthy server for a short response. */
 export const ANSWERED: SlotResult = {
   verdict: ServerVerdict.Healthy,
   firstByteMs: 50,
@@ -26,7 +26,7 @@
   outputTokens: 20,
 };
 
-/** Builds backend servers of rising speed. */
+/** Builds backend servers whose decode speed rises with their index. */
 export function buildSpecs(
   count: number,
   slots: number,
@@ -41,7 +41,7 @@
   }));
 }
 
-/** Builds a demand of the standard tier with a minute left. */
+/** Builds a demand of the standard tier whose deadline is one minute after time 0. */
 export function buildDemand(key: string, changes: Partial<SlotDemand> = {}): SlotDemand {
   return {
     key,
@@ -58,7 +58,7 @@
   };
 }
 
-/** Creates a group at time 0 with seeded random numbers. */
+/** Creates a dispatch group at time 0 with seeded random numbers. */
 export function createGroup(
   specs: readonly ServerSpec[],
   strategy: SchedulingStrategy = createStrategy(StrategyName.Dispatcher),
--- a/test/support/owner_hosts.ts
+++ b/test/support/owner_hosts.ts
@@ -1,6 +1,6 @@
 /**
- * Several entry hosts' requests in one process, on one virtual clock: real
- * owners, ledgers, forwarding and gateways over small fakes of the rest.
+ * Several entry hosts that handle requests in one process, on one virtual clock: real owners,
+ * ledgers, forwarding and gateways, over fakes of all other components.
  *
  * @module
  */
@@ -37,13 +37,13 @@
 import type { VirtualClock } from './virtual_clock.js';
 
 const CLUSTER_KEY = Buffer.alloc(32, 3);
-/** Most requests that an owner of these tests remembers. */
+/** Maximum number of request records that an owner keeps. */
 export const MAX_RECORDS = 40;
 const GRANT_VALID_MS = 2000;
-const WAKE_REFRESH_MS = 50;
+const REFRESH_DELAY_MS = 50;
 export const REQUEST_ID_LIFETIME_MS = 5000;
 
-/** Where the one backend server listens. */
+/** Address of the only backend server. */
 export const SERVER_ADDRESS = 'server-1.test:80';
 
 const SERVER: BackendServer = {
@@ -77,7 +77,7 @@
   };
 }
 
-/** The one account of these hosts: notices must not be repeated, lookups may be. */
+/** The only client account: its `notice` calls must not be repeated, its `lookup` calls may be. */
 export const ACCOUNT: AccountContract = {
   accountId: 'franchise-a',
   keyHashes: [],
@@ -87,7 +87,7 @@
   work: [buildWork('notice', false), buildWork('lookup', true)],
 };
 
-/** A configuration with one service and {@link ACCOUNT}. */
+/** A configuration view with one service and {@link ACCOUNT}. */
 export class FixedConfiguration extends ConfigurationView {
   override getStatus(): ConfigurationStatus {
     throw new Error('not used');
@@ -113,21 +113,21 @@
   override onChange = (): void => undefined;
 }
 
-/** Knows all incarnations that were ever started; the newest of each ID is live. */
+/** A membership view in which the newest incarnation of each entry host is live. */
 class FixedMembership extends MembershipView {
   constructor(
     readonly self: EntryHostIdentity,
-    readonly everyHost: readonly OwnerHost[],
+    readonly allHosts: readonly OwnerHost[],
     readonly clock: VirtualClock,
     readonly gate: ProcessGate,
   ) {
     super();
   }
 
-  #freshAtMs = 0;
+  #freshFromMs = 0;
 
   override listEntryHosts(): readonly EntryHostView[] {
-    const newest = new Map(this.everyHost.map((host) => [host.identity.id, host.identity]));
+    const newest = new Map(this.allHosts.map((host) => [host.identity.id, host.identity]));
     return [...newest.values()].map((identity) => ({
       identity,
       state: PeerState.Live,
@@ -148,13 +148,13 @@
 
   override isBackendServerLeaving = (): boolean => false;
 
-  /** After a freeze it takes a while until a peer has answered. */
+  /** Returns false for a while after a freeze, until a peer would have answered. */
   override isFresh(): boolean {
-    if (this.gate.takeWasFrozen) {
-      this.gate.takeWasFrozen = false;
-      this.#freshAtMs = this.clock.nowMs() + WAKE_REFRESH_MS;
+    if (this.gate.hasBeenFrozen) {
+      this.gate.hasBeenFrozen = false;
+      this.#freshFromMs = this.clock.nowMs() + REFRESH_DELAY_MS;
     }
-    return this.clock.nowMs() >= this.#freshAtMs;
+    return this.clock.nowMs() >= this.#freshFromMs;
   }
 
   override isStopping = (): boolean => false;
@@ -177,8 +177,8 @@
   readonly #forwardServer: ForwardServer;
 
   /**
-   * @param identity - who it is
-   * @param world - what all hosts share
+   * @param identity - identity of the incarnation
+   * @param world - objects that all hosts share
    */
   constructor(
     readonly identity: EntryHostIdentity,
@@ -199,7 +199,7 @@
       membership: new FixedMembership(identity, world.hosts, world.clock, this.gate),
       backend: new FakeBackendClient(world.backend, this.gate),
       allowances: { admit: () => ({ release: () => undefined }) },
-      slots: { acquire: (wish: SlotWish) => grantSlot(clock, wish) },
+      slots: { acquire: (slotRequest: SlotWish) => grantSlot(clock, slotRequest) },
     };
     this.crashes = new CrashKeeper({
       ...shared,
@@ -227,7 +227,7 @@
     const forwarded = new ForwardedCalls({ ...shared, issuer, calls, owner: this.owner });
     this.#forwardServer = new ForwardServer({
       peers: this.network,
-      handler: (call, callerGone) => forwarded.handle(call, callerGone),
+      handler: (call, disconnectSignal) => forwarded.handle(call, disconnectSignal),
     });
     const forwardClient = new ForwardClient(shared);
     this.gateway = new CallerGateway({
@@ -239,7 +239,7 @@
     });
   }
 
-  /** Joins the others. */
+  /** Starts the host and adds it to the others. */
   start(): void {
     this.world.hosts.push(this);
     this.#forwardServer.start();
@@ -247,7 +247,7 @@
     this.crashes.start();
   }
 
-  /** Kills it, as SIGKILL does; peers see its links go. */
+  /** Kills the host, as SIGKILL does; its peers see that their links close. */
   kill(): void {
     this.gate.kill();
     this.owner.stop();
@@ -256,22 +256,22 @@
   }
 }
 
-/** What all hosts of a test share. */
+/** Objects that all hosts of a test share. */
 export interface OwnerWorld {
   readonly clock: VirtualClock;
   readonly hub: FakePeerHub;
   readonly backend: FakeBackend;
-  /** By default every address accepts connections. */
+  /** Probe of backend servers; by default every address accepts connections. */
   readonly probe?: FakeProbe;
-  /** Every incarnation, oldest first. */
+  /** All incarnations that were started, oldest first. */
   readonly hosts: OwnerHost[];
 }
 
-async function grantSlot(clock: GatedClock, wish: SlotWish): Promise<Slot> {
+async function grantSlot(clock: GatedClock, slotRequest: SlotWish): Promise<Slot> {
   await new Promise<void>((resolve) => {
     clock.setTimer(1, resolve);
   });
-  if (wish.signal.aborted) throw new SchedulerError(ErrorKind.Cancelled);
+  if (slotRequest.signal.aborted) throw new SchedulerError(ErrorKind.Cancelled);
   return {
     backendServer: SERVER,
     validUntilMs: clock.nowMs() + GRANT_VALID_MS,
--- a/test/support/report_host.ts
+++ b/test/support/report_host.ts
@@ -1,5 +1,5 @@
 /**
- * One entry host that reports to its peers, over fakes.
+ * One entry host that exchanges reports with its peers, over fakes.
  *
  * @module
  */
@@ -11,13 +11,13 @@
 import { FakeLog } from './fakes.js';
 import type { VirtualClock } from './virtual_clock.js';
 
-/** What a host may be told. */
+/** Options of a {@link ReportHost}. */
 export interface ReportHostOptions {
   readonly seeds?: readonly string[];
   readonly cores?: number;
 }
 
-/** Reports one request in flight, and adds up what it hears of others. */
+/** Reports one request in flight, and sums the requests that peers report. */
 export class ReportHost {
   readonly network: FakePeerNetwork;
 
@@ -31,7 +31,7 @@
 
   isServing = true;
 
-  readonly #heard = new Map<string, number>();
+  readonly #reportedInFlight = new Map<string, number>();
 
   constructor(
     hub: FakePeerHub,
@@ -50,12 +50,12 @@
       getState: () => ({ isServing: this.isServing, isInTouch: true, isLeaving: false }),
       buildFigures: ({ incarnations }) => ({
         ...NO_FIGURES,
-        inFlight: { engine: 1 + this.#sum(incarnations) },
+        inFlight: { engine: 1 + this.#sumInFlight(incarnations) },
       }),
       onReport: (counted) => this.#handleReport(counted),
       onSilent: ({ incarnation }) => {
         this.silent.push(incarnation);
-        this.#heard.delete(incarnation);
+        this.#reportedInFlight.delete(incarnation);
       },
       onReach: (reach) => {
         this.reach = reach;
@@ -63,9 +63,9 @@
     });
   }
 
-  /** Requests in flight at all entry hosts, as this one believes. */
+  /** Number of requests in flight at all entry hosts, as far as this one knows. */
   get inFlight(): number {
-    return 1 + this.#sum([...this.#heard.keys()]);
+    return 1 + this.#sumInFlight([...this.#reportedInFlight.keys()]);
   }
 
   listServing(): string[] {
@@ -76,10 +76,13 @@
   }
 
   #handleReport({ identity, report }: CountedReport): void {
-    this.#heard.set(identity.incarnation, report.inFlight.engine ?? 0);
+    this.#reportedInFlight.set(identity.incarnation, report.inFlight.engine ?? 0);
   }
 
-  #sum(incarnations: readonly string[]): number {
-    return incarnations.reduce((sum, incarnation) => sum + (this.#heard.get(incarnation) ?? 0), 0);
+  #sumInFlight(incarnations: readonly string[]): number {
+    return incarnations.reduce(
+      (sum, incarnation) => sum + (this.#reportedInFlight.get(incarnation) ?? 0),
+      0,
+    );
   }
 }
--- a/test/support/server_keepers.ts
+++ b/test/support/server_keepers.ts
@@ -1,5 +1,5 @@
 /**
- * Keepers of backend servers for tests, and what peers report to them.
+ * Builds registries of backend servers for tests, and the reports and reads they receive.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { Clock } from '../../src/ports/mod.js';
 import { FakeLog, FakeMetrics } from './fakes.js';
 
-/** A peer's report of backend servers that says nothing. */
+/** Empty stats of a peer's report about backend servers. */
 export const NO_FIGURES = {
   inFlight: {},
   waitingCalls: {},
@@ -17,10 +17,10 @@
   endedServers: [],
 };
 
-/** Circumstances of a read while nothing is wrong. */
+/** Context of a feed read under normal conditions. */
 export const CALM_CONTEXT = { wasAway: false, ageMs: 0, askedAt: { steadyMs: 0, wallMs: 0 } };
 
-/** @returns a keeper that reads entries as tests write them; text that is no object can't be read */
+/** @returns a server registry that decodes entries as JSON and rejects values that are no object */
 export function createServerKeeper(clock: Clock, hostCount = 3): ServerKeeper {
   const shared = { clock, log: new FakeLog(), metrics: new FakeMetrics() };
   return new ServerKeeper({
@@ -28,7 +28,7 @@
     prefix: 'servers/',
     decode: (_key, value) => {
       const entry = JSON.parse(Buffer.from(value).toString()) as BackendServerEntry;
-      if (typeof entry !== 'object') throw new Error('Cannot read it');
+      if (typeof entry !== 'object') throw new Error('Cannot decode the entry');
       return entry;
     },
     isEngine: () => true,
--- a/test/support/spending.ts
+++ b/test/support/spending.ts
@@ -1,22 +1,22 @@
 /**
- * What client accounts spent, against a bound over any window.
+ * Checks the units that client accounts spent against a bound over any time window.
  *
  * @module
  */
 
-/** Units that were spent at one moment. */
+/** Units that were spent at one time. */
 export interface Spending {
   readonly atMs: number;
   readonly units: number;
 }
 
 /**
- * Looks at every window that begins with a spending.
+ * Checks every window that begins with a spending.
  *
- * @param spent - in order of time
- * @param windowMs - length of a window in milliseconds
- * @param bound - most units in one window
- * @returns whether none has more
+ * @param spent - spendings in order of time
+ * @param windowMs - length of the window in milliseconds
+ * @param bound - maximum number of units in one window
+ * @returns whether no window exceeds the bound
  */
 export function isWithinBound(
   spent: readonly Spending[],
@@ -26,9 +26,9 @@
   return spent.every(({ atMs }, index) => {
     let sum = 0;
     for (let next = index; next < spent.length; next += 1) {
-      const later = spent[next] as Spending;
-      if (later.atMs >= atMs + windowMs) break;
-      sum += later.units;
+      const spending = spent[next] as Spending;
+      if (spending.atMs >= atMs + windowMs) break;
+      sum += spending.units;
     }
     return sum <= bound;
   });
--- a/test/support/virtual_clock.ts
+++ b/test/support/virtual_clock.ts
@@ -1,5 +1,5 @@
 /**
- * A clock that stands still until a test moves it.
+ * A clock whose time passes only when a test advances it.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   readonly callback: () => void;
 }
 
-/** Lets everything that is ready to run do so, without any time passing. */
+/** Lets pending promises and callbacks run, without time passing on a virtual clock. */
 export function settle(): Promise<void> {
   return new Promise((resolve) => {
     let rounds = 20;
@@ -29,7 +29,7 @@
 export class VirtualClock extends Clock {
   #nowMs = 1_000_000;
 
-  #order = 0;
+  #lastOrder = 0;
 
   readonly #timers = new Set<PendingTimer>();
 
@@ -42,8 +42,8 @@
   }
 
   override setTimer(delayMs: number, callback: () => void): Timer {
-    this.#order += 1;
-    const timer = { atMs: this.#nowMs + Math.max(0, delayMs), order: this.#order, callback };
+    this.#lastOrder += 1;
+    const timer = { atMs: this.#nowMs + Math.max(0, delayMs), order: this.#lastOrder, callback };
     this.#timers.add(timer);
     return {
       cancel: () => {
@@ -53,15 +53,14 @@
   }
 
   /**
-   * Moves time, firing each timer at its moment and letting promises settle
-   * between them.
+   * Advances the time, fires each timer at its due time and lets promises settle between timers.
    *
-   * @param byMs - how far, in milliseconds
+   * @param byMs - duration in milliseconds
    */
   async advance(byMs: number): Promise<void> {
     const endMs = this.#nowMs + byMs;
     await settle();
-    for (let timer = this.#nextUntil(endMs); timer; timer = this.#nextUntil(endMs)) {
+    for (let timer = this.#findNextDue(endMs); timer; timer = this.#findNextDue(endMs)) {
       this.#timers.delete(timer);
       this.#nowMs = Math.max(this.#nowMs, timer.atMs);
       timer.callback();
@@ -71,12 +70,12 @@
     await settle();
   }
 
-  /** Jumps over time without firing anything, as a frozen process would. */
+  /** Advances the time without firing timers, as a frozen process experiences it. */
   jump(byMs: number): void {
     this.#nowMs += byMs;
   }
 
-  #nextUntil(endMs: number): PendingTimer | undefined {
+  #findNextDue(endMs: number): PendingTimer | undefined {
     let next: PendingTimer | undefined;
     this.#timers.forEach((timer) => {
       if (timer.atMs > endMs) return;
