--- a/standin/_batch.ts
+++ b/standin/_batch.ts
@@ -36,6 +36,7 @@
   prefillTokensLeft: number;
 }
 
+/** One step: the prefill of a chunk for one sequence and the decoding of others. */
 interface Step {
   readonly prefilling: RunningSequence | undefined;
   readonly chunkTokens: number;
--- a/standin/_run_log.ts
+++ b/standin/_run_log.ts
@@ -31,6 +31,7 @@
   'requestId' | 'account' | 'service' | 'backendServer' | 'method' | 'path'
 >;
 
+/** One line of the file: a run and its position in the log. */
 interface SavedRun {
   readonly number: number;
   readonly record: RunRecord;
--- a/standin/platform.ts
+++ b/standin/platform.ts
@@ -69,6 +69,7 @@
 
   #store = new RevisionStore();
 
+  /** State that reads return under the fault `stale`. */
   #staleStore: RevisionStore | undefined;
 
   #fault = { kind: PlatformFaultKind.None, factor: 1 };
--- a/test/support/allowance_hosts.ts
+++ b/test/support/allowance_hosts.ts
@@ -82,8 +82,10 @@
 
   readonly #random: SeededRandom;
 
+  /** Time at which the link of each pair of entry hosts was cut. */
   readonly #cutSinceMs = new Map<string, number>();
 
+  /** Arrival time of the last message of each link, by sender and receiver. */
   readonly #lastArrivalsMs = new Map<string, number>();
 
   #events: ScheduledEvent[] = [];
--- a/test/support/configuration_hosts.ts
+++ b/test/support/configuration_hosts.ts
@@ -112,6 +112,7 @@
     await Promise.all(stopping);
   }
 
+  /** @returns the weight of firm-a that is in effect at each entry host */
   listWeights(): readonly (number | undefined)[] {
     return [...this.hosts.values()].map(({ keeper }) => keeper.findAccount('firm-a')?.weight);
   }
--- a/test/support/crash_fleet.ts
+++ b/test/support/crash_fleet.ts
@@ -72,6 +72,7 @@
   /** Incarnation ID of each server; undefined while the server is down. */
   readonly #incarnations = new Map<string, string | undefined>();
 
+  /** ID of the server that runs each request. */
   readonly #running = new Map<FakeExchange, string>();
 
   #incarnationCount = 0;
--- a/test/support/crash_line.ts
+++ b/test/support/crash_line.ts
@@ -60,6 +60,7 @@
 
   readonly hub = new FakePeerHub();
 
+  /** Reachability of the crashed servers by address. */
   readonly ended = new Map<string, Reachability>();
 
   readonly keepers: CrashKeeper[] = [];
@@ -116,6 +117,7 @@
     return this.keepers[index]?.findRefusal(contentId)?.kind === ErrorKind.RequestHeld;
   }
 
+  /** @returns all messages with crash notes that were delivered, in order */
   listMessages(): CrashUpdateMessage[] {
     return this.hub.delivered.flatMap(({ message }) =>
       message.type === PeerMessageType.CrashUpdate ? message : [],
--- a/test/support/direct_ends.ts
+++ b/test/support/direct_ends.ts
@@ -84,6 +84,7 @@
 
 /** A server probe with a configurable result per address; other addresses are open. */
 export class FakeProbe extends ServerProbe {
+  /** Addresses that were checked, in order. */
   readonly asked: string[] = [];
 
   /** Whether every address counts as refusing connections. */
@@ -113,6 +114,7 @@
 
   isAborted = false;
 
+  /** Whether the caller has disconnected. */
   isGone = false;
 
   #handler: (() => void) | undefined;
--- a/test/support/fake_feed.ts
+++ b/test/support/fake_feed.ts
@@ -22,10 +22,12 @@
 
   #history: FeedChange[] = [];
 
+  /** Revision up to which the history of changes was discarded. */
   #discardedRevision = 0;
 
   #revision = 0;
 
+  /** Callbacks that wake the reads that wait for a change. */
   readonly #waiters = new Set<() => void>();
 
   #snapshotsReleased: Promise<void> = Promise.resolve();
--- a/test/support/fake_platform.ts
+++ b/test/support/fake_platform.ts
@@ -50,6 +50,7 @@
 
   #history: PlatformSnapshot[] = [EMPTY_SNAPSHOT];
 
+  /** State that reads return while the service is stale. */
   #staleSnapshot: PlatformSnapshot | undefined;
 
   readonly #waiters = new Set<() => void>();
--- a/test/support/fake_views.ts
+++ b/test/support/fake_views.ts
@@ -86,6 +86,7 @@
 
 /** The membership view of one entry host, whose peer states a test sets. */
 export class FakeMembership extends MembershipView {
+  /** State of each peer by incarnation; peers without an entry are live. */
   readonly states = new Map<string, PeerState>();
 
   readonly leavingBackendServers = new Set<string>();
--- a/test/support/owner_hosts.ts
+++ b/test/support/owner_hosts.ts
@@ -124,6 +124,7 @@
     super();
   }
 
+  /** Time from which on the view counts as fresh. */
   #freshFromMs = 0;
 
   override listEntryHosts(): readonly EntryHostView[] {
--- a/test/support/report_host.ts
+++ b/test/support/report_host.ts
@@ -25,12 +25,15 @@
 
   readonly reports: HostReports;
 
+  /** Incarnations of peers that have fallen silent, in order. */
   readonly silent: string[] = [];
 
+  /** Reachable fraction of the entry hosts, as last reported. */
   reach = 0;
 
   isServing = true;
 
+  /** Requests in flight that each peer reported last, by incarnation. */
   readonly #reportedInFlight = new Map<string, number>();
 
   constructor(
@@ -68,6 +71,7 @@
     return 1 + this.#sumInFlight([...this.#reportedInFlight.keys()]);
   }
 
+  /** @returns the IDs of the peers that report that they serve callers */
   listServing(): string[] {
     return this.reports
       .listHeard()
