--- a/src/application/dispatcher/_group_registry.ts
+++ b/src/application/dispatcher/_group_registry.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { parseGroupService, splitDispatchGroups } from '../../domain/scheduling/mod.js';
+import { parseGroupServiceId, splitDispatchGroups } from '../../domain/scheduling/mod.js';
 import { HostedGroup } from './_hosted_group.js';
 import type { DispatcherOptions } from './dispatcher_options.js';
 
@@ -27,7 +27,7 @@
   open(groupId: string): HostedGroup | undefined {
     const known = this.#groups.get(groupId);
     if (known) return known;
-    const service = this.#options.configuration.findService(parseGroupService(groupId));
+    const service = this.#options.configuration.findService(parseGroupServiceId(groupId));
     const group = service && splitDispatchGroups(service).find(({ id }) => id === groupId);
     if (!service || !group) return undefined;
     const created = new HostedGroup(this.#options, service, group);
--- a/src/application/dispatcher/_server_poller.ts
+++ b/src/application/dispatcher/_server_poller.ts
@@ -67,7 +67,7 @@
   async #readLoad(group: HostedGroup, server: BackendServer): Promise<void> {
     const load = await this.#options.backend.readLoad(server);
     const serverState = group.scheduler.pool.findServer(server.id);
-    serverState?.noteLoad(load.running + load.waiting, load.leaving, this.#options.clock.nowMs());
+    serverState?.recordLoadReport(load.running + load.waiting, load.leaving, this.#options.clock.nowMs());
     this.#options.noteBackendServerLoad?.(server.id, load.leaving);
   }
 
@@ -80,8 +80,8 @@
     const hints = group.scheduler.pool.findServer(server.id)?.hints;
     const nowMs = this.#options.clock.nowMs();
     events.forEach(({ stored, blockHash }) => {
-      if (stored) hints?.noteStored(blockHash, nowMs);
-      else hints?.noteRemoved(blockHash);
+      if (stored) hints?.recordStored(blockHash, nowMs);
+      else hints?.recordRemoved(blockHash);
     });
     const sequence = events.reduce(
       (highest, event) => Math.max(highest, event.sequence),
--- a/src/application/dispatcher/_sibling_tiers.ts
+++ b/src/application/dispatcher/_sibling_tiers.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { parseGroupService, Tier } from '../../domain/scheduling/mod.js';
+import { parseGroupServiceId, Tier } from '../../domain/scheduling/mod.js';
 import type { GroupLoad } from '../../ports/mod.js';
 
 /** Time for which a reported group load is used, in milliseconds. */
@@ -23,9 +23,9 @@
 ): Map<string, Tier> {
   const tiers = new Map<string, Tier>();
   groupIds.forEach((groupId) => {
-    const serviceId = parseGroupService(groupId);
+    const serviceId = parseGroupServiceId(groupId);
     const siblings = loads.filter(
-      (load) => load.groupId !== groupId && parseGroupService(load.groupId) === serviceId,
+      (load) => load.groupId !== groupId && parseGroupServiceId(load.groupId) === serviceId,
     );
     if (siblings.length === 0) return;
     const lowestOpenTier = siblings.reduce<Tier>(
--- a/src/application/dispatcher/dispatcher_service.ts
+++ b/src/application/dispatcher/dispatcher_service.ts
@@ -157,7 +157,7 @@
       const group = this.#groups.find(groupId);
       if (!group) return;
       const validUntilMs = nowMs + GROUP_LOAD_TTL_MS;
-      this.#applyDecisions(group, group.scheduler.noteSiblings(openTier, validUntilMs, nowMs));
+      this.#applyDecisions(group, group.scheduler.applySiblingTier(openTier, validUntilMs, nowMs));
     });
   }
 
@@ -169,7 +169,7 @@
       .filter((group) => !this.#options.strategy.isLocal && group.isResponsible)
       .map(({ id, scheduler }) => ({
         groupId: id,
-        waitMs: TIERS.map((tier) => Math.round(scheduler.predictTierWait(tier, nowMs))),
+        waitMs: TIERS.map((tier) => Math.round(scheduler.predictTierWaitMs(tier, nowMs))),
         openTier: scheduler.openTier,
       }));
   }
--- a/src/application/owner/_run_request.ts
+++ b/src/application/owner/_run_request.ts
@@ -83,7 +83,7 @@
 ): Step<AttemptResult> {
   const deadlineAtMs = context.clock.nowMs() + call.deadlineMs;
   const excluded: string[] = [];
-  context.retries.noteAttempt();
+  context.retries.recordAttempt();
   for (let attempt = 1; ; attempt += 1) {
     const { slot, pass } = yield* acquirePermit(context, request, {
       requestId: request.record.id.text,
--- a/src/domain/backend_servers/server_load.ts
+++ b/src/domain/backend_servers/server_load.ts
@@ -5,14 +5,14 @@
  */
 import { WarmupPace } from '../places/mod.js';
 import { ServerSpeed } from '../scheduling/server_speed.js';
-import type { StartingSpeed } from '../scheduling/server_speed.js';
+import type { NominalSpeed } from '../scheduling/server_speed.js';
 import { SlotShare } from './slot_share.js';
 
 /**
  * Assumed speeds before the first measurement, in tokens per second: the order of magnitude of
  * one stream on current engines. Measurements replace them within about ten requests.
  */
-const INITIAL_SPEED: StartingSpeed = {
+const INITIAL_SPEED: NominalSpeed = {
   prefillTokensPerSecond: 100_000,
   decodeTokensPerSecond: 250,
 };
--- a/src/domain/scheduling/_refusal_policy_test.ts
+++ b/src/domain/scheduling/_refusal_policy_test.ts
@@ -33,7 +33,7 @@
     group.submit(buildDemand('running'), 0);
     group.run(0);
     group.submit(buildDemand('night', { tier: Tier.Batch }), 0);
-    const refused = group.noteSiblings(Tier.Standard, 3_000, 0);
+    const refused = group.applySiblingTier(Tier.Standard, 3_000, 0);
     t.same(
       refused.map(({ demand, reason }) => [demand.key, reason]),
       [['night', ErrorKind.TierClosed]],
--- a/src/domain/scheduling/backend_servers_test.ts
+++ b/src/domain/scheduling/backend_servers_test.ts
@@ -166,9 +166,9 @@
         10,
       ),
     );
-  server?.noteLoad(10, false, 500);
+  server?.recordLoadReport(10, false, 500);
   t.equal(server?.predictForeignLoad(500), 0, 'own requests that have just ended');
-  server?.noteLoad(14, false, 600);
+  server?.recordLoadReport(14, false, 600);
   t.equal(server?.predictForeignLoad(600), 4);
   t.equal(server?.predictForeignLoad(10_000), 0, 'an expired report is ignored');
 });
@@ -188,7 +188,7 @@
 
 t.test('CacheHints expire with age, and drop the oldest first', async (t) => {
   const hints = new CacheHints();
-  ['a', 'b', 'd'].forEach((hash) => hints.noteStored(hash, 0));
+  ['a', 'b', 'd'].forEach((hash) => hints.recordStored(hash, 0));
   t.equal(hints.predictCachedTokens(['a', 'b', 'c', 'd'], 0), 128, 'counts up to the first gap');
   t.equal(
     hints.predictCachedTokens(['a', 'b'], 60_000),
@@ -196,9 +196,9 @@
     'discounted by half at half the maximum age',
   );
   t.equal(hints.predictCachedTokens(['a', 'b'], 120_000), 0);
-  hints.noteRemoved('a');
+  hints.recordRemoved('a');
   t.equal(hints.predictCachedTokens(['a', 'b'], 0), 0);
-  for (let index = 0; index < 9000; index += 1) hints.noteStored(`block-${index}`, 0);
+  for (let index = 0; index < 9000; index += 1) hints.recordStored(`block-${index}`, 0);
   t.equal(hints.predictCachedTokens(['d'], 0), 0);
   t.equal(hints.predictCachedTokens(['block-8999'], 0), 64);
 });
@@ -208,9 +208,9 @@
     [0, 1].map((index) => ({ ...START, id: `engine-${index}`, slots: 8, isLeaving: false })),
   );
   const prompt = { promptTokens: 4000, blockHashes: Array.from({ length: 62 }, (_, i) => `h${i}`) };
-  group.pool.findServer('engine-1')?.hints.noteStored('h0', 0);
+  group.pool.findServer('engine-1')?.hints.recordStored('h0', 0);
   prompt.blockHashes.forEach((hash) =>
-    group.pool.findServer('engine-1')?.hints.noteStored(hash, 0),
+    group.pool.findServer('engine-1')?.hints.recordStored(hash, 0),
   );
   const servers = new Set<string>();
   for (let index = 0; index < 4; index += 1) {
--- a/src/domain/scheduling/cache_hints.ts
+++ b/src/domain/scheduling/cache_hints.ts
@@ -29,12 +29,12 @@
    * @param blockHash - the block
    * @param nowMs - monotonic time in milliseconds
    */
-  noteStored(blockHash: string, nowMs: number): void {
+  recordStored(blockHash: string, nowMs: number): void {
     this.#seenAtMs.delete(blockHash);
     this.#seenAtMs.set(blockHash, nowMs);
     if (this.#seenAtMs.size <= MAX_HINTS) return;
     const [oldest] = this.#seenAtMs.keys();
-    if (oldest !== undefined) this.noteRemoved(oldest);
+    if (oldest !== undefined) this.recordRemoved(oldest);
   }
 
   /**
@@ -47,7 +47,7 @@
   recordPrefill(blockHashes: readonly string[], readyAtMs: number, nowMs: number): void {
     blockHashes.forEach((hash) => {
       if (!this.#seenAtMs.has(hash)) this.#readyAtMs.set(hash, readyAtMs);
-      this.noteStored(hash, nowMs);
+      this.recordStored(hash, nowMs);
     });
   }
 
@@ -78,7 +78,7 @@
   }
 
   /** Records an evicted block. @param blockHash - the block */
-  noteRemoved(blockHash: string): void {
+  recordRemoved(blockHash: string): void {
     this.#readyAtMs.delete(blockHash);
     this.#seenAtMs.delete(blockHash);
   }
--- a/src/domain/scheduling/dispatch_groups.ts
+++ b/src/domain/scheduling/dispatch_groups.ts
@@ -43,7 +43,7 @@
  * @param groupId - `<service>/<n>`
  * @returns the service's ID
  */
-export function parseGroupService(groupId: string): string {
+export function parseGroupServiceId(groupId: string): string {
   return groupId.slice(0, Math.max(0, groupId.lastIndexOf('/')));
 }
 
--- a/src/domain/scheduling/group_scheduler.ts
+++ b/src/domain/scheduling/group_scheduler.ts
@@ -179,7 +179,7 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns refusals of the requests that wait below that tier
    */
-  noteSiblings(openTier: Tier, untilMs: number, nowMs: number): RefusalDecision[] {
+  applySiblingTier(openTier: Tier, untilMs: number, nowMs: number): RefusalDecision[] {
     return this.#refusalPolicy.applySiblingTier(openTier, untilMs, nowMs);
   }
 
@@ -204,7 +204,7 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns the wait in milliseconds; 0 if there is capacity
    */
-  predictTierWait(tier: Tier, nowMs: number): number {
+  predictTierWaitMs(tier: Tier, nowMs: number): number {
     return this.#waitPredictor.predictTierWaitMs(tier, nowMs);
   }
 
--- a/src/domain/scheduling/mod.ts
+++ b/src/domain/scheduling/mod.ts
@@ -22,7 +22,7 @@
 } from './prompt.js';
 export { OutputPredictor } from './output_predictor.js';
 export { RetryBudget } from './retry_budget.js';
-export { parseGroupService, splitDispatchGroups } from './dispatch_groups.js';
+export { parseGroupServiceId, splitDispatchGroups } from './dispatch_groups.js';
 export type { DispatchGroup } from './dispatch_groups.js';
 export type { SlotDemand, WaitingDemand } from './slot_demand.js';
 export { WaitingQueue } from './waiting_queue.js';
--- a/src/domain/scheduling/prompt_test.ts
+++ b/src/domain/scheduling/prompt_test.ts
@@ -8,7 +8,7 @@
   hashBlocks,
   MAX_HASHED_BLOCKS,
   OutputPredictor,
-  parseGroupService,
+  parseGroupServiceId,
   predictTokens,
   RetryBudget,
   splitDispatchGroups,
@@ -42,7 +42,7 @@
   const budget = new RetryBudget(0);
   let retries = 0;
   for (let attempt = 0; attempt < 1000; attempt += 1) {
-    budget.noteAttempt();
+    budget.recordAttempt();
     if (budget.takeRetry(0)) retries += 1;
   }
   t.ok(retries >= 200 && retries <= 211, `${retries} retries of 1000 attempts`);
@@ -81,7 +81,7 @@
         t.same(splitDispatchGroups(reversed), groups);
         groups.forEach(({ id }, index) => {
           t.equal(id, `a/b/${index}`);
-          t.equal(parseGroupService(id), 'a/b');
+          t.equal(parseGroupServiceId(id), 'a/b');
         });
       },
     ),
--- a/src/domain/scheduling/retry_budget.ts
+++ b/src/domain/scheduling/retry_budget.ts
@@ -34,7 +34,7 @@
   }
 
   /** Records a first attempt. */
-  noteAttempt(): void {
+  recordAttempt(): void {
     this.#add(RETRY_RATIO);
   }
 
--- a/src/domain/scheduling/server_speed.ts
+++ b/src/domain/scheduling/server_speed.ts
@@ -27,7 +27,7 @@
 const EVEN_SPLIT_TOKENS = 500;
 
 /** Nominal speed of an engine kind, from which learning starts. */
-export interface StartingSpeed {
+export interface NominalSpeed {
   readonly prefillTokensPerSecond: number;
   readonly decodeTokensPerSecond: number;
 }
@@ -68,7 +68,7 @@
    *   tokens
    */
   constructor(
-    readonly nominal: StartingSpeed,
+    readonly nominal: NominalSpeed,
     readonly isPlain: boolean,
   ) {
     this.#prefillMsPerToken = 1000 / nominal.prefillTokensPerSecond;
--- a/src/domain/scheduling/server_state.ts
+++ b/src/domain/scheduling/server_state.ts
@@ -7,12 +7,12 @@
 import { ConcurrencyWindow } from './concurrency_window.js';
 import { PeakMeter } from './_peak_meter.js';
 import { ServerSpeed } from './server_speed.js';
-import type { ServerWork, StartingSpeed } from './server_speed.js';
+import type { ServerWork, NominalSpeed } from './server_speed.js';
 import type { ServerHealth } from './outlier_ejection.js';
 import type { SlotDemand } from './slot_demand.js';
 
 /** A backend server as described by the configuration and the membership. */
-export interface ServerSpec extends StartingSpeed {
+export interface ServerSpec extends NominalSpeed {
   readonly id: string;
   /** Concurrent requests, the initial size of the window. */
   readonly slots: number;
@@ -145,7 +145,7 @@
    * @param isReportedDraining - whether the server reports that it is draining
    * @param nowMs - monotonic time in milliseconds
    */
-  noteLoad(load: number, isReportedDraining: boolean, nowMs: number): void {
+  recordLoadReport(load: number, isReportedDraining: boolean, nowMs: number): void {
     if (this.#isReportedDraining && !isReportedDraining) this.reset(nowMs);
     this.#isReportedDraining = isReportedDraining;
     this.#loadReport = { load, atMs: nowMs };
