--- a/src/application/allowances/_account_limiter.ts
+++ b/src/application/allowances/_account_limiter.ts
@@ -99,19 +99,19 @@
   /** Updates the share and applies each change since the last update at its own time. */
   update(nowMs: number): void {
     this.#leaseHolder
-      .listChanges(this.#updatedAtMs, nowMs)
+      .listShareChanges(this.#updatedAtMs, nowMs)
       .forEach((atMs) => this.#applyShare(atMs));
     this.#updatedAtMs = nowMs;
   }
 
   /** Records that a lease was requested. */
   recordLeaseRequest(requestNumber: number, nowMs: number): void {
-    this.#leaseHolder.noteRequest(requestNumber, nowMs);
+    this.#leaseHolder.recordRequest(requestNumber, nowMs);
   }
 
   /** @returns number of the lease held from a lender's incarnation; 0 without a lease */
   getLeaseNumber(home: string): number {
-    return this.#leaseHolder.getHeldNumber(home);
+    return this.#leaseHolder.getLeaseNumber(home);
   }
 
   /** Applies a received lease. @returns false when the lease is outdated */
@@ -159,7 +159,7 @@
     return (
       this.running === 0 &&
       this.meter.attemptCount === 0 &&
-      !this.#leaseHolder.isHolding(nowMs) &&
+      !this.#leaseHolder.hasLease(nowMs) &&
       this.#requests.isFull(nowMs) &&
       this.#tokens.isFull(nowMs)
     );
--- a/src/application/allowances/_allowance_lender.ts
+++ b/src/application/allowances/_allowance_lender.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { AllowanceLedger, LIMIT_KINDS, pickAllowanceHome } from '../../domain/limits/mod.js';
+import { AllowanceLedger, LIMIT_KINDS, pickAllowanceLender } from '../../domain/limits/mod.js';
 import type { LedgerContext, LedgerGrant } from '../../domain/limits/mod.js';
 import { PeerState } from '../../domain/membership/types.js';
 import type { EntryHostIdentity } from '../../domain/membership/types.js';
@@ -55,7 +55,7 @@
     if (!context || !this.#isLender(accountId)) return;
     const ledger = this.#getOrCreateLedger(accountId);
     const { requestNumber, heldLease, running } = message;
-    ledger.record(
+    ledger.recordReport(
       {
         entryHostId: from.id,
         incarnation: from.incarnation,
@@ -89,7 +89,7 @@
   }
 
   #isLender(accountId: string): boolean {
-    return pickAllowanceHome(accountId, this.#knownIds) === this.#options.membership.self.id;
+    return pickAllowanceLender(accountId, this.#knownIds) === this.#options.membership.self.id;
   }
 
   #getOrCreateLedger(accountId: string): AllowanceLedger {
@@ -104,7 +104,7 @@
       return this.#lastLeaseNumber;
     };
     const lifeMs = leaseLifeMs;
-    const ledger = new AllowanceLedger({ accountId, quietUntilMs, nextLeaseNumber, lifeMs });
+    const ledger = new AllowanceLedger({ accountId, lendingStartsAtMs: quietUntilMs, nextLeaseNumber, leaseDurationMs: lifeMs });
     this.#ledgers.set(accountId, ledger);
     return ledger;
   }
@@ -120,8 +120,8 @@
     return {
       limits: account.limits,
       listedIds: this.#knownIds,
-      reachable: new Map(reachableHosts),
-      maxRunMs: account.longestDeadlineMs,
+      reachableIncarnations: new Map(reachableHosts),
+      maxRequestMs: account.longestDeadlineMs,
       nowMs: clock.nowMs(),
     };
   }
@@ -136,7 +136,7 @@
     this.#isSending = true;
     while (this.#isRoundDue) {
       this.#isRoundDue = false;
-      ledger.listDue(context).forEach((entryHostId) => {
+      ledger.listDueHosts(context).forEach((entryHostId) => {
         this.#sendLease(ledger.grant(entryHostId, context), accountId);
       });
     }
--- a/src/application/allowances/allowance_keeper.ts
+++ b/src/application/allowances/allowance_keeper.ts
@@ -7,9 +7,9 @@
 import {
   ACK_REQUEST_NUMBER,
   computeBaseShare,
-  LEASE_LIFE_MS,
+  LEASE_DURATION_MS,
   LIMIT_KINDS,
-  pickAllowanceHome,
+  pickAllowanceLender,
 } from '../../domain/limits/mod.js';
 import type { LedgerGrant } from '../../domain/limits/mod.js';
 import type { EntryHostIdentity } from '../../domain/membership/types.js';
@@ -42,7 +42,7 @@
   readonly configuration: ConfigurationView;
   readonly membership: MembershipView;
   readonly peers: PeerNetwork;
-  /** Duration of a lease in milliseconds. Default: {@link LEASE_LIFE_MS}. */
+  /** Duration of a lease in milliseconds. Default: {@link LEASE_DURATION_MS}. */
   readonly leaseDurationMs?: number;
 }
 
@@ -66,7 +66,7 @@
   constructor(options: AllowanceKeeperOptions) {
     super();
     this.#options = options;
-    this.#leaseDurationMs = options.leaseDurationMs ?? LEASE_LIFE_MS;
+    this.#leaseDurationMs = options.leaseDurationMs ?? LEASE_DURATION_MS;
     this.#knownIds = options.membership.listListedIds();
     this.#lender = new AllowanceLender({
       ...options,
@@ -200,7 +200,7 @@
 
   #findLender(accountId: string): EntryHostIdentity | undefined {
     const { membership } = this.#options;
-    const lenderId = pickAllowanceHome(accountId, this.#knownIds);
+    const lenderId = pickAllowanceLender(accountId, this.#knownIds);
     if (lenderId === undefined) return undefined;
     if (lenderId === membership.self.id) return membership.self;
     return membership.findEntryHost(lenderId)?.identity;
@@ -224,7 +224,7 @@
   #handleLease(from: EntryHostIdentity, message: AllowanceLeaseMessage): void {
     const { clock, configuration, log } = this.#options;
     const account = configuration.findAccount(message.accountId);
-    const isFromLender = pickAllowanceHome(message.accountId, this.#knownIds) === from.id;
+    const isFromLender = pickAllowanceLender(message.accountId, this.#knownIds) === from.id;
     if (!account || !isFromLender) {
       log.write(LogLevel.Debug, 'allowance_lease_ignored', {
         account: message.accountId,
--- a/src/application/configuration/_change_recorder.ts
+++ b/src/application/configuration/_change_recorder.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { findAccountOfKey } from '../../domain/configuration/mod.js';
+import { extractAccountId } from '../../domain/configuration/mod.js';
 import type { RejectedEntry } from '../../domain/configuration/mod.js';
 import { LogLevel } from '../../domain/errors/mod.js';
 import type { Clock, EventLog, Metrics } from '../../ports/mod.js';
@@ -65,7 +65,7 @@
   recordRejected({ key, revision, reasons }: RejectedEntry): void {
     this.#options.metrics.count('configuration_rejected_total');
     this.#options.log.write(LogLevel.Warn, 'configuration_document_rejected', {
-      account: findAccountOfKey(key),
+      account: extractAccountId(key),
       key,
       revision,
       faults: reasons.length,
--- a/src/application/configuration/configuration_keeper.ts
+++ b/src/application/configuration/configuration_keeper.ts
@@ -6,7 +6,7 @@
 import {
   buildIndex,
   EMPTY_STATE,
-  findRevision,
+  findHighestRevision,
   hashState,
   mergeEntries,
   mergeSnapshot,
@@ -252,7 +252,7 @@
     if (changed.length === 0) return;
     this.#index = buildIndex(state);
     this.#hash = hashState(state);
-    this.#revision = findRevision(state);
+    this.#revision = findHighestRevision(state);
     this.#recorder.recordChange({
       revision: this.#revision,
       entryCount: changed.length,
--- a/src/application/direct/_call_checks.ts
+++ b/src/application/direct/_call_checks.ts
@@ -57,7 +57,7 @@
     const { table } = routing;
     if (!table) throw new SchedulerError(ErrorKind.ConfigurationMissing, { retryAfterMs: 300 });
     const route = this.#findRoute(table, request);
-    const account = route.isOpen ? undefined : this.#authenticate(table, request);
+    const account = route.mayBeAnonymous ? undefined : this.#authenticate(table, request);
     const contentId = deriveContentId(request, account);
     const refusal = crashes.findRefusal(contentId);
     if (refusal) throw refusal;
@@ -78,7 +78,7 @@
     request: DirectRequest,
   ): SchedulerError | undefined {
     const quarantineError = this.#options.crashes.findRefusal(contentId);
-    if (quarantineError || route.isOpen) return quarantineError;
+    if (quarantineError || route.mayBeAnonymous) return quarantineError;
     const { table } = this.#options.routing;
     try {
       if (table) this.#authenticate(table, request);
--- a/src/application/direct/_sent_reports.ts
+++ b/src/application/direct/_sent_reports.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { Moment } from '../../domain/freshness/mod.js';
+import type { ClockReading } from '../../domain/freshness/mod.js';
 import type { Clock } from '../../ports/mod.js';
 
 /**
@@ -16,7 +16,7 @@
 export class SentReports {
   readonly #clock: Clock;
 
-  readonly #sentAt = new Map<number, Moment>();
+  readonly #sentAt = new Map<number, ClockReading>();
 
   #sequence = 0;
 
@@ -39,7 +39,7 @@
   }
 
   /** @param sequence - a report's number. @returns its send time; undefined for an old report */
-  findSentAt(sequence: number): Moment | undefined {
+  findSentAt(sequence: number): ClockReading | undefined {
     return this.#sentAt.get(sequence);
   }
 }
--- a/src/application/direct/account_spending.ts
+++ b/src/application/direct/account_spending.ts
@@ -79,7 +79,7 @@
     const isMember = scope === ReportScope.Member;
     Object.entries(report.spentUnits).forEach(([id, totalUnits]) => {
       const bucket = this.#buckets.get(id);
-      bucket?.applyPeerTotal({ source, totalUnits, isNewProcess, isMember }, nowMs);
+      bucket?.applyPeerReport({ source, totalUnits, isNewProcess, isMember }, nowMs);
     });
   }
 
@@ -87,7 +87,7 @@
   setReach(reach: number): void {
     this.#reach = reach;
     const nowMs = this.#clock.nowMs();
-    this.#buckets.forEach((bucket) => bucket.setReach(reach, nowMs));
+    this.#buckets.forEach((bucket) => bucket.setReachableFraction(reach, nowMs));
   }
 
   #getOrCreateBucket(id: string, limit: AccountLimit, nowMs: number): SharedBucket {
@@ -96,9 +96,9 @@
     const bucket = new SharedBucket({
       limit: buildBucketLimit(limit),
       nowMs,
-      silentAfterMs: REACH_SILENT_MS,
+      peerTimeoutMs: REACH_SILENT_MS,
     });
-    bucket.setReach(this.#reach, nowMs);
+    bucket.setReachableFraction(this.#reach, nowMs);
     this.#buckets.set(id, bucket);
     return bucket;
   }
@@ -117,7 +117,7 @@
     case ReportScope.Group:
       return bucket.groupUnits;
     case ReportScope.Fleet:
-      return bucket.computeOthersUnits(formatSource(receiver, ReportScope.Member));
+      return bucket.computeUnitsExcept(formatSource(receiver, ReportScope.Member));
     default:
       return bucket.totalUnits;
   }
--- a/src/application/direct/feed_follower.ts
+++ b/src/application/direct/feed_follower.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { formatReason, LogLevel } from '../../domain/errors/mod.js';
-import type { Moment } from '../../domain/freshness/mod.js';
+import type { ClockReading } from '../../domain/freshness/mod.js';
 import { HistoryLostError } from '../../ports/mod.js';
 import type {
   ChangeFeed,
@@ -46,7 +46,7 @@
 /** When a response was requested, and under which circumstances. */
 export interface FeedContext {
   /** When the request was sent; the response reflects this moment or a later one. */
-  readonly askedAt: Moment;
+  readonly askedAt: ClockReading;
   /** Age of the response at that moment, in milliseconds; 0 for a response of the store. */
   readonly ageMs: number;
   /** Whether entries may be missing only because the store was unavailable. */
@@ -276,7 +276,7 @@
     return this.#failureCount > 0 || this.#options.clock.nowMs() < this.#reregisteredAtMs;
   }
 
-  #readClock(): Moment {
+  #readClock(): ClockReading {
     const { clock } = this.#options;
     return { steadyMs: clock.nowMs(), wallMs: clock.wallMs() };
   }
--- a/src/application/direct/feed_sharing.ts
+++ b/src/application/direct/feed_sharing.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { computeElapsedMs, ConfirmedAge } from '../../domain/freshness/mod.js';
-import type { Moment } from '../../domain/freshness/mod.js';
+import type { ClockReading } from '../../domain/freshness/mod.js';
 import type { EntryHostIdentity } from '../../domain/membership/mod.js';
 import type { HostState } from '../../domain/overlay/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
@@ -273,7 +273,7 @@
     return true;
   }
 
-  #readClock(): Moment {
+  #readClock(): ClockReading {
     const { clock } = this.#options;
     return { steadyMs: clock.nowMs(), wallMs: clock.wallMs() };
   }
--- a/src/application/direct/host_reports.ts
+++ b/src/application/direct/host_reports.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { LogLevel } from '../../domain/errors/mod.js';
-import type { Moment } from '../../domain/freshness/mod.js';
+import type { ClockReading } from '../../domain/freshness/mod.js';
 import type { EntryHostIdentity } from '../../domain/membership/mod.js';
 import { ReportScope, Roster } from '../../domain/overlay/mod.js';
 import type { HostState } from '../../domain/overlay/mod.js';
@@ -192,7 +192,7 @@
   }
 
   /** @param sequence - number of an own report. @returns its send time; undefined if it is old */
-  findSentAt(sequence: number): Moment | undefined {
+  findSentAt(sequence: number): ClockReading | undefined {
     return this.#sentReports.findSentAt(sequence);
   }
 
--- a/src/application/direct/server_ending_requests_test.ts
+++ b/src/application/direct/server_ending_requests_test.ts
@@ -86,7 +86,7 @@
         { name: 'one attempt', route: { maxAttempts: 1 } },
         { name: 'must not be repeated', route: {} },
         { name: 'may be repeated', route: { isRepeatable: true, maxAttempts: 4 } },
-        { name: 'open to all', route: { isOpen: true }, call: { key: undefined } },
+        { name: 'open to all', route: { mayBeAnonymous: true }, call: { key: undefined } },
         { name: 'stream', route: { isStream: true } },
         { name: 'resumable stream', route: { isStream: true, isResumable: true } },
         {
--- a/src/commands/direct_entry.ts
+++ b/src/commands/direct_entry.ts
@@ -180,7 +180,7 @@
     const serving = this.isServing ? [...hosts, this.#reports.self] : hosts;
     const nearbyHosts = pickNearHosts(serving, {
       callerRegion: query.region,
-      homeRegions: this.#storeView.routing.table?.findRegions(query.hostName),
+      homeRegions: this.#storeView.routing.table?.findAllowedRegions(query.hostName),
       findRegion: (zone) => this.#storeView.findRegion(zone),
     });
     return pickAddresses(nearbyHosts, query.address);
--- a/src/domain/configuration/digest.ts
+++ b/src/domain/configuration/digest.ts
@@ -37,7 +37,7 @@
  * @param state - the accepted entries
  * @returns the revision; 0 if no entry is accepted
  */
-export function findRevision(state: ConfigurationState): number {
+export function findHighestRevision(state: ConfigurationState): number {
   return [...state.entries.values()].reduce(
     (highest, { revision }) => Math.max(highest, revision),
     0,
--- a/src/domain/configuration/document_key.ts
+++ b/src/domain/configuration/document_key.ts
@@ -19,7 +19,7 @@
  * @param key - the document's key
  * @returns the account ID; undefined if the key is not a contract key
  */
-export function findAccountOfKey(key: string): string | undefined {
+export function extractAccountId(key: string): string | undefined {
   if (!key.startsWith(CONTRACT_KEY_PREFIX)) return undefined;
   const accountId = key.slice(CONTRACT_KEY_PREFIX.length);
   return accountId === '' || accountId.includes('/') ? undefined : accountId;
--- a/src/domain/configuration/entry.ts
+++ b/src/domain/configuration/entry.ts
@@ -7,7 +7,7 @@
 import { createHash } from 'node:crypto';
 import { formatFault, parseContract, parseFleet } from '../contracts/mod.js';
 import type { AccountContract, DocumentResult, Fleet } from '../contracts/mod.js';
-import { CONTRACT_KEY_PREFIX, findAccountOfKey, FLEET_KEY } from './document_key.js';
+import { CONTRACT_KEY_PREFIX, extractAccountId, FLEET_KEY } from './document_key.js';
 
 /** Maximum length of an entry's key, in UTF-16 code units. */
 const MAX_KEY_LENGTH = 512;
@@ -78,7 +78,7 @@
 export function validateEntry(entry: RawEntry): ValidationResult {
   const valueHash = hashValue(entry.value);
   const { key, revision, value } = entry;
-  const accountId = findAccountOfKey(key);
+  const accountId = extractAccountId(key);
   if (key !== FLEET_KEY && accountId === undefined) {
     const reasons = [`the key is neither ${FLEET_KEY} nor ${CONTRACT_KEY_PREFIX}<account>`];
     return { rejected: { key, revision, valueHash, reasons } };
--- a/src/domain/configuration/mod.ts
+++ b/src/domain/configuration/mod.ts
@@ -8,7 +8,7 @@
 export {
   CONFIGURATION_PREFIX,
   CONTRACT_KEY_PREFIX,
-  findAccountOfKey,
+  extractAccountId,
   FLEET_KEY,
 } from './document_key.js';
 export type { AcceptedEntry, RawEntry, RejectedEntry } from './entry.js';
@@ -20,7 +20,7 @@
   ConfigurationState,
   MergeResult,
 } from './configuration_state.js';
-export { buildDigest, compareDigest, findRevision, hashState } from './digest.js';
+export { buildDigest, compareDigest, findHighestRevision, hashState } from './digest.js';
 export type { Digest, DigestDifference } from './digest.js';
 export { buildIndex } from './configuration_index.js';
 export type { ConfigurationIndex } from './configuration_index.js';
--- a/src/domain/freshness/confirmed_age.ts
+++ b/src/domain/freshness/confirmed_age.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { computeElapsedMs } from './moment.js';
-import type { Moment } from './moment.js';
+import type { ClockReading } from './moment.js';
 
 /**
  * Computes the age of a piece of cached information, counted from the *sending* of
@@ -13,7 +13,7 @@
  * revoked key look valid for as long as the response was in transit.
  */
 export class ConfirmedAge {
-  #requestedAt: Moment | undefined;
+  #requestedAt: ClockReading | undefined;
 
   #sourceAgeMs = 0;
 
@@ -25,7 +25,7 @@
    * @param sourceAgeMs - age that the information already had at the responder, in
    *   milliseconds; 0 if the responder is the source
    */
-  confirm(requestedAt: Moment, now: Moment, sourceAgeMs = 0): void {
+  confirm(requestedAt: ClockReading, now: ClockReading, sourceAgeMs = 0): void {
     const ageMs = computeElapsedMs(requestedAt, now) + sourceAgeMs;
     if (ageMs >= this.computeAgeMs(now)) return;
     this.#requestedAt = requestedAt;
@@ -36,7 +36,7 @@
    * @param now - the present clock reading
    * @returns age in milliseconds; infinite before the first confirmation
    */
-  computeAgeMs(now: Moment): number {
+  computeAgeMs(now: ClockReading): number {
     if (!this.#requestedAt) return Infinity;
     return computeElapsedMs(this.#requestedAt, now) + this.#sourceAgeMs;
   }
--- a/src/domain/freshness/confirmed_age_test.ts
+++ b/src/domain/freshness/confirmed_age_test.ts
@@ -1,11 +1,11 @@
 import fc from 'fast-check';
 import t from 'tap';
 import { ConfirmedAge } from './mod.js';
-import type { Moment } from './mod.js';
+import type { ClockReading } from './mod.js';
 
 const RUN_OPTIONS = { seed: 20, numRuns: 300 };
 
-function buildReading(steadyMs: number, wallMs = steadyMs): Moment {
+function buildReading(steadyMs: number, wallMs = steadyMs): ClockReading {
   return { steadyMs, wallMs };
 }
 
--- a/src/domain/freshness/mod.ts
+++ b/src/domain/freshness/mod.ts
@@ -7,4 +7,4 @@
  */
 export { ConfirmedAge } from './confirmed_age.js';
 export { computeElapsedMs } from './moment.js';
-export type { Moment } from './moment.js';
+export type { ClockReading } from './moment.js';
--- a/src/domain/freshness/moment.ts
+++ b/src/domain/freshness/moment.ts
@@ -5,7 +5,7 @@
  */
 
 /** A simultaneous reading of both clocks of this machine. */
-export interface Moment {
+export interface ClockReading {
   /** Monotonic time in milliseconds; it stands still while the machine is suspended. */
   readonly steadyMs: number;
   /** Wall-clock time in milliseconds; it may be stepped forward or backward. */
@@ -25,6 +25,6 @@
  * @param to - the later reading
  * @returns elapsed time in milliseconds, 0 or more
  */
-export function computeElapsedMs(from: Moment, to: Moment): number {
+export function computeElapsedMs(from: ClockReading, to: ClockReading): number {
   return Math.max(0, to.steadyMs - from.steadyMs, to.wallMs - from.wallMs);
 }
--- a/src/domain/limits/allowance_home.ts
+++ b/src/domain/limits/allowance_home.ts
@@ -14,7 +14,7 @@
  * @param listedIds - IDs of the entry hosts on the host list
  * @returns the ID of the lender; undefined for an empty list
  */
-export function pickAllowanceHome(
+export function pickAllowanceLender(
   accountId: string,
   listedIds: readonly string[],
 ): string | undefined {
--- a/src/domain/limits/allowance_ledger.ts
+++ b/src/domain/limits/allowance_ledger.ts
@@ -7,7 +7,7 @@
 import { computeMaxMinShares } from './_fair_targets.js';
 import { LedgerEntry } from './_ledger_entry.js';
 import type { DemandReport, LedgerContext, LedgerGrant } from './ledger_types.js';
-import { ACK_REQUEST_NUMBER, LEASE_LIFE_MS } from './lease_times.js';
+import { ACK_REQUEST_NUMBER, LEASE_DURATION_MS } from './lease_times.js';
 import { buildShare, listBaseShares, computeFloorShare, LIMIT_KINDS, LimitKind } from './share.js';
 import type { AllowanceShare } from './share.js';
 
@@ -41,14 +41,14 @@
    * Monotonic time in milliseconds before which nothing is lent, since leases of a
    * previous lender, or of a previous incarnation of this one, may still be active.
    */
-  readonly quietUntilMs: number;
+  readonly lendingStartsAtMs: number;
   /**
    * Returns the next lease number. Numbers must also increase from one ledger of a
    * process to the next, or a borrower would mistake a new lease for an old one.
    */
   readonly nextLeaseNumber: () => number;
-  /** Duration of a lease in milliseconds. Default: {@link LEASE_LIFE_MS}. */
-  readonly lifeMs?: number;
+  /** Duration of a lease in milliseconds. Default: {@link LEASE_DURATION_MS}. */
+  readonly leaseDurationMs?: number;
 }
 
 /**
@@ -77,9 +77,9 @@
   /** @param options - the account, the start of lending, the lease numbers and duration */
   constructor(options: AllowanceLedgerOptions) {
     this.#accountId = options.accountId;
-    this.#lendingStartsAtMs = options.quietUntilMs;
+    this.#lendingStartsAtMs = options.lendingStartsAtMs;
     this.#nextLeaseNumber = options.nextLeaseNumber;
-    this.#leaseMs = options.lifeMs ?? LEASE_LIFE_MS;
+    this.#leaseMs = options.leaseDurationMs ?? LEASE_DURATION_MS;
   }
 
   /**
@@ -88,7 +88,7 @@
    * @param report - the host's demand and the lease that it holds
    * @param nowMs - monotonic time in milliseconds
    */
-  record(report: DemandReport, nowMs: number): void {
+  recordReport(report: DemandReport, nowMs: number): void {
     const entry = this.#getOrCreateEntry(report.entryHostId, report.incarnation);
     entry.recordReport(report.heldLease, report.running, nowMs);
     if (report.requestNumber === ACK_REQUEST_NUMBER) return;
@@ -136,10 +136,10 @@
    * @param context - the present limits, hosts and time
    * @returns the IDs of the entry hosts
    */
-  listDue(context: LedgerContext): readonly string[] {
+  listDueHosts(context: LedgerContext): readonly string[] {
     if (context.nowMs < this.#lendingStartsAtMs || !this.#hasUnmetDemand(context)) return [];
     const targets = this.#computeTargets(context);
-    const ids = context.listedIds.filter((id) => context.reachable.has(id));
+    const ids = context.listedIds.filter((id) => context.reachableIncarnations.has(id));
     const reserved = this.#computeTotalReserve(context);
     return ids.filter((id) => this.#isLeaseDue(id, targets.get(id), reserved, context));
   }
@@ -163,7 +163,7 @@
   #pickIncarnation(id: string, context: LedgerContext): string | undefined {
     const entry = this.#entries.get(id);
     const isHeard = entry !== undefined && context.nowMs - entry.lastHeardAtMs < this.#leaseMs;
-    return isHeard ? entry.incarnation : (context.reachable.get(id) ?? entry?.incarnation);
+    return isHeard ? entry.incarnation : (context.reachableIncarnations.get(id) ?? entry?.incarnation);
   }
 
   #getOrCreateEntry(id: string, incarnation: string): LedgerEntry {
@@ -204,7 +204,7 @@
 
   /** Computes the share that each listed entry host should eventually have. */
   #computeTargets(context: LedgerContext): ReadonlyMap<string, AllowanceShare> {
-    const { listedIds, reachable, nowMs } = context;
+    const { listedIds, reachableIncarnations: reachable, nowMs } = context;
     const baseShares = new Map(listedIds.map((id) => [id, this.#getBaseShare(id, context)]));
     const floor = computeFloorShare(context.limits, listedIds.length);
     const reservedShares = new Map(
@@ -290,7 +290,7 @@
 
   #resetSilentEntries(context: LedgerContext): void {
     this.#entries.forEach((entry) => {
-      if (context.nowMs - entry.lastHeardAtMs > context.maxRunMs) entry.resetRunning();
+      if (context.nowMs - entry.lastHeardAtMs > context.maxRequestMs) entry.resetRunning();
     });
   }
 }
--- a/src/domain/limits/allowance_ledger_test.ts
+++ b/src/domain/limits/allowance_ledger_test.ts
@@ -5,7 +5,7 @@
   AllowanceLedger,
   buildShare,
   computeBaseShare,
-  LEASE_LIFE_MS,
+  LEASE_DURATION_MS,
   LeaseHolder,
   LIMIT_KINDS,
   LimitKind,
@@ -83,7 +83,7 @@
   restartLender(): void {
     this.#lenderIncarnation += 1;
     this.#lastLeaseNumber = 0;
-    this.#ledger = this.#createLedger(this.nowMs + LEASE_LIFE_MS);
+    this.#ledger = this.#createLedger(this.nowMs + LEASE_DURATION_MS);
   }
 
   runStep(): void {
@@ -108,7 +108,7 @@
   #createLedger(quietUntilMs: number): AllowanceLedger {
     return new AllowanceLedger({
       accountId: ACCOUNT_ID,
-      quietUntilMs,
+      lendingStartsAtMs: quietUntilMs,
       nextLeaseNumber: () => {
         this.#lastLeaseNumber += 1;
         return this.#lastLeaseNumber;
@@ -126,18 +126,18 @@
     this.#lastRequestNumber += 1;
     const requestNumber = this.#lastRequestNumber;
     const lenderIncarnation = String(this.#lenderIncarnation);
-    borrower.holder.noteRequest(requestNumber, this.nowMs);
+    borrower.holder.recordRequest(requestNumber, this.nowMs);
     const report = {
       entryHostId: borrower.id,
       incarnation: borrower.id,
       requestNumber,
-      heldLease: borrower.holder.getHeldNumber(lenderIncarnation),
+      heldLease: borrower.holder.getLeaseNumber(lenderIncarnation),
       demand: this.#demands.get(borrower.id) ?? buildShare(() => 0),
       running: 0,
     };
     this.#send(() => {
       if (lenderIncarnation !== String(this.#lenderIncarnation)) return;
-      this.#ledger.record(report, this.nowMs);
+      this.#ledger.recordReport(report, this.nowMs);
       this.#sendLease(borrower, this.#grant(borrower.id));
     });
   }
@@ -147,7 +147,7 @@
   }
 
   #sendDueLeases(): void {
-    this.#ledger.listDue(this.#buildContext()).forEach((id) => {
+    this.#ledger.listDueHosts(this.#buildContext()).forEach((id) => {
       const borrower = this.borrowers.find((one) => one.id === id);
       if (borrower) this.#sendLease(borrower, this.#grant(id));
     });
@@ -163,8 +163,8 @@
     return {
       limits: this.run.limits,
       listedIds: this.ids,
-      reachable: new Map(this.ids.map((id) => [id, id])),
-      maxRunMs: 1000,
+      reachableIncarnations: new Map(this.ids.map((id) => [id, id])),
+      maxRequestMs: 1000,
       nowMs: this.nowMs,
     };
   }
@@ -232,15 +232,15 @@
   const quietUntilMs = 5000;
   const ledger = new AllowanceLedger({
     accountId: ACCOUNT_ID,
-    quietUntilMs,
+    lendingStartsAtMs: quietUntilMs,
     nextLeaseNumber: () => 1,
   });
   const limits = { requestsPerSecond: 10, tokensPerSecond: 10, inFlight: 10 };
   const context: Omit<LedgerContext, 'nowMs'> = {
     limits,
     listedIds: ['eh-1'],
-    reachable: new Map([['eh-1', 'eh-1']]),
-    maxRunMs: 1000,
+    reachableIncarnations: new Map([['eh-1', 'eh-1']]),
+    maxRequestMs: 1000,
   };
   t.equal(ledger.grant('eh-1', { ...context, nowMs: quietUntilMs - 1 }), undefined);
   t.same(ledger.grant('eh-1', { ...context, nowMs: quietUntilMs })?.share.inFlight, 1);
@@ -254,7 +254,7 @@
   let lease = 0;
   const ledger = new AllowanceLedger({
     accountId: ACCOUNT_ID,
-    quietUntilMs: 0,
+    lendingStartsAtMs: 0,
     nextLeaseNumber: () => {
       lease += 1;
       return lease;
@@ -263,11 +263,11 @@
   const context = (nowMs: number): LedgerContext => ({
     limits,
     listedIds: ['eh-1', 'eh-2'],
-    reachable: new Map([
+    reachableIncarnations: new Map([
       ['eh-1', 'eh-1'],
       ['eh-2', 'eh-2'],
     ]),
-    maxRunMs: 60_000,
+    maxRequestMs: 60_000,
     nowMs,
   });
   const report = (
@@ -275,7 +275,7 @@
     nowMs: number,
     state: { wanted: number; running: number; heldLease: number },
   ): LedgerGrant | undefined => {
-    ledger.record(
+    ledger.recordReport(
       {
         entryHostId: id,
         incarnation: id,
--- a/src/domain/limits/lease_holder.ts
+++ b/src/domain/limits/lease_holder.ts
@@ -47,7 +47,7 @@
    * @param requestNumber - number of the request; numbers increase and are never reused
    * @param nowMs - monotonic time in milliseconds
    */
-  noteRequest(requestNumber: number, nowMs: number): void {
+  recordRequest(requestNumber: number, nowMs: number): void {
     this.#requestSentAtMs.set(requestNumber, nowMs);
     const [oldest] = this.#requestSentAtMs.keys();
     if (this.#requestSentAtMs.size > MAX_TRACKED_REQUESTS && oldest !== undefined)
@@ -77,7 +77,7 @@
    * @param lenderIncarnation - incarnation of a lender
    * @returns number of the held lease if that lender sent it; 0 otherwise
    */
-  getHeldNumber(lenderIncarnation: string): number {
+  getLeaseNumber(lenderIncarnation: string): number {
     return this.#held?.home === lenderIncarnation ? this.#held.leaseNumber : 0;
   }
 
@@ -103,7 +103,7 @@
    * @param untilMs - inclusive upper bound, in milliseconds
    * @returns the times in ascending order, in milliseconds
    */
-  listChanges(afterMs: number, untilMs: number): readonly number[] {
+  listShareChanges(afterMs: number, untilMs: number): readonly number[] {
     if (!this.#held) return [];
     return [this.#held.permissionEndsAtMs, this.#held.restrictionEndsAtMs]
       .filter((atMs) => atMs > afterMs && atMs <= untilMs)
@@ -114,7 +114,7 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns whether a lease is in effect
    */
-  isHolding(nowMs: number): boolean {
+  hasLease(nowMs: number): boolean {
     return this.#held !== undefined && nowMs < this.#held.restrictionEndsAtMs;
   }
 }
--- a/src/domain/limits/lease_times.ts
+++ b/src/domain/limits/lease_times.ts
@@ -5,7 +5,7 @@
  */
 
 /** Default time in milliseconds for which a lease permits more than the base share. */
-export const LEASE_LIFE_MS = 2000;
+export const LEASE_DURATION_MS = 2000;
 
 /**
  * Number of lease durations, from its receipt, for which a lease restricts its
--- a/src/domain/limits/ledger_types.ts
+++ b/src/domain/limits/ledger_types.ts
@@ -25,9 +25,9 @@
   /** IDs of the entry hosts on the host list. */
   readonly listedIds: readonly string[];
   /** Incarnations of the reachable listed entry hosts by ID, this host included. */
-  readonly reachable: ReadonlyMap<string, string>;
+  readonly reachableIncarnations: ReadonlyMap<string, string>;
   /** Maximum time that a request may be in flight, in milliseconds. */
-  readonly maxRunMs: number;
+  readonly maxRequestMs: number;
   /** Monotonic time in milliseconds. */
   readonly nowMs: number;
 }
--- a/src/domain/limits/mod.ts
+++ b/src/domain/limits/mod.ts
@@ -17,12 +17,12 @@
   listBaseShares,
 } from './share.js';
 export type { AllowanceShare } from './share.js';
-export { pickAllowanceHome } from './allowance_home.js';
+export { pickAllowanceLender } from './allowance_home.js';
 export { LeaseHolder } from './lease_holder.js';
 export type { ReceivedLease } from './lease_holder.js';
 export { AllowanceLedger } from './allowance_ledger.js';
 export type { AllowanceLedgerOptions } from './allowance_ledger.js';
 export type { DemandReport, LedgerContext, LedgerGrant } from './ledger_types.js';
-export { ACK_REQUEST_NUMBER, RESTRICTION_DURATION_FACTOR, LEASE_LIFE_MS } from './lease_times.js';
+export { ACK_REQUEST_NUMBER, RESTRICTION_DURATION_FACTOR, LEASE_DURATION_MS } from './lease_times.js';
 export { SharedBucket } from './shared_bucket.js';
 export type { PeerReport, SharedBucketLimit, SharedBucketOptions } from './shared_bucket.js';
--- a/src/domain/limits/share_test.ts
+++ b/src/domain/limits/share_test.ts
@@ -1,6 +1,6 @@
 import t from 'tap';
 import fc from 'fast-check';
-import { computeBaseShare, LIMIT_KINDS, pickAllowanceHome } from './mod.js';
+import { computeBaseShare, LIMIT_KINDS, pickAllowanceLender } from './mod.js';
 
 const LISTED = fc.uniqueArray(fc.string({ minLength: 1, maxLength: 6 }), {
   minLength: 1,
@@ -34,8 +34,8 @@
 t.test('the allowance lender does not depend on the order of the host list', async (t) => {
   fc.assert(
     fc.property(LISTED, fc.string(), (listed, account) => {
-      const home = pickAllowanceHome(account, listed);
-      return home !== undefined && home === pickAllowanceHome(account, [...listed].reverse());
+      const home = pickAllowanceLender(account, listed);
+      return home !== undefined && home === pickAllowanceLender(account, [...listed].reverse());
     }),
     { seed: 42, numRuns: 200 },
   );
--- a/src/domain/limits/shared_bucket.ts
+++ b/src/domain/limits/shared_bucket.ts
@@ -69,7 +69,7 @@
   /** Monotonic time in milliseconds. */
   readonly nowMs: number;
   /** Silence after which a peer counts as unreachable, in milliseconds. */
-  readonly silentAfterMs: number;
+  readonly peerTimeoutMs: number;
 }
 
 /**
@@ -112,7 +112,7 @@
   /** @param options - the limit, the time and the peer timeout */
   constructor(options: SharedBucketOptions) {
     this.#limit = options.limit;
-    this.#peerTimeoutMs = options.silentAfterMs;
+    this.#peerTimeoutMs = options.peerTimeoutMs;
     this.#startedAtMs = options.nowMs;
     this.#refilledAtMs = options.nowMs;
     this.#level = options.limit.capacity * INITIAL_FILL_FRACTION;
@@ -133,7 +133,7 @@
    * @param source - source to leave out, as in {@link PeerReport}
    * @returns units that this entry host and all other sources have spent
    */
-  computeOthersUnits(source: string): number {
+  computeUnitsExcept(source: string): number {
     const appliedUnits = this.#peers.get(source)?.appliedUnits ?? 0;
     return this.#totalUnits + this.#peerUnits - appliedUnits;
   }
@@ -152,7 +152,7 @@
    *   included; in (0, 1]
    * @param nowMs - monotonic time in milliseconds
    */
-  setReach(reachableFraction: number, nowMs: number): void {
+  setReachableFraction(reachableFraction: number, nowMs: number): void {
     if (reachableFraction === this.#reachableFraction) return;
     this.#refill(nowMs);
     this.#reachableFraction = reachableFraction;
@@ -193,7 +193,7 @@
    * @param report - the peer's report
    * @param nowMs - monotonic time in milliseconds
    */
-  applyPeerTotal(report: PeerReport, nowMs: number): void {
+  applyPeerReport(report: PeerReport, nowMs: number): void {
     this.#refill(nowMs);
     const { source, totalUnits, isMember } = report;
     const known = this.#peers.get(source);
--- a/src/domain/limits/shared_bucket_relays_test.ts
+++ b/src/domain/limits/shared_bucket_relays_test.ts
@@ -51,7 +51,7 @@
       }
     }
     this.buckets.forEach((bucket, host) => {
-      bucket.setReach(
+      bucket.setReachableFraction(
         Math.min(1, (1 + this.#countReachableHosts(host, nowMs)) / HOST_COUNT),
         nowMs,
       );
@@ -65,10 +65,10 @@
     const totals: Record<string, number> = {
       member: bucket.totalUnits,
       group: bucket.groupUnits,
-      fleet: bucket.computeOthersUnits(receiver),
+      fleet: bucket.computeUnitsExcept(receiver),
     };
     const source = `${sender}/${this.incarnations[sender]}/${scope}`;
-    (this.buckets[recipient] as SharedBucket).applyPeerTotal(
+    (this.buckets[recipient] as SharedBucket).applyPeerReport(
       {
         source,
         totalUnits: totals[scope] ?? 0,
@@ -105,7 +105,7 @@
 }
 
 function createBucket(nowMs: number): SharedBucket {
-  return new SharedBucket({ limit: LIMIT, nowMs, silentAfterMs: PEER_TIMEOUT_MS });
+  return new SharedBucket({ limit: LIMIT, nowMs, peerTimeoutMs: PEER_TIMEOUT_MS });
 }
 
 t.test('a relay sums its members and reports to each the spending of all others', async (t) => {
@@ -116,7 +116,7 @@
   hosts.buckets.forEach((bucket, host) => {
     const isRelay = host % GROUP_SIZE === 0;
     if (isRelay) t.equal(bucket.groupUnits, GROUP_SIZE * 10, String(host));
-    t.equal(bucket.computeOthersUnits(''), HOST_COUNT * 10, String(host));
+    t.equal(bucket.computeUnitsExcept(''), HOST_COUNT * 10, String(host));
   });
 });
 
--- a/src/domain/limits/shared_bucket_test.ts
+++ b/src/domain/limits/shared_bucket_test.ts
@@ -10,7 +10,7 @@
 const RUN_OPTIONS = { seed: 24, numRuns: 60 };
 
 function createBucket(nowMs = 0): SharedBucket {
-  return new SharedBucket({ limit: LIMIT, nowMs, silentAfterMs: PEER_TIMEOUT_MS });
+  return new SharedBucket({ limit: LIMIT, nowMs, peerTimeoutMs: PEER_TIMEOUT_MS });
 }
 
 function buildReport(source: string, totalUnits: number): PeerReport {
@@ -46,9 +46,9 @@
 
 t.test('SharedBucket subtracts the units that peers report exactly once', async (t) => {
   const bucket = createBucket();
-  bucket.applyPeerTotal(buildReport('peer', 0), 5_000);
-  bucket.applyPeerTotal(buildReport('peer', 900), 5_100);
-  bucket.applyPeerTotal(buildReport('peer', 900), 5_100);
+  bucket.applyPeerReport(buildReport('peer', 0), 5_000);
+  bucket.applyPeerReport(buildReport('peer', 900), 5_100);
+  bucket.applyPeerReport(buildReport('peer', 900), 5_100);
   t.ok(bucket.take(200, 5_100) > 0);
   t.equal(bucket.take(100, 5_100), 0);
 });
@@ -63,7 +63,7 @@
 
 t.test('SharedBucket refills at a fraction of the rate while peers are unreachable', async (t) => {
   const bucket = createBucket();
-  bucket.setReach(0.25, 0);
+  bucket.setReachableFraction(0.25, 0);
   bucket.take(50, 0);
   t.equal(bucket.take(125, 10_000), 0);
   t.equal(bucket.take(125, 10_000), 0);
@@ -104,12 +104,12 @@
         if (from === to || this.sides[from] !== this.sides[to]) return;
         lastHeardAtMs[from] = nowMs;
         const source = `${from}/${this.incarnations[from]}`;
-        bucket.applyPeerTotal(buildReport(source, other.totalUnits), nowMs);
+        bucket.applyPeerReport(buildReport(source, other.totalUnits), nowMs);
       });
       const reachableCount = lastHeardAtMs.filter(
         (atMs, from) => from === to || nowMs - atMs <= PEER_TIMEOUT_MS,
       ).length;
-      bucket.setReach(reachableCount / this.count, nowMs);
+      bucket.setReachableFraction(reachableCount / this.count, nowMs);
     });
   }
 }
--- a/src/domain/routing/route_table.ts
+++ b/src/domain/routing/route_table.ts
@@ -57,7 +57,7 @@
    * @param hostName - host name of the requests
    * @returns the union of its routes' regions; undefined if a route allows all or none exists
    */
-  findRegions(hostName: string): Regions {
+  findAllowedRegions(hostName: string): Regions {
     const routes = this.#routes.get(hostName) ?? [];
     if (routes.length === 0 || routes.some(({ regions }) => regions === undefined))
       return undefined;
--- a/src/domain/routing/route_table_test.ts
+++ b/src/domain/routing/route_table_test.ts
@@ -16,7 +16,7 @@
     targetGapMs: 0,
     rank: 0,
     maxAttempts: 1,
-    isOpen: false,
+    mayBeAnonymous: false,
     ...changes,
   };
 }
--- a/src/domain/routing/types.ts
+++ b/src/domain/routing/types.ts
@@ -39,7 +39,7 @@
   /** Maximum number of backend servers to which one request may be sent. */
   readonly maxAttempts: number;
   /** Whether requests without an API key are served. */
-  readonly isOpen: boolean;
+  readonly mayBeAnonymous: boolean;
   /** Regions in which its requests may be handled; undefined: all. */
   readonly regions?: Regions;
 }
--- a/test/support/allowance_hosts.ts
+++ b/test/support/allowance_hosts.ts
@@ -8,7 +8,7 @@
 import type { Admission } from '../../src/application/views/mod.js';
 import type { AccountContract, AccountLimits } from '../../src/domain/contracts/types.js';
 import { SchedulerError } from '../../src/domain/errors/mod.js';
-import { pickAllowanceHome } from '../../src/domain/limits/mod.js';
+import { pickAllowanceLender } from '../../src/domain/limits/mod.js';
 import { PeerState } from '../../src/domain/membership/mod.js';
 import type { EntryHostIdentity } from '../../src/domain/membership/mod.js';
 import type { PeerMessage, Timer } from '../../src/ports/mod.js';
@@ -111,7 +111,7 @@
 
   /** ID of the entry host that is the allowance lender of the account. */
   get home(): string {
-    return pickAllowanceHome(ACCOUNT_ID, this.options.ids) ?? '';
+    return pickAllowanceLender(ACCOUNT_ID, this.options.ids) ?? '';
   }
 
   /** Number of requests in flight. */
--- a/test/support/direct_host.ts
+++ b/test/support/direct_host.ts
@@ -52,7 +52,7 @@
   targetGapMs: 100,
   rank: 0,
   maxAttempts: 2,
-  isOpen: false,
+  mayBeAnonymous: false,
 };
 
 const ENGINES = { id: 'engines', maxConnections: 10, isEngine: true, tokensPerEvent: 1 };
