--- a/src/application/crashes/_trial_queue.ts
+++ b/src/application/crashes/_trial_queue.ts
@@ -4,8 +4,8 @@
  *
  * @module
  */
-import { computeNextStepMs, computeTurnMs } from '../../domain/crashes/mod.js';
-import type { CrashLedger, CrashNote, Doubt } from '../../domain/crashes/mod.js';
+import { computeNextStepAtMs, computeTurnAtMs } from '../../domain/crashes/mod.js';
+import type { CrashLedger, CrashNote, TrialProgress } from '../../domain/crashes/mod.js';
 import { LogLevel } from '../../domain/errors/mod.js';
 import { sortByRendezvous } from '../../domain/membership/mod.js';
 import type { Clock, EventLog, Metrics, RandomSource, Timer } from '../../ports/mod.js';
@@ -101,7 +101,7 @@
    *   wait; undefined when calls may wait or the content is not on probation
    */
   computeRetryAfterMs(contentId: string): number | undefined {
-    const doubt = this.#options.ledger.doubts.find(contentId);
+    const doubt = this.#options.ledger.probationList.findProgress(contentId);
     return doubt && this.#computeRetryAfterMs(doubt);
   }
 
@@ -114,7 +114,7 @@
    */
   acquirePermit(contentId: string, hasTime: boolean): Pass {
     const { ledger, clock, log, metrics } = this.#options;
-    const doubt = ledger.doubts.find(contentId);
+    const doubt = ledger.probationList.findProgress(contentId);
     if (!doubt) return FREE_PERMIT;
     if (!hasTime) return WAIT_PERMIT;
     const nowMs = clock.nowMs();
@@ -123,12 +123,12 @@
     log.write(LogLevel.Warn, 'request_tried', { contentId, trial: doubt.trialCount + 1 });
     metrics.count('request_trials_total');
     const trial = { id, startedAtMs: nowMs, isVoid: false };
-    this.#options.notifyPeers(ledger.noteTrial(contentId, trial, nowMs));
+    this.#options.notifyPeers(ledger.recordTrial(contentId, trial, nowMs));
     return {
       kind: PassKind.Trial,
       handBack: () => {
         const voidTrial = { ...trial, isVoid: true };
-        this.#options.notifyPeers(ledger.noteTrial(contentId, voidTrial, clock.nowMs()));
+        this.#options.notifyPeers(ledger.recordTrial(contentId, voidTrial, clock.nowMs()));
       },
     };
   }
@@ -151,7 +151,7 @@
   wakeCalls(): void {
     const isOpen = this.#isTrialOpen();
     [...this.#requestedContents].forEach(([contentId, requested]) => {
-      const doubt = this.#options.ledger.doubts.find(contentId);
+      const doubt = this.#options.ledger.probationList.findProgress(contentId);
       if (doubt && this.#computeRetryAfterMs(doubt) === undefined) {
         const isDue = this.#options.clock.nowMs() >= this.#computeTurnAtMs(contentId, doubt);
         if (isDue && !isOpen) wakeLatest(requested.waiting, 1);
@@ -169,9 +169,9 @@
     this.#requestedContents.clear();
   }
 
-  #computeRetryAfterMs(doubt: Doubt): number | undefined {
+  #computeRetryAfterMs(doubt: TrialProgress): number | undefined {
     const nowMs = this.#options.clock.nowMs();
-    const delayMs = computeNextStepMs(doubt) - nowMs;
+    const delayMs = computeNextStepAtMs(doubt) - nowMs;
     const isOpen = nowMs - (doubt.lastTrialAtMs ?? -Infinity) < MAX_WAIT_MS;
     return delayMs <= MAX_WAIT_MS || isOpen ? undefined : delayMs;
   }
@@ -189,7 +189,7 @@
     return created;
   }
 
-  #computeTurnAtMs(contentId: string, doubt: Doubt): number {
+  #computeTurnAtMs(contentId: string, doubt: TrialProgress): number {
     const requested = this.#getOrCreateRequested(contentId);
     const { trialCount } = doubt;
     if (requested.rank?.trialCount !== trialCount) {
@@ -197,17 +197,17 @@
     }
     const position = Math.min(
       MAX_DELAYED_POSITION,
-      this.#options.ledger.doubts.findPlace(contentId),
+      this.#options.ledger.probationList.findTrialPosition(contentId),
     );
     const fromMs =
       Math.max(requested.requestedSinceMs, this.#noTrialSinceMs) + position * TURN_STEP_MS;
-    return computeTurnMs(doubt, fromMs, requested.rank.value);
+    return computeTurnAtMs(doubt, fromMs, requested.rank.value);
   }
 
   /** Checks for an open trial; two trials at the same server at once would prove nothing. */
   #isTrialOpen(): boolean {
     const nowMs = this.#options.clock.nowMs();
-    const isOpen = this.#options.ledger.doubts.findOpen(nowMs) !== undefined;
+    const isOpen = this.#options.ledger.probationList.findOpenTrial(nowMs) !== undefined;
     if (this.#wasTrialOpen && !isOpen) this.#noTrialSinceMs = nowMs;
     this.#wasTrialOpen = isOpen;
     return isOpen;
--- a/src/application/crashes/crash_keeper.ts
+++ b/src/application/crashes/crash_keeper.ts
@@ -36,8 +36,8 @@
 /** Log events and metrics of a content's state changes. */
 const STATE_CHANGE_EVENTS: Readonly<Record<SuspectState, string>> = {
   [SuspectState.Free]: 'request_released',
-  [SuspectState.Doubted]: 'request_doubted',
-  [SuspectState.Held]: 'request_held',
+  [SuspectState.Probation]: 'request_doubted',
+  [SuspectState.Quarantined]: 'request_held',
 };
 
 /** Options of {@link CrashKeeper}. */
@@ -89,7 +89,7 @@
     this.#options = options;
     const { paths } = options;
     this.#ledger = new CrashLedger({
-      getSettleMs: () => (paths.listTargets().length > 0 ? NOTE_SETTLE_MS : 0),
+      getNoteDelayMs: () => (paths.listTargets().length > 0 ? NOTE_SETTLE_MS : 0),
     });
     this.#trials = new TrialQueue({
       ...options,
@@ -130,7 +130,7 @@
 
   /** Number of quarantined contents. */
   get heldCount(): number {
-    return this.#ledger.heldCount;
+    return this.#ledger.quarantinedCount;
   }
 
   /**
@@ -142,7 +142,7 @@
   findRefusal(contentId: string): SchedulerError | undefined {
     const delayMs = this.#trials.computeRetryAfterMs(contentId);
     if (delayMs === undefined && !this.#ledger.isHeld(contentId)) return undefined;
-    this.#noteExchange.sendNotes(this.#ledger.noteSeen(contentId, this.#options.clock.nowMs()));
+    this.#noteExchange.sendNotes(this.#ledger.recordSeen(contentId, this.#options.clock.nowMs()));
     return new SchedulerError(ErrorKind.RequestHeld, {
       message: `Cannot send the call: backend servers crashed while running content ${contentId}`,
       ...(delayMs === undefined ? {} : { retryAfterMs: delayMs }),
@@ -275,15 +275,15 @@
 
   #publishStateChanges(): void {
     const { log, metrics, clock } = this.#options;
-    const changes = this.#ledger.takeVerdicts();
+    const changes = this.#ledger.takeStateChanges();
     if (changes.length === 0) return;
-    metrics.set('requests_held', this.#ledger.heldCount);
+    metrics.set('requests_held', this.#ledger.quarantinedCount);
     changes.forEach(({ contentId, state, isHeld, crashIds }) => {
       const event = STATE_CHANGE_EVENTS[state];
       log.write(LogLevel.Warn, event, { contentId, crashes: crashIds.join() });
       metrics.count(`${event}_total`);
       if (!isHeld) return;
-      this.#noteExchange.sendNotes(this.#ledger.listContent(contentId, clock.nowMs()));
+      this.#noteExchange.sendNotes(this.#ledger.listByContent(contentId, clock.nowMs()));
       this.#refuseCalls(contentId);
     });
     this.#trials.wakeCalls();
--- a/src/application/direct/_call_obstacle.ts
+++ b/src/application/direct/_call_obstacle.ts
@@ -5,7 +5,7 @@
  */
 import { ErrorKind } from '../../domain/errors/mod.js';
 import { isAllowedRegion } from '../../domain/places/mod.js';
-import type { Regions } from '../../domain/places/mod.js';
+import type { AllowedRegions } from '../../domain/places/mod.js';
 import type { ServerKeeper } from './server_keeper.js';
 
 /**
@@ -20,7 +20,7 @@
 export function findRejection(
   servers: ServerKeeper,
   serviceId: string,
-  regions: Regions,
+  regions: AllowedRegions,
 ): ErrorKind | undefined {
   if (servers.isClosed(serviceId)) return ErrorKind.ServiceClosed;
   if (regions === undefined) return undefined;
--- a/src/application/direct/_direct_attempt.ts
+++ b/src/application/direct/_direct_attempt.ts
@@ -105,15 +105,15 @@
     this.#stallDetector = new StallDetector({
       ...options,
       predictedFirstByteMs: this.#predictedFirstByteMs,
-      onStall: () => this.#abandon('no data arrived within the stall limit', ServerOutcome.Silent),
+      onStall: () => this.#abandon('no data arrived within the stall limit', ServerOutcome.TimedOut),
     });
   }
 
   /** Sends the request. */
   start(): void {
     const { backend, request, load, clock } = this.#options;
-    load.begin(this.#work);
-    load.warmup.noteSent(clock.nowMs());
+    load.recordStart(this.#work);
+    load.warmup.recordSent(clock.nowMs());
     try {
       this.#exchange = backend.send(request, this);
     } catch (error) {
@@ -213,7 +213,7 @@
       BackendFailure.Broken,
       `answered with status ${this.#status}`,
       mayForward ? () => relay?.end() : undefined,
-      ServerOutcome.Erred,
+      ServerOutcome.ServerError,
     );
   }
 
@@ -227,7 +227,7 @@
     if (this.#firstByteMs > 0) return;
     const { clock, load } = this.#options;
     this.#firstByteMs = Math.max(0.1, clock.nowMs() - this.#startedAtMs);
-    load.noteFirstByte(this.#work);
+    load.recordFirstByte(this.#work);
     this.#stallDetector.recordFirstByte(this.#stream);
   }
 
@@ -252,7 +252,7 @@
     }
     onEnd({
       failure,
-      isComplete: failure === undefined || outcome === ServerOutcome.Erred,
+      isComplete: failure === undefined || outcome === ServerOutcome.ServerError,
       isFramed: this.#isFramed,
       reason,
       status: this.#status,
@@ -275,8 +275,8 @@
     this.#hasEnded = true;
     this.#stallDetector.stop();
     const { clock, load } = this.#options;
-    if (this.#firstByteMs === 0) load.noteFirstByte(this.#work);
-    load.end(outcome, clock.nowMs());
+    if (this.#firstByteMs === 0) load.recordFirstByte(this.#work);
+    load.recordEnd(outcome, clock.nowMs());
   }
 }
 
--- a/src/application/direct/_doubt_wait.ts
+++ b/src/application/direct/_doubt_wait.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { computeDoubtWaitMs } from '../../domain/direct/mod.js';
+import { computeMaxProbationWaitMs } from '../../domain/direct/mod.js';
 import { ErrorKind, SchedulerError } from '../../domain/errors/mod.js';
 import type { DirectCallOptions } from './direct_call_options.js';
 
@@ -36,7 +36,7 @@
     handlers: ProbationWaitHandlers,
   ) {
     const { clock, crashes } = services;
-    const timer = clock.setTimer(computeDoubtWaitMs(deadlineAtMs - clock.nowMs()), () => {
+    const timer = clock.setTimer(computeMaxProbationWaitMs(deadlineAtMs - clock.nowMs()), () => {
       this.#cancel();
       handlers.onExpired(new SchedulerError(ErrorKind.QueueFull, { retryAfterMs: RETRY_AFTER_MS }));
     });
--- a/src/application/direct/_warmup_guard.ts
+++ b/src/application/direct/_warmup_guard.ts
@@ -7,7 +7,7 @@
 import { LogLevel } from '../../domain/errors/mod.js';
 import type { HostState } from '../../domain/overlay/mod.js';
 import { deriveWarmupShare, isWarmupSender } from '../../domain/places/mod.js';
-import type { WarmupBound } from '../../domain/places/mod.js';
+import type { WarmupLimit } from '../../domain/places/mod.js';
 import type { Clock, EventLog } from '../../ports/mod.js';
 import type { PlaceKeeper } from './place_keeper.js';
 
@@ -34,7 +34,7 @@
    * @param serviceId - ID of the service
    * @returns load limit of its backend servers while they warm up; undefined: no limit
    */
-  readonly findWarmupBound: (serviceId: string) => WarmupBound | undefined;
+  readonly findWarmupBound: (serviceId: string) => WarmupLimit | undefined;
 }
 
 interface CachedSenderRole {
@@ -101,18 +101,18 @@
     if (!limit) return;
     const warmAtMs = this.#computeWarmAtMs(entry, limit);
     if (clock.nowMs() >= warmAtMs) {
-      load.warmup.set(warmAtMs, 0);
+      load.warmup.configure(warmAtMs, 0);
       return;
     }
-    const { senders, intervalMs } = deriveWarmupShare(limit.requestsPerSecond);
-    load.warmup.set(warmAtMs, this.#isSender(entry.id, senders) ? intervalMs : Infinity);
+    const { senderCount: senders, intervalMs } = deriveWarmupShare(limit.requestsPerSecond);
+    load.warmup.configure(warmAtMs, this.#isSender(entry.id, senders) ? intervalMs : Infinity);
   }
 
   /**
    * Computes when a backend server becomes warm. It may have turned cold while its zone was
    * closed, and its entry reports that only later, so a newly opened zone counts as cold.
    */
-  #computeWarmAtMs({ id, availabilityZone }: BackendServerEntry, limit: WarmupBound): number {
+  #computeWarmAtMs({ id, availabilityZone }: BackendServerEntry, limit: WarmupLimit): number {
     const openedAtMs = this.#options.places.findOpenedAtMs(availabilityZone) ?? -Infinity;
     return Math.max(this.#warmAtMs.get(id) ?? -Infinity, openedAtMs + limit.durationMs);
   }
--- a/src/application/direct/direct_call.ts
+++ b/src/application/direct/direct_call.ts
@@ -6,14 +6,14 @@
 import { ServerOutcome } from '../../domain/backend_servers/mod.js';
 import type { Candidate, RequestWork } from '../../domain/backend_servers/mod.js';
 import {
-  AIM_WAIT_PART,
-  computeMoveWaitMs,
-  computeReturnMs,
-  computeWaitMs,
+  WAIT_FRACTION,
+  computeMaxFailoverWaitMs,
+  computeRetryAfterMs,
+  computeMaxWaitMs,
 } from '../../domain/direct/mod.js';
 import { ErrorKind, SchedulerError } from '../../domain/errors/mod.js';
 import { intersectRegions } from '../../domain/places/mod.js';
-import type { Regions } from '../../domain/places/mod.js';
+import type { AllowedRegions } from '../../domain/places/mod.js';
 import type { ClientAccount } from '../../domain/routing/mod.js';
 import { BackendFailure } from '../../ports/mod.js';
 import type { DirectRequest, LogFields, Timer } from '../../ports/mod.js';
@@ -43,7 +43,7 @@
 
   readonly arrivedAtMs: number;
 
-  readonly regions: Regions;
+  readonly regions: AllowedRegions;
 
   readonly excluded = new Set<string>();
 
@@ -52,7 +52,7 @@
   /** When the call times out: the earlier of the caller's deadline and the route's timeout. */
   readonly deadlineAtMs: number;
 
-  startByMs: number;
+  latestStartAtMs: number;
 
   #attempt: DirectAttempt | undefined;
 
@@ -83,9 +83,9 @@
     const timeoutMs = Math.min(request.deadlineMs ?? Infinity, route.timeoutMs);
     this.deadlineAtMs = this.arrivedAtMs + timeoutMs;
     this.#attempts = new AttemptBudget(this, route, services.clock);
-    this.startByMs =
+    this.latestStartAtMs =
       this.arrivedAtMs +
-      computeWaitMs({ isLate: this.isLate, timeLeftMs: timeoutMs, targetMs: route.targetMs });
+      computeMaxWaitMs({ isLate: this.isLate, timeLeftMs: timeoutMs, targetMs: route.targetMs });
     this.#recorder = new CallRecorder({ ...options, arrivedAtMs: this.arrivedAtMs });
     this.#crashEvidence = new CrashEvidence(services, options.contentId);
     this.#timer = services.clock.setTimer(timeoutMs, () => this.#handleTimeout());
@@ -172,15 +172,15 @@
 
   #resubmit(): void {
     const { queue, services } = this.#options;
-    this.startByMs = services.clock.nowMs() + computeMoveWaitMs(this.#attempts.timeLeftMs);
+    this.latestStartAtMs = services.clock.nowMs() + computeMaxFailoverWaitMs(this.#attempts.timeLeftMs);
     queue.submit(this);
   }
 
   shed(estimatedWaitMs: number): void {
     const { services, route } = this.#options;
     const nowMs = services.clock.nowMs();
-    const targetEndsAtMs = this.isLate ? nowMs : this.arrivedAtMs + route.targetMs * AIM_WAIT_PART;
-    const retryAfterMs = computeReturnMs({
+    const targetEndsAtMs = this.isLate ? nowMs : this.arrivedAtMs + route.targetMs * WAIT_FRACTION;
+    const retryAfterMs = computeRetryAfterMs({
       clearMs: estimatedWaitMs,
       timeLeftMs: this.#attempts.timeLeftMs,
       aimLeftMs: targetEndsAtMs - nowMs,
--- a/src/application/direct/direct_call_options.ts
+++ b/src/application/direct/direct_call_options.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { OutputForecast } from '../../domain/direct/mod.js';
+import type { OutputEstimator } from '../../domain/direct/mod.js';
 import type { SchedulerError } from '../../domain/errors/mod.js';
 import type { ClientAccount, Route } from '../../domain/routing/mod.js';
 import type { DirectReply, DirectRequest } from '../../ports/mod.js';
@@ -23,7 +23,7 @@
   /** Whether the caller is assumed to come back after an earlier refusal. */
   readonly isReturning: boolean;
   readonly queue: ServiceQueue;
-  readonly outputEstimator: OutputForecast;
+  readonly outputEstimator: OutputEstimator;
   /** Output tokens per event of a stream. */
   readonly tokensPerEvent: number;
   readonly services: DirectServices;
--- a/src/application/direct/direct_call_test.ts
+++ b/src/application/direct/direct_call_test.ts
@@ -2,7 +2,7 @@
 import { buildServer, startDirectHost } from '../../../test/support/direct_host.js';
 import type { DocumentChanges } from '../../../test/support/direct_host.js';
 import { settle } from '../../../test/support/virtual_clock.js';
-import { formatLife } from '../../domain/backend_servers/mod.js';
+import { formatIncarnationId } from '../../domain/backend_servers/mod.js';
 import { ErrorKind, RunOutcome } from '../../domain/errors/mod.js';
 import { BackendFailure } from '../../ports/mod.js';
 
@@ -41,7 +41,7 @@
   const host = await startDirectHost(t, {}, ['s-1']);
   const reply = host.call();
   const changes = { serverId: 's-1', bornAtMs: 5 };
-  host.feed.put('servers/s-1', buildServer(formatLife('s-1', 5), changes));
+  host.feed.put('servers/s-1', buildServer(formatIncarnationId('s-1', 5), changes));
   await settle();
   t.equal(reply.error?.run, RunOutcome.MayHaveRun);
   t.ok(host.sent(0).isCancelled);
@@ -54,7 +54,7 @@
   host.sent(0).head({ isEventStream: true });
   host.sent(0).events(1, 2);
   const changes = { serverId: 's-1', bornAtMs: 5 };
-  host.feed.put('servers/s-1', buildServer(formatLife('s-1', 5), changes));
+  host.feed.put('servers/s-1', buildServer(formatIncarnationId('s-1', 5), changes));
   host.feed.put('servers/s-2', buildServer('s-2'));
   await settle();
   t.match(host.sent(1).request, { lastEventId: '2', serverId: /s-1|s-2/ });
--- a/src/application/direct/direct_gateway.ts
+++ b/src/application/direct/direct_gateway.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { OutputForecast, RetryShare, ReturningCallers } from '../../domain/direct/mod.js';
+import { OutputEstimator, RetryBudgetShare, ReturningCallerDetector } from '../../domain/direct/mod.js';
 import type { RetryBounds } from '../../domain/direct/mod.js';
 import { ErrorKind, LogLevel, SchedulerError } from '../../domain/errors/mod.js';
 import { computeRank, pickService } from '../../domain/routing/mod.js';
@@ -59,15 +59,15 @@
   readonly #waitingNotices: WaitingNotices;
 
   /** Shares of the retry budget by service ID. */
-  readonly #retryShares = new KeptByKey(() => new RetryShare(this.#options.retryBounds));
+  readonly #retryShares = new KeptByKey(() => new RetryBudgetShare(this.#options.retryBounds));
 
   readonly #calls = new Set<DirectCall>();
 
   /** Output estimators by route name. */
-  readonly #outputEstimators = new KeptByKey(() => new OutputForecast());
+  readonly #outputEstimators = new KeptByKey(() => new OutputEstimator());
 
   /** Detectors of returning callers by route name. */
-  readonly #returningCallers = new KeptByKey(() => new ReturningCallers());
+  readonly #returningCallers = new KeptByKey(() => new ReturningCallerDetector());
 
   #isRefusingNew = false;
 
@@ -78,7 +78,7 @@
     this.#services = {
       ...options,
       recordFirstAttempt: (serviceId) =>
-        this.#retryShares.take(serviceId).noteAttempt(options.clock.nowMs()),
+        this.#retryShares.take(serviceId).recordAttempt(options.clock.nowMs()),
       takeRetry: (serviceId) =>
         this.#retryShares
           .take(serviceId)
--- a/src/application/direct/freed_slots.ts
+++ b/src/application/direct/freed_slots.ts
@@ -73,7 +73,7 @@
     if (mustForward && this.#hasFreeSlot(serverId)) {
       const message = { type: PeerMessageType.FreedSlot, serverId, hops: hops + 1 } as const;
       this.#send(mostUrgent.source, serviceId, message);
-    } else if (from !== undefined) servers.findLoad(serverId)?.share.noteFreed(clock.nowMs());
+    } else if (from !== undefined) servers.findLoad(serverId)?.share.recordFreed(clock.nowMs());
     dispatchWaiting(serviceId);
   }
 
@@ -86,7 +86,7 @@
   #adjustPeerInFlight(source: string, serverId: string, change: number): void {
     const { servers } = this.#options;
     servers.peers.adjust(source, serverId, change);
-    servers.findLoad(serverId)?.addPeersInFlight(change);
+    servers.findLoad(serverId)?.adjustPeersInFlight(change);
   }
 
   #send(to: string, serviceId: string, message: FreedSlotMessage): void {
@@ -94,7 +94,7 @@
     const { serverId, hops } = message;
     if (!peers.send(to, message)) return;
     this.#adjustPeerInFlight(to, serverId, 1);
-    servers.findLoad(serverId)?.share.noteTaken();
+    servers.findLoad(serverId)?.share.recordTaken();
     servers.peers.noteServed(to, serviceId);
     metrics.count('freed_slots_passed_total', { hops: String(hops) });
   }
--- a/src/application/direct/freed_slots_test.ts
+++ b/src/application/direct/freed_slots_test.ts
@@ -62,8 +62,8 @@
   /** Takes the slot for an own call and gives it back. */
   useSlot(): void {
     const load = this.servers.findLoad('s-1');
-    load?.begin(WORK);
-    load?.end(ServerOutcome.Answered, this.clock.nowMs());
+    load?.recordStart(WORK);
+    load?.recordEnd(ServerOutcome.Answered, this.clock.nowMs());
     this.slots.forward('s-1');
   }
 
--- a/src/application/direct/place_keeper.ts
+++ b/src/application/direct/place_keeper.ts
@@ -39,7 +39,7 @@
 
   /** @param zone - an availability zone. @returns whether its backend servers get no new work */
   isClosed(zone: string): boolean {
-    return this.#closedZones.has(zone);
+    return this.#closedZones.isClosed(zone);
   }
 
   /**
--- a/src/application/direct/server_ending_requests_test.ts
+++ b/src/application/direct/server_ending_requests_test.ts
@@ -8,7 +8,7 @@
 import type { FakeReply } from '../../../test/support/direct_ends.js';
 import type { DirectHost } from '../../../test/support/direct_host.js';
 import { SeededRandom } from '../../../test/support/fakes.js';
-import { REMEMBERED_MS } from '../../domain/crashes/mod.js';
+import { SUSPECT_RETENTION_MS } from '../../domain/crashes/mod.js';
 import { ErrorKind, RunOutcome } from '../../domain/errors/mod.js';
 import type { Route } from '../../domain/routing/mod.js';
 import type { DirectRequest } from '../../ports/mod.js';
@@ -258,6 +258,6 @@
     await fleet.clock.advance(300);
   }
   t.equal(fleet.call(0, CRASHING).error?.kind, ErrorKind.RequestHeld);
-  await fleet.clock.advance(REMEMBERED_MS + PROPAGATION_MS);
+  await fleet.clock.advance(SUSPECT_RETENTION_MS + PROPAGATION_MS);
   t.equal(fleet.call(0, CRASHING).error, undefined);
 });
--- a/src/application/direct/server_keeper.ts
+++ b/src/application/direct/server_keeper.ts
@@ -137,7 +137,7 @@
    */
   countAvoiding(sources: readonly string[] = []): Record<string, number> {
     const nowMs = this.#options.clock.nowMs();
-    const avoidedLoads = [...this.#loads].filter(([, load]) => load.hasFailed(nowMs));
+    const avoidedLoads = [...this.#loads].filter(([, load]) => load.hasFailedRecently(nowMs));
     const counts = Object.fromEntries(avoidedLoads.map(([id]) => [id, 1]));
     return this.peers.sum('avoidedBy', counts, sources);
   }
@@ -163,7 +163,7 @@
     const hostCount = this.#options.countServing();
     this.#loads.forEach((load, id) => {
       load.setPeersInFlight(this.peers.getTotal('inFlight', id));
-      load.setAvoidingHosts(this.peers.getTotal('avoidedBy', id), hostCount);
+      load.setAvoidingHostCount(this.peers.getTotal('avoidedBy', id), hostCount);
     });
     stats?.endedServers.forEach((id) => this.noteEnded(id));
   }
@@ -176,7 +176,7 @@
   /** @param id - a server incarnation whose address has answered as another one */
   noteEnded(id: string): void {
     if (this.#directory.find(id)) this.#endedIncarnations.add(id);
-    if (this.#directory.noteEnded(id)) this.#handleEnded(id);
+    if (this.#directory.recordEnded(id)) this.#handleEnded(id);
   }
 
   #handleEnded(id: string): void {
@@ -207,7 +207,7 @@
     const nowMs = this.#options.clock.nowMs();
     // A name whose value can't be decoded was overwritten, so its server may still be running.
     const mayReturn = (serverId: string): boolean => wasAway || presentIds.has(serverId);
-    const endedIds = this.#directory.applyAll(entries, nowMs, mayReturn);
+    const endedIds = this.#directory.replaceAll(entries, nowMs, mayReturn);
     this.#options.log.write(LogLevel.Info, 'backend_servers_read', { count: entries.length });
     this.#endedIncarnations.clearEntries();
     entries.forEach((entry) => {
@@ -283,7 +283,7 @@
 
   #refresh(): void {
     this.#candidateLists.clear();
-    const expired = this.#directory.expire(this.#options.clock.nowMs());
+    const expired = this.#directory.removeExpired(this.#options.clock.nowMs());
     expired.forEach((id) => {
       this.#loads.delete(id);
       this.#warmupGuard.forget(id);
--- a/src/application/direct/server_keeper_test.ts
+++ b/src/application/direct/server_keeper_test.ts
@@ -2,7 +2,7 @@
 import { buildServer, startDirectHost } from '../../../test/support/direct_host.js';
 import { NO_FIGURES } from '../../../test/support/server_keepers.js';
 import type { DirectHost } from '../../../test/support/direct_host.js';
-import { formatLife, LAPSED_GRACE_MS, ServerOutcome } from '../../domain/backend_servers/mod.js';
+import { formatIncarnationId, EXPIRED_ENTRY_GRACE_MS, ServerOutcome } from '../../domain/backend_servers/mod.js';
 import { settle } from '../../../test/support/virtual_clock.js';
 
 function listIds(host: DirectHost): string[] {
@@ -34,7 +34,7 @@
     host.feed.put('servers/s-1', 'no entry');
     await settle();
     t.same(listIds(host), ['s-1', 's-2']);
-    await host.clock.advance(LAPSED_GRACE_MS);
+    await host.clock.advance(EXPIRED_ENTRY_GRACE_MS);
     t.same(listIds(host), ['s-2']);
     host.feed.put('servers/s-1', buildServer('s-1'));
     await settle();
@@ -45,21 +45,21 @@
 t.test('a new server incarnation starts without the load of the former one', async (t) => {
   const host = await startDirectHost(t, {}, []);
   const putIncarnation = async (bornAtMs: number): Promise<void> => {
-    const id = formatLife('s-1', bornAtMs);
+    const id = formatIncarnationId('s-1', bornAtMs);
     host.feed.put('servers/s-1', buildServer(id, { serverId: 's-1', bornAtMs }));
     await settle();
   };
   await putIncarnation(1);
   const [formerCandidate] = host.servers.listCandidates('engines');
-  formerCandidate?.load.begin({ promptTokens: 1, outputTokens: 1 });
-  formerCandidate?.load.end(ServerOutcome.Failed, host.clock.nowMs());
-  formerCandidate?.load.begin({ promptTokens: 1, outputTokens: 1 });
+  formerCandidate?.load.recordStart({ promptTokens: 1, outputTokens: 1 });
+  formerCandidate?.load.recordEnd(ServerOutcome.Failed, host.clock.nowMs());
+  formerCandidate?.load.recordStart({ promptTokens: 1, outputTokens: 1 });
   host.servers.applyPeer('peer-1', { ...NO_FIGURES, inFlight: { 's-1@1': 5 } });
   await putIncarnation(2);
   const [newCandidate] = host.servers.listCandidates('engines');
   t.equal(newCandidate?.id, 's-1@2');
   t.equal(newCandidate?.load.inFlight, 0);
-  t.notOk(newCandidate?.load.isPaused(host.clock.nowMs()));
+  t.notOk(newCandidate?.load.mustAvoid(host.clock.nowMs()));
   // A peer that doesn't know of the restart yet still counts requests that have ended with it.
   host.servers.applyPeer('peer-1', { ...NO_FIGURES, inFlight: { 's-1@1': 5 } });
   t.equal(newCandidate?.load.inFlight, 0);
@@ -102,13 +102,13 @@
   const host = await startDirectHost(t, {}, ['s-1', 's-2']);
   const [candidate] = host.servers.listCandidates('engines');
   host.servers.applyPeer('peer-1', { ...NO_FIGURES, avoidedBy: { 's-1': 1 } });
-  t.notOk(candidate?.load.isPaused(host.clock.nowMs()));
+  t.notOk(candidate?.load.mustAvoid(host.clock.nowMs()));
   host.servers.applyPeer('peer-2', { ...NO_FIGURES, avoidedBy: { 's-1': 1 } });
-  t.ok(candidate?.load.isPaused(host.clock.nowMs()));
+  t.ok(candidate?.load.mustAvoid(host.clock.nowMs()));
   t.same(host.servers.countAvoiding(['peer-1', 'peer-2']), { 's-1': 2 });
   t.same(host.servers.countAvoiding(), {});
   host.servers.applyPeer('peer-1', NO_FIGURES);
-  t.notOk(candidate?.load.isPaused(host.clock.nowMs()));
+  t.notOk(candidate?.load.mustAvoid(host.clock.nowMs()));
 });
 
 t.test('the server registry trusts its own answers more than reports from peers', async (t) => {
@@ -117,8 +117,8 @@
   const host = await startDirectHost(t, {}, ['s-1', 's-2']);
   const [candidate] = host.servers.listCandidates('engines');
   const work = { promptTokens: 1, outputTokens: 1 };
-  candidate?.load.begin(work);
-  candidate?.load.end(ServerOutcome.Answered, host.clock.nowMs());
+  candidate?.load.recordStart(work);
+  candidate?.load.recordEnd(ServerOutcome.Answered, host.clock.nowMs());
   host.servers.applyPeer('peer-1', { ...NO_FIGURES, avoidedBy: { 's-1': 2 } });
-  t.notOk(candidate?.load.isPaused(host.clock.nowMs()));
+  t.notOk(candidate?.load.mustAvoid(host.clock.nowMs()));
 });
--- a/src/application/direct/server_lives_test.ts
+++ b/src/application/direct/server_lives_test.ts
@@ -8,7 +8,7 @@
   NO_FIGURES,
 } from '../../../test/support/server_keepers.js';
 import { VirtualClock } from '../../../test/support/virtual_clock.js';
-import { formatLife, LAPSED_GRACE_MS } from '../../domain/backend_servers/mod.js';
+import { formatIncarnationId, EXPIRED_ENTRY_GRACE_MS } from '../../domain/backend_servers/mod.js';
 import type { FeedChange } from '../../ports/mod.js';
 import type { ServerKeeper } from './server_keeper.js';
 
@@ -36,7 +36,7 @@
 
   /** Writes a server's entry; the entry of a former incarnation may arrive late. */
   register(name: string, incarnation: number, isLeaving: boolean): void {
-    const id = formatLife(name, incarnation);
+    const id = formatIncarnationId(name, incarnation);
     const entry = buildServer(id, { serverId: name, bornAtMs: incarnation, isLeaving });
     if (incarnation >= (this.#liveServers.get(name)?.incarnation ?? 0))
       this.#liveServers.set(name, { incarnation, entry });
@@ -143,7 +143,7 @@
   hosts.forEach((index) => fleet.readChanges(index));
   hosts.forEach((from) => hosts.forEach((to) => fleet.deliverReport(from, to)));
   hosts.forEach((from) => hosts.forEach((to) => fleet.deliverReport(from, to)));
-  await fleet.clock.advance(2 * LAPSED_GRACE_MS);
+  await fleet.clock.advance(2 * EXPIRED_ENTRY_GRACE_MS);
 }
 
 t.test(
--- a/src/application/direct/service_line.ts
+++ b/src/application/direct/service_line.ts
@@ -5,9 +5,9 @@
  */
 import { pickServer } from '../../domain/backend_servers/mod.js';
 import type { Candidate, RequestWork } from '../../domain/backend_servers/mod.js';
-import { computeUrgency, WaitingLine, WaitOutlook } from '../../domain/direct/mod.js';
+import { computeUrgency, WaitQueue, WaitSuccessTracker } from '../../domain/direct/mod.js';
 import type { WaitingCall } from '../../domain/direct/mod.js';
-import type { Regions } from '../../domain/places/mod.js';
+import type { AllowedRegions } from '../../domain/places/mod.js';
 import type { Clock, RandomSource, Timer } from '../../ports/mod.js';
 
 /**
@@ -42,7 +42,7 @@
   /** Incarnation IDs of backend servers that the call was already sent to. */
   readonly excluded: ReadonlySet<string>;
   /** Regions in which the call may be handled; undefined: any region. */
-  readonly regions: Regions;
+  readonly regions: AllowedRegions;
   /** @param candidate - backend server at which the call has been given a slot */
   grant(candidate: Candidate): void;
   /**
@@ -74,9 +74,9 @@
 export class ServiceQueue {
   readonly #options: ServiceQueueOptions;
 
-  readonly #queue = new WaitingLine<QueuedCall>();
+  readonly #queue = new WaitQueue<QueuedCall>();
 
-  readonly #waitSuccess = new WaitOutlook();
+  readonly #waitSuccess = new WaitSuccessTracker();
 
   /** When slots became free within the window, oldest first. */
   readonly #freedAtMs: number[] = [];
@@ -108,10 +108,10 @@
     if (!this.#isWaitWorthwhile(call)) {
       // No slot is likely to become free for as long as the call could wait, however short the
       // local queue is.
-      call.shed(Math.max(estimatedWaitMs, call.startByMs - nowMs));
+      call.shed(Math.max(estimatedWaitMs, call.latestStartAtMs - nowMs));
       return;
     }
-    if (nowMs + estimatedWaitMs > call.startByMs) {
+    if (nowMs + estimatedWaitMs > call.latestStartAtMs) {
       call.shed(estimatedWaitMs);
       return;
     }
@@ -147,7 +147,7 @@
       const candidate = this.#pickCandidate(call, this.#queue.size);
       // A grant may end other calls, so each call is looked up again when its turn comes.
       if (candidate && this.#queue.remove(call)) {
-        this.#waitSuccess.note(computeUrgency(call), true, this.#options.clock.nowMs());
+        this.#waitSuccess.record(computeUrgency(call), true, this.#options.clock.nowMs());
         call.grant(candidate);
         freeSlots -= 1;
       }
@@ -158,8 +158,8 @@
   /** Sheds calls that can no longer be started in time. */
   shedExpired(): void {
     const nowMs = this.#options.clock.nowMs();
-    this.#queue.takeExpired(nowMs).forEach((call) => {
-      this.#waitSuccess.note(computeUrgency(call), false, nowMs);
+    this.#queue.removeExpired(nowMs).forEach((call) => {
+      this.#waitSuccess.record(computeUrgency(call), false, nowMs);
       call.shed(this.#estimateWaitMs(call));
     });
   }
--- a/src/application/direct/store_knowledge.ts
+++ b/src/application/direct/store_knowledge.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { BackendServerEntry } from '../../domain/backend_servers/mod.js';
-import type { WarmupBound } from '../../domain/places/mod.js';
+import type { WarmupLimit } from '../../domain/places/mod.js';
 import type { RoutingDocument } from '../../domain/routing/mod.js';
 import type { Clock, EventLog, FeedChange, FeedItem, Metrics } from '../../ports/mod.js';
 import type { WarmupHosts } from './_warmup_guard.js';
@@ -108,7 +108,7 @@
     this.servers.applyChanges(changes, context);
   }
 
-  #findWarmupBound(serviceId: string): WarmupBound | undefined {
+  #findWarmupBound(serviceId: string): WarmupLimit | undefined {
     const warmup = this.routing.table?.findService(serviceId)?.warmup;
     if (!warmup) return undefined;
     const { factor, slack } = this.#options.warmupTolerance;
--- a/src/domain/backend_servers/mod.ts
+++ b/src/domain/backend_servers/mod.ts
@@ -6,10 +6,10 @@
  */
 export { pickServer } from './pick_server.js';
 export type { Candidate, PickOptions, SlotContention } from './pick_server.js';
-export { EntryEffect, LAPSED_GRACE_MS, ServerDirectory } from './server_directory.js';
+export { EntryEffect, EXPIRED_ENTRY_GRACE_MS, ServerDirectory } from './server_directory.js';
 export type { EntryResult } from './server_directory.js';
 export { ServerLoad, ServerOutcome } from './server_load.js';
 export type { RequestWork } from './server_load.js';
 export { REPORT_DELAY_MS, SlotShare } from './slot_share.js';
-export { formatLife } from './types.js';
+export { formatIncarnationId } from './types.js';
 export type { BackendServerEntry } from './types.js';
--- a/src/domain/backend_servers/pick_server.ts
+++ b/src/domain/backend_servers/pick_server.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { isAllowedRegion } from '../places/mod.js';
-import type { Regions } from '../places/mod.js';
+import type { AllowedRegions } from '../places/mod.js';
 import type { RequestWork, ServerLoad } from './server_load.js';
 import { REPORT_DELAY_MS } from './slot_share.js';
 
@@ -43,7 +43,7 @@
   /** IDs of servers that this request was already sent to. */
   readonly excluded: ReadonlySet<string>;
   /** Regions that the request may be sent to. */
-  readonly regions?: Regions;
+  readonly regions?: AllowedRegions;
   /** @returns a random number in [0, 1) */
   readonly nextFraction: () => number;
   readonly rivalry: SlotContention;
@@ -96,9 +96,9 @@
   free: readonly Candidate[],
   nowMs: number,
 ): readonly Candidate[] {
-  const healthy = free.filter(({ load }) => !load.isPaused(nowMs));
+  const healthy = free.filter(({ load }) => !load.mustAvoid(nowMs));
   if (healthy.length > 0) return healthy;
-  return candidates.every(({ load }) => load.isPaused(nowMs)) ? free : [];
+  return candidates.every(({ load }) => load.mustAvoid(nowMs)) ? free : [];
 }
 
 /**
--- a/src/domain/backend_servers/pick_server_test.ts
+++ b/src/domain/backend_servers/pick_server_test.ts
@@ -31,7 +31,7 @@
 t.test('pickServer() leaves out full servers, counting the requests of peers', async (t) => {
   const a = buildCandidate('a');
   const b = buildCandidate('b');
-  a.load.begin(WORK);
+  a.load.recordStart(WORK);
   a.load.setPeersInFlight(1);
   t.equal(pick([a, b], { nextFraction: () => 0.9 }), 'b');
   b.load.setPeersInFlight(2);
@@ -97,32 +97,32 @@
   // was still reading a prompt of 50,000 tokens while other servers were idle.
   const busy = buildCandidate('busy', 4);
   const other = buildCandidate('other', 4);
-  busy.load.begin({ promptTokens: 50_000, outputTokens: 1 });
-  other.load.begin({ promptTokens: 10, outputTokens: 1 });
+  busy.load.recordStart({ promptTokens: 50_000, outputTokens: 1 });
+  other.load.recordStart({ promptTokens: 10, outputTokens: 1 });
   t.equal(pick([busy, other]), 'other');
-  busy.load.noteFirstByte({ promptTokens: 50_000, outputTokens: 1 });
+  busy.load.recordFirstByte({ promptTokens: 50_000, outputTokens: 1 });
   t.equal(pick([busy, other], { nextFraction: () => 0 }), 'busy');
 });
 
 t.test('pickServer() pauses a failing server, longer after each failure', async (t) => {
   const a = buildCandidate('a');
   const b = buildCandidate('b');
-  a.load.begin(WORK);
-  a.load.end(ServerOutcome.Failed, 0);
+  a.load.recordStart(WORK);
+  a.load.recordEnd(ServerOutcome.Failed, 0);
   t.equal(pick([a, b], { nowMs: 600 }), 'b');
-  t.notOk(a.load.isPaused(701));
-  a.load.begin(WORK);
-  a.load.end(ServerOutcome.Failed, 1_000);
-  t.ok(a.load.isPaused(2_300));
-  a.load.begin(WORK);
-  a.load.end(ServerOutcome.Answered, 2_500);
+  t.notOk(a.load.mustAvoid(701));
+  a.load.recordStart(WORK);
+  a.load.recordEnd(ServerOutcome.Failed, 1_000);
+  t.ok(a.load.mustAvoid(2_300));
+  a.load.recordStart(WORK);
+  a.load.recordEnd(ServerOutcome.Answered, 2_500);
   t.equal(a.load.consecutiveFailures, 0);
 });
 
 t.test('pickServer() picks a failing server if all servers fail', async (t) => {
   const a = buildCandidate('a');
-  a.load.begin(WORK);
-  a.load.end(ServerOutcome.Failed, 0);
+  a.load.recordStart(WORK);
+  a.load.recordEnd(ServerOutcome.Failed, 0);
   t.equal(pick([a], { nowMs: 1 }), 'a');
 });
 
@@ -132,12 +132,12 @@
   const failing = buildCandidate('bad', 8);
   const healthy = buildCandidate('good', 8);
   for (let request = 0; request < 6; request += 1) {
-    failing.load.begin(WORK);
-    failing.load.noteFirstByte(WORK);
-    failing.load.end(ServerOutcome.Erred, 0);
+    failing.load.recordStart(WORK);
+    failing.load.recordFirstByte(WORK);
+    failing.load.recordEnd(ServerOutcome.ServerError, 0);
   }
-  healthy.load.begin(WORK);
-  healthy.load.noteFirstByte(WORK);
+  healthy.load.recordStart(WORK);
+  healthy.load.recordFirstByte(WORK);
   t.equal(pick([failing, healthy]), 'good');
 });
 
@@ -150,11 +150,11 @@
     const engine = buildCandidate('engine');
     const plain = { id: 'plain', load: new ServerLoad(2, false) };
     [engine, plain].forEach(({ load }) => {
-      load.begin(WORK);
-      load.end(ServerOutcome.Erred, 0);
+      load.recordStart(WORK);
+      load.recordEnd(ServerOutcome.ServerError, 0);
     });
-    t.ok(engine.load.isPaused(100));
-    t.notOk(plain.load.isPaused(100));
+    t.ok(engine.load.mustAvoid(100));
+    t.notOk(plain.load.mustAvoid(100));
   },
 );
 
@@ -163,13 +163,13 @@
   // then avoid that server too, its load moves to the next one, and entry hosts are left with
   // ever fewer servers.
   const [busy, broken] = [buildCandidate('busy'), buildCandidate('broken')];
-  busy.load.begin(WORK);
-  busy.load.end(ServerOutcome.Silent, 0);
-  broken.load.begin(WORK);
-  broken.load.end(ServerOutcome.Failed, 0);
-  t.ok(busy.load.isPaused(100) && broken.load.isPaused(100));
-  t.notOk(busy.load.hasFailed(100));
-  t.ok(broken.load.hasFailed(100));
+  busy.load.recordStart(WORK);
+  busy.load.recordEnd(ServerOutcome.TimedOut, 0);
+  broken.load.recordStart(WORK);
+  broken.load.recordEnd(ServerOutcome.Failed, 0);
+  t.ok(busy.load.mustAvoid(100) && broken.load.mustAvoid(100));
+  t.notOk(busy.load.hasFailedRecently(100));
+  t.ok(broken.load.hasFailedRecently(100));
 });
 
 t.test('pickServer() takes only its share while calls wait elsewhere too', async (t) => {
@@ -179,7 +179,7 @@
   const rivalry = { holdMs: 1_000, ownWaiting: 2, waitingElsewhere: 20 };
   let taken = 0;
   while (pick([server], { nextFraction: next, rivalry }) !== undefined) {
-    server.load.begin(WORK);
+    server.load.recordStart(WORK);
     taken += 1;
   }
   t.ok(taken <= 2, String(taken));
@@ -196,7 +196,7 @@
   for (let nowMs = 0; nowMs < 4_000; nowMs += 5) {
     if (pick([server], { nowMs, nextFraction: next, rivalry }) !== undefined) {
       taken += 1;
-      server.load.share.noteTaken();
+      server.load.share.recordTaken();
     }
   }
   // 100 intervals of 40 ms, each with one free slot for 62 waiting calls.
--- a/src/domain/backend_servers/server_directory.ts
+++ b/src/domain/backend_servers/server_directory.ts
@@ -12,7 +12,7 @@
  * entry within this time: it does so about once a second, and within two seconds after the
  * registry's return. The margin keeps requests away from a server that is gone.
  */
-export const LAPSED_GRACE_MS = 1_500;
+export const EXPIRED_ENTRY_GRACE_MS = 1_500;
 
 /**
  * How long a superseded incarnation is still reported as ended, in milliseconds: ten reports to
@@ -109,7 +109,7 @@
   applyRemoval(serverId: string, nowMs: number, mayReturn: boolean): void {
     const incarnation = this.#incarnations.get(this.#newestByServer.get(serverId)?.id ?? '');
     if (!incarnation) return;
-    const usableUntilMs = mayReturn ? nowMs + LAPSED_GRACE_MS : nowMs;
+    const usableUntilMs = mayReturn ? nowMs + EXPIRED_ENTRY_GRACE_MS : nowMs;
     incarnation.usableUntilMs = Math.min(incarnation.usableUntilMs, usableUntilMs);
   }
 
@@ -122,7 +122,7 @@
    *   soon be rewritten
    * @returns IDs of incarnations that the entries show to have ended
    */
-  applyAll(
+  replaceAll(
     entries: readonly BackendServerEntry[],
     nowMs: number,
     mayReturn: (serverId: string) => boolean,
@@ -146,7 +146,7 @@
    * @param id - ID of the incarnation
    * @returns whether this was unknown
    */
-  noteEnded(id: string): boolean {
+  recordEnded(id: string): boolean {
     if (this.#endedIds.has(id)) return false;
     this.#endedIds.set(id, true);
     return true;
@@ -188,7 +188,7 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns their IDs
    */
-  expire(nowMs: number): string[] {
+  removeExpired(nowMs: number): string[] {
     const expired = [...this.#incarnations]
       .filter(([, { usableUntilMs }]) => usableUntilMs <= nowMs)
       .map(([id]) => id);
--- a/src/domain/backend_servers/server_directory_test.ts
+++ b/src/domain/backend_servers/server_directory_test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { EntryEffect, formatLife, LAPSED_GRACE_MS, ServerDirectory } from './mod.js';
+import { EntryEffect, formatIncarnationId, EXPIRED_ENTRY_GRACE_MS, ServerDirectory } from './mod.js';
 import type { BackendServerEntry } from './mod.js';
 
 function buildEntry(id: string, changes: Partial<BackendServerEntry> = {}): BackendServerEntry {
@@ -21,7 +21,7 @@
   bornAtMs: number,
   changes: Partial<BackendServerEntry> = {},
 ): BackendServerEntry {
-  return buildEntry('a', { id: formatLife('a', bornAtMs), bornAtMs, ...changes });
+  return buildEntry('a', { id: formatIncarnationId('a', bornAtMs), bornAtMs, ...changes });
 }
 
 function listIds(directory: ServerDirectory, nowMs: number): string[] {
@@ -49,7 +49,7 @@
   directory.applyEntry(buildEntry('a'), 0);
   directory.applyRemoval('a', 100, false);
   t.same(listIds(directory, 100), []);
-  t.same(directory.expire(100), ['a']);
+  t.same(directory.removeExpired(100), ['a']);
 });
 
 t.test(
@@ -59,27 +59,27 @@
     // outage outlasts the entries' TTL, the registry returns empty and the live servers register
     // again; their expired entries must not count as servers that left.
     const directory = new ServerDirectory();
-    directory.applyAll([buildEntry('a'), buildEntry('b')], 0, () => false);
-    directory.applyAll([], 1_000, () => true);
+    directory.replaceAll([buildEntry('a'), buildEntry('b')], 0, () => false);
+    directory.replaceAll([], 1_000, () => true);
     t.same(listIds(directory, 1_001), ['a', 'b']);
     directory.applyEntry(buildEntry('a'), 0);
-    t.same(listIds(directory, 1_000 + LAPSED_GRACE_MS), ['a']);
+    t.same(listIds(directory, 1_000 + EXPIRED_ENTRY_GRACE_MS), ['a']);
   },
 );
 
 t.test('ServerDirectory does not extend the grace time of an expired entry', async (t) => {
   const directory = new ServerDirectory();
-  directory.applyAll([buildEntry('a')], 0, () => false);
+  directory.replaceAll([buildEntry('a')], 0, () => false);
   directory.applyRemoval('a', 1_000, true);
   directory.applyRemoval('a', 2_000, true);
-  t.same(listIds(directory, 1_000 + LAPSED_GRACE_MS), []);
+  t.same(listIds(directory, 1_000 + EXPIRED_ENTRY_GRACE_MS), []);
 });
 
 t.test('ServerDirectory drops an incarnation that a request found to have ended', async (t) => {
   const directory = new ServerDirectory();
   directory.applyEntry(buildEntry('a'), 0);
-  t.ok(directory.noteEnded('a'));
-  t.notOk(directory.noteEnded('a'));
+  t.ok(directory.recordEnded('a'));
+  t.notOk(directory.recordEnded('a'));
   t.same(listIds(directory, 0), []);
   t.equal(directory.find('a')?.id, 'a');
 });
@@ -119,7 +119,7 @@
   t.equal(directory.applyEntry(buildEntry('a'), 0).effect, EntryEffect.Outdated);
   t.same(listIds(directory, 0), ['a@2']);
   directory.applyRemoval('a', 10, false);
-  directory.expire(10);
+  directory.removeExpired(10);
   t.equal(directory.applyEntry(buildLife(1), 20).effect, EntryEffect.Outdated);
   t.same(listIds(directory, 20), []);
 });
@@ -128,7 +128,7 @@
   const directory = new ServerDirectory();
   directory.applyEntry(buildLife(1), 0);
   directory.applyEntry(buildLife(2), 0);
-  t.same(directory.expire(100), []);
-  t.same(directory.expire(5_000), ['a@1']);
+  t.same(directory.removeExpired(100), []);
+  t.same(directory.removeExpired(5_000), ['a@1']);
   t.same(listIds(directory, 5_000), ['a@2']);
 });
--- a/src/domain/backend_servers/server_load.ts
+++ b/src/domain/backend_servers/server_load.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { WarmupPace } from '../places/mod.js';
+import { WarmupPacer } from '../places/mod.js';
 import { ServerSpeed } from '../scheduling/server_speed.js';
 import type { NominalSpeed } from '../scheduling/server_speed.js';
 import { SlotShare } from './slot_share.js';
@@ -63,13 +63,13 @@
   /** A complete answer arrived, with any status below 500. */
   Answered = 'answered',
   /** The server answered with an error of its own. */
-  Erred = 'erred',
+  ServerError = 'erred',
   /** The server declared that it did not run the request. */
   Declined = 'declined',
   /** The connection failed or broke. */
   Failed = 'failed',
   /** No data arrived for too long: the server is gone or overloaded. */
-  Silent = 'silent',
+  TimedOut = 'silent',
   /** The caller disconnected, or the deadline passed while the server worked normally. */
   Cancelled = 'cancelled',
 }
@@ -84,7 +84,7 @@
   readonly share = new SlotShare();
 
   /** Rate limit of this entry host while the server is warming up. */
-  readonly warmup = new WarmupPace();
+  readonly warmup = new WarmupPacer();
 
   #ownInFlight = 0;
 
@@ -145,7 +145,7 @@
   }
 
   /** @param change - change in the slots that peers hold, since their last reports */
-  addPeersInFlight(change: number): void {
+  adjustPeersInFlight(change: number): void {
     this.#peersInFlight = Math.max(0, this.#peersInFlight + change);
   }
 
@@ -154,9 +154,9 @@
    *
    * @param work - a request that is being sent to the server
    */
-  begin(work: RequestWork): void {
+  recordStart(work: RequestWork): void {
     this.#ownInFlight += 1;
-    this.share.noteTaken();
+    this.share.recordTaken();
     this.#pendingPromptTokens += work.promptTokens;
   }
 
@@ -165,7 +165,7 @@
    *
    * @param work - a request whose first event has arrived, or that ended without one
    */
-  noteFirstByte(work: RequestWork): void {
+  recordFirstByte(work: RequestWork): void {
     this.#pendingPromptTokens = Math.max(0, this.#pendingPromptTokens - work.promptTokens);
   }
 
@@ -175,18 +175,18 @@
    * @param outcome - outcome of a request on the server
    * @param nowMs - monotonic time in milliseconds
    */
-  end(outcome: ServerOutcome, nowMs: number): void {
+  recordEnd(outcome: ServerOutcome, nowMs: number): void {
     this.#ownInFlight = Math.max(0, this.#ownInFlight - 1);
-    this.share.noteFreed(nowMs);
+    this.share.recordFreed(nowMs);
     if (outcome === ServerOutcome.Cancelled) return;
-    const isError = outcome === ServerOutcome.Erred || outcome === ServerOutcome.Declined;
+    const isError = outcome === ServerOutcome.ServerError || outcome === ServerOutcome.Declined;
     this.#errorRate += ERROR_RATE_ALPHA * ((isError ? 1 : 0) - this.#errorRate);
     if (!this.#isFailure(outcome)) {
       this.#consecutiveFailures = 0;
       this.#lastAnsweredAtMs = nowMs;
       return;
     }
-    if (outcome !== ServerOutcome.Silent) this.#lastFailedAtMs = nowMs;
+    if (outcome !== ServerOutcome.TimedOut) this.#lastFailedAtMs = nowMs;
     this.#consecutiveFailures += 1;
     const pauseMs = Math.min(MAX_PAUSE_MS, PAUSE_PER_FAILURE_MS * this.#consecutiveFailures);
     this.#pausedUntilMs = nowMs + pauseMs;
@@ -196,7 +196,7 @@
    * @param avoidingHostCount - peers that avoid the server after failures of their own requests
    * @param hostCount - entry hosts that send requests to the server, including this one
    */
-  setAvoidingHosts(avoidingHostCount: number, hostCount: number): void {
+  setAvoidingHostCount(avoidingHostCount: number, hostCount: number): void {
     this.#isAvoidedByPeers =
       avoidingHostCount >= Math.max(MIN_AVOIDING_HOSTS, hostCount * MIN_AVOIDING_FRACTION);
   }
@@ -209,7 +209,7 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns whether a request failed recently
    */
-  hasFailed(nowMs: number): boolean {
+  hasFailedRecently(nowMs: number): boolean {
     return nowMs < this.#pausedUntilMs && nowMs - this.#lastFailedAtMs < MAX_PAUSE_MS;
   }
 
@@ -217,7 +217,7 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns whether to avoid the server after failures
    */
-  isPaused(nowMs: number): boolean {
+  mustAvoid(nowMs: number): boolean {
     if (nowMs < this.#pausedUntilMs) return true;
     return this.#isAvoidedByPeers && nowMs - this.#lastAnsweredAtMs > OWN_ANSWER_PRECEDENCE_MS;
   }
@@ -229,8 +229,8 @@
    * services are mostly caused by the callers.
    */
   #isFailure(outcome: ServerOutcome): boolean {
-    if (outcome === ServerOutcome.Erred) return !this.speed.isPlain;
-    return outcome === ServerOutcome.Failed || outcome === ServerOutcome.Silent;
+    if (outcome === ServerOutcome.ServerError) return !this.speed.isPlain;
+    return outcome === ServerOutcome.Failed || outcome === ServerOutcome.TimedOut;
   }
 
   /**
--- a/src/domain/backend_servers/slot_share.ts
+++ b/src/domain/backend_servers/slot_share.ts
@@ -58,12 +58,12 @@
   }
 
   /** Records that a slot was taken. */
-  noteTaken(): void {
+  recordTaken(): void {
     if (this.#freedAtMs.shift() === undefined) this.#slotsLeft = Math.max(0, this.#slotsLeft - 1);
   }
 
   /** @param nowMs - time at which an own request released a slot */
-  noteFreed(nowMs: number): void {
+  recordFreed(nowMs: number): void {
     this.#dropStaleFreedSlots(nowMs);
     this.#freedAtMs.push(nowMs);
   }
--- a/src/domain/backend_servers/slot_share_test.ts
+++ b/src/domain/backend_servers/slot_share_test.ts
@@ -27,7 +27,7 @@
             nowMs,
             randomFraction: next(),
           };
-          while (load.share.hasSlot({ ...conditions, freeSlots: load.freeSlots })) load.begin(WORK);
+          while (load.share.hasSlot({ ...conditions, freeSlots: load.freeSlots })) load.recordStart(WORK);
         }
       });
       const taken = loads.reduce((total, load) => total + load.ownInFlight, 0);
@@ -42,8 +42,8 @@
 t.test('an entry host refills a slot that its own request has released', async (t) => {
   const load = new ServerLoad(SLOTS, true);
   load.setPeersInFlight(SLOTS - 1);
-  load.begin(WORK);
-  load.end(ServerOutcome.Answered, 1_000);
+  load.recordStart(WORK);
+  load.recordEnd(ServerOutcome.Answered, 1_000);
   const conditions = {
     freeSlots: load.freeSlots,
     waitingFraction: 1 / HOSTS,
@@ -52,7 +52,7 @@
     randomFraction: 0,
   };
   t.ok(load.share.hasSlot(conditions));
-  load.begin(WORK);
+  load.recordStart(WORK);
   t.notOk(load.share.hasSlot(conditions));
 });
 
--- a/src/domain/backend_servers/types.ts
+++ b/src/domain/backend_servers/types.ts
@@ -6,7 +6,7 @@
 
 /** One incarnation of a backend server, from a start of its process to its end. */
 export interface BackendServerEntry {
-  /** ID of this incarnation; see {@link formatLife}. */
+  /** ID of this incarnation; see {@link formatIncarnationId}. */
   readonly id: string;
   /** Name under which the server is registered; it may survive a restart. */
   readonly serverId: string;
@@ -33,6 +33,6 @@
  * @param bornAtMs - start time of the incarnation in Unix milliseconds; 0 if unknown
  * @returns the ID of the incarnation
  */
-export function formatLife(serverId: string, bornAtMs: number): string {
+export function formatIncarnationId(serverId: string, bornAtMs: number): string {
   return bornAtMs === 0 ? serverId : `${serverId}@${bornAtMs}`;
 }
--- a/src/domain/crashes/_judge.ts
+++ b/src/domain/crashes/_judge.ts
@@ -6,8 +6,8 @@
 import type { CrashSuspectCounts } from './_end_counts.js';
 import { countConsecutive, MIN_CRASHES_FOR_PROBATION, SuspectState } from './_suspect.js';
 import type { Suspect, SuspectRun, Trial } from './_suspect.js';
-import { computeNextStepMs, MAX_TRIALS } from './trial_plan.js';
-import type { Doubt } from './trial_plan.js';
+import { computeNextStepAtMs, MAX_TRIALS } from './trial_plan.js';
+import type { TrialProgress } from './trial_plan.js';
 
 /** Consecutive crashes with no other likely cause that quarantine a content without a trial. */
 const MIN_CRASHES_TO_QUARANTINE = 3;
@@ -66,7 +66,7 @@
  * @param suspect - a content on probation
  * @returns the progress of its trials
  */
-export function readTrialProgress(suspect: Suspect): Doubt {
+export function readTrialProgress(suspect: Suspect): TrialProgress {
   const trials = listCountedTrials(suspect);
   return {
     sinceMs: suspect.probationStartedAtMs,
@@ -88,14 +88,14 @@
 export function deriveState(suspect: Suspect, evidence: Evidence): SuspectState {
   const runs = suspect.listSuspectedRuns();
   if (runs.length < MIN_CRASHES_FOR_PROBATION) return SuspectState.Free;
-  if (suspect.isHeld) return SuspectState.Held;
+  if (suspect.isHeld) return SuspectState.Quarantined;
   const { nowMs, settleMs } = evidence;
   const settled = runs.filter(({ endedAtMs }) => endedAtMs <= nowMs - settleMs);
   const mustQuarantine =
     isProvenByCrashes(suspect, settled, evidence) ||
     isProvenByTrial(suspect, settled, evidence) ||
     hasExhaustedTrials(suspect, nowMs);
-  return mustQuarantine ? SuspectState.Held : SuspectState.Doubted;
+  return mustQuarantine ? SuspectState.Quarantined : SuspectState.Probation;
 }
 
 /**
@@ -161,5 +161,5 @@
 
 function hasExhaustedTrials(suspect: Suspect, nowMs: number): boolean {
   const progress = readTrialProgress(suspect);
-  return progress.trialCount >= MAX_TRIALS && nowMs >= computeNextStepMs(progress);
+  return progress.trialCount >= MAX_TRIALS && nowMs >= computeNextStepAtMs(progress);
 }
--- a/src/domain/crashes/_suspect.ts
+++ b/src/domain/crashes/_suspect.ts
@@ -42,9 +42,9 @@
   /** Its requests are sent without restriction. */
   Free = 'free',
   /** On probation: only single requests are sent, as trials. */
-  Doubted = 'doubted',
+  Probation = 'doubted',
   /** Quarantined: no request is sent. */
-  Held = 'held',
+  Quarantined = 'held',
 }
 
 /** One trial, in times of this process's monotonic clock. */
@@ -80,7 +80,7 @@
 
   /** Whether the content is quarantined. */
   get isHeld(): boolean {
-    return this.#state === SuspectState.Held;
+    return this.#state === SuspectState.Quarantined;
   }
 
   /** When the content was put on probation. */
@@ -93,7 +93,7 @@
    * @param nowMs - monotonic time in milliseconds
    */
   setState(state: SuspectState, nowMs: number): void {
-    if (state === SuspectState.Doubted) this.#probationStartedAtMs = nowMs;
+    if (state === SuspectState.Probation) this.#probationStartedAtMs = nowMs;
     this.#state = state;
   }
 
--- a/src/domain/crashes/crash_ledger.ts
+++ b/src/domain/crashes/crash_ledger.ts
@@ -19,7 +19,7 @@
  * that keeps arriving stays quarantined; otherwise it may be sent again after this time, as the
  * servers may have been fixed.
  */
-export const REMEMBERED_MS = 600_000;
+export const SUSPECT_RETENTION_MS = 600_000;
 
 /**
  * How long a content with no crash left against it is remembered, in milliseconds: late notices
@@ -40,7 +40,7 @@
 /** Settings of the ledger. */
 export interface CrashLedgerOptions {
   /** @returns time that notices about other runs at a crash may take, in milliseconds */
-  readonly getSettleMs: () => number;
+  readonly getNoteDelayMs: () => number;
 }
 
 /**
@@ -62,7 +62,7 @@
   #revision = 0;
 
   /** @param options - settings. Default: notices arrive at once */
-  constructor(options: CrashLedgerOptions = { getSettleMs: () => 0 }) {
+  constructor(options: CrashLedgerOptions = { getNoteDelayMs: () => 0 }) {
     this.#options = options;
   }
 
@@ -77,7 +77,7 @@
   }
 
   /** Number of quarantined contents. */
-  get heldCount(): number {
+  get quarantinedCount(): number {
     return this.#table.list().filter(({ isHeld }) => isHeld).length;
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** Contents on probation. */
-  get doubts(): ProbationList {
+  get probationList(): ProbationList {
     return this.#probationList;
   }
 
@@ -99,7 +99,7 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns notices for peers
    */
-  noteTrial(contentId: string, trial: Trial, nowMs: number): CrashNote[] {
+  recordTrial(contentId: string, trial: Trial, nowMs: number): CrashNote[] {
     const suspect = this.#table.find(contentId);
     if (!suspect?.addTrial(trial)) return [];
     this.#revision += 1;
@@ -118,7 +118,7 @@
       (suspect) => suspect.state !== SuspectState.Free || mayNeedProbation(suspect),
     );
     if (toReview.length === 0) return;
-    const settleMs = this.#options.getSettleMs();
+    const settleMs = this.#options.getNoteDelayMs();
     const evidence = { counts: new CrashSuspectCounts(suspects), nowMs, settleMs };
     toReview.forEach((suspect) => {
       const state = deriveState(suspect, evidence);
@@ -127,7 +127,7 @@
   }
 
   /** @returns the state changes since the last call */
-  takeVerdicts(): readonly SuspectStateChange[] {
+  takeStateChanges(): readonly SuspectStateChange[] {
     const stateChanges = this.#stateChanges;
     this.#stateChanges = [];
     return stateChanges;
@@ -140,7 +140,7 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns notices for peers, which keep them from forgetting the content too early
    */
-  noteSeen(contentId: string, nowMs: number): CrashNote[] {
+  recordSeen(contentId: string, nowMs: number): CrashNote[] {
     const suspect = this.#table.find(contentId);
     return suspect?.recordSeen(nowMs) ? listNotices(suspect, nowMs) : [];
   }
@@ -207,7 +207,7 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns all notices about it
    */
-  listContent(contentId: string, nowMs: number): CrashNote[] {
+  listByContent(contentId: string, nowMs: number): CrashNote[] {
     const suspect = this.#table.find(contentId);
     return suspect ? listNotices(suspect, nowMs) : [];
   }
@@ -227,7 +227,7 @@
    */
   expire(nowMs: number): void {
     this.#table.list().forEach((suspect) => {
-      const retentionMs = suspect.suspectedCrashCount > 0 ? REMEMBERED_MS : CLEARED_RETENTION_MS;
+      const retentionMs = suspect.suspectedCrashCount > 0 ? SUSPECT_RETENTION_MS : CLEARED_RETENTION_MS;
       if (nowMs - suspect.lastSeenAtMs <= retentionMs) return;
       this.#table.remove(suspect);
       this.#revision += 1;
@@ -237,7 +237,7 @@
   #applyNotice(notice: CrashNote, nowMs: number): boolean {
     const { contentId, crashId, state, isVouched = false, startedAgoMs, endedAgoMs } = notice;
     const { seenAgoMs, trials = [] } = notice;
-    const retentionMs = state === CrashState.Suspected ? REMEMBERED_MS : CLEARED_RETENTION_MS;
+    const retentionMs = state === CrashState.Suspected ? SUSPECT_RETENTION_MS : CLEARED_RETENTION_MS;
     if (seenAgoMs > retentionMs && !this.#table.find(contentId)) return false;
     const suspect = this.#table.getOrCreate(contentId);
     const mustAnnounceSeen = suspect.recordSeen(nowMs - seenAgoMs);
@@ -274,8 +274,8 @@
    */
   #adoptQuarantine(contentId: string, nowMs: number): void {
     const suspect = this.#table.find(contentId);
-    if (suspect?.state === SuspectState.Doubted) {
-      this.#setState(suspect, SuspectState.Held, nowMs);
+    if (suspect?.state === SuspectState.Probation) {
+      this.#setState(suspect, SuspectState.Quarantined, nowMs);
     }
   }
 
--- a/src/domain/crashes/crash_ledger_test.ts
+++ b/src/domain/crashes/crash_ledger_test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import t from 'tap';
-import { CrashLedger, REMEMBERED_MS } from './crash_ledger.js';
+import { CrashLedger, SUSPECT_RETENTION_MS } from './crash_ledger.js';
 import { CrashState } from './crash_note.js';
 import type { CrashNote } from './crash_note.js';
 
@@ -42,10 +42,10 @@
   t.notOk(createLedger(['a', 'a']).isHeld('a'));
   const ledger = createLedger(['a', 'a', 'a']);
   t.ok(ledger.isHeld('a'));
-  t.match(ledger.takeVerdicts(), [
+  t.match(ledger.takeStateChanges(), [
     { contentId: 'a', isHeld: true, crashIds: ['s-0', 's-1', 's-2'] },
   ]);
-  t.same(ledger.takeVerdicts(), []);
+  t.same(ledger.takeStateChanges(), []);
 });
 
 t.test('simultaneous crashes count once', async (t) => {
@@ -145,12 +145,12 @@
 
 t.test('a content is forgotten only after it was not requested for long', async (t) => {
   const ledger = createLedger(['a', 'a', 'a']);
-  ledger.noteSeen('a', NOW_MS + REMEMBERED_MS);
-  ledger.expire(NOW_MS + REMEMBERED_MS);
+  ledger.recordSeen('a', NOW_MS + SUSPECT_RETENTION_MS);
+  ledger.expire(NOW_MS + SUSPECT_RETENTION_MS);
   t.ok(ledger.isHeld('a'));
-  ledger.expire(NOW_MS + 2 * REMEMBERED_MS + 1);
+  ledger.expire(NOW_MS + 2 * SUSPECT_RETENTION_MS + 1);
   t.equal(ledger.size, 0);
-  const stale = buildCrashes(['a']).map((note) => ({ ...note, seenAgoMs: REMEMBERED_MS + 1 }));
+  const stale = buildCrashes(['a']).map((note) => ({ ...note, seenAgoMs: SUSPECT_RETENTION_MS + 1 }));
   t.same(ledger.apply(stale, NOW_MS), [], 'notices from peers that are too old');
 });
 
--- a/src/domain/crashes/doubt_list.ts
+++ b/src/domain/crashes/doubt_list.ts
@@ -7,7 +7,7 @@
 import { countSoleSuspectRuns, listCountedTrials, readTrialProgress } from './_judge.js';
 import { SuspectState } from './_suspect.js';
 import type { SuspectTable } from './_suspect_table.js';
-import type { Doubt } from './trial_plan.js';
+import type { TrialProgress } from './trial_plan.js';
 
 /**
  * Time for which an open trial keeps others from starting, in milliseconds, so that a crash can
@@ -30,9 +30,9 @@
    * @param contentId - ID of a content
    * @returns the progress of its trials; undefined if it isn't on probation
    */
-  find(contentId: string): Doubt | undefined {
+  findProgress(contentId: string): TrialProgress | undefined {
     const suspect = this.#table.find(contentId);
-    return suspect?.state === SuspectState.Doubted ? readTrialProgress(suspect) : undefined;
+    return suspect?.state === SuspectState.Probation ? readTrialProgress(suspect) : undefined;
   }
 
   /**
@@ -40,7 +40,7 @@
    * @returns its position in the order of trials, from 0; contents most likely to be harmless
    *   come first
    */
-  findPlace(contentId: string): number {
+  findTrialPosition(contentId: string): number {
     this.#trialOrder ??= new Map(this.#sort().map((id, place) => [id, place]));
     return this.#trialOrder.get(contentId) ?? 0;
   }
@@ -54,7 +54,7 @@
     const suspects = this.#table.list();
     const counts = new CrashSuspectCounts(suspects);
     return suspects
-      .filter(({ state }) => state === SuspectState.Doubted)
+      .filter(({ state }) => state === SuspectState.Probation)
       .map((suspect) => ({ suspect, soleSuspectRunCount: countSoleSuspectRuns(suspect, counts) }))
       .sort(
         (a, b) =>
@@ -69,9 +69,9 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns ID of the content with a trial that has no result yet but may soon have one
    */
-  findOpen(nowMs: number): string | undefined {
+  findOpenTrial(nowMs: number): string | undefined {
     const openSuspect = this.#table.list().find((suspect) => {
-      if (suspect.state !== SuspectState.Doubted || !suspect.hasTrials) return false;
+      if (suspect.state !== SuspectState.Probation || !suspect.hasTrials) return false;
       const startedAtMs = listCountedTrials(suspect).at(-1)?.startedAtMs ?? -Infinity;
       const lastCrashAtMs = suspect.listSuspectedRuns().at(-1)?.endedAtMs ?? -Infinity;
       return nowMs - startedAtMs < OPEN_TRIAL_MS && lastCrashAtMs < startedAtMs;
--- a/src/domain/crashes/doubt_list_test.ts
+++ b/src/domain/crashes/doubt_list_test.ts
@@ -26,7 +26,7 @@
 }
 
 function createLedger(contents: readonly string[]): CrashLedger {
-  const ledger = new CrashLedger({ getSettleMs: () => SETTLED_MS });
+  const ledger = new CrashLedger({ getNoteDelayMs: () => SETTLED_MS });
   ledger.apply(buildCrashes(contents), NOW_MS);
   return ledger;
 }
@@ -34,7 +34,7 @@
 /** Starts a trial during which a server crashes. */
 function crashInTrial(ledger: CrashLedger, names: string, nowMs: number): void {
   const [contentId] = names as unknown as [string];
-  ledger.noteTrial(contentId, { id: `t-${nowMs}`, startedAtMs: nowMs, isVoid: false }, nowMs);
+  ledger.recordTrial(contentId, { id: `t-${nowMs}`, startedAtMs: nowMs, isVoid: false }, nowMs);
   ledger.apply(
     buildCrashes([names], nowMs).map((note) => ({ ...note, startedAgoMs: 100, endedAgoMs: 60 })),
     nowMs + 100,
@@ -48,12 +48,12 @@
     // Guards against quarantining both, or neither, of two contents that only ever ran together.
     const ledger = createLedger(['ab', 'ab', 'ab']);
     t.notOk(ledger.isHeld('a') || ledger.isHeld('b'));
-    t.match(ledger.doubts.find('a'), { trialCount: 0 });
+    t.match(ledger.probationList.findProgress('a'), { trialCount: 0 });
     crashInTrial(ledger, 'a', NOW_MS);
     t.ok(ledger.isHeld('a'), 'its server crashed, and nothing else ran there');
     t.notOk(ledger.isHeld('b'));
     ledger.clearContent('b', NOW_MS + 300);
-    t.equal(ledger.doubts.find('b'), undefined);
+    t.equal(ledger.probationList.findProgress('b'), undefined);
   },
 );
 
@@ -61,7 +61,7 @@
   const ledger = createLedger(['ab', 'ab', 'ab']);
   crashInTrial(ledger, 'ab', NOW_MS);
   t.notOk(ledger.isHeld('a'));
-  t.match(ledger.doubts.find('a'), { trialCount: 1 });
+  t.match(ledger.probationList.findProgress('a'), { trialCount: 1 });
 });
 
 t.test('a trial on a server that crashes together with others proves nothing', async (t) => {
@@ -90,28 +90,28 @@
   const ledger = createLedger(['ab', 'ab', 'ab']);
   const other = createLedger(['ab', 'ab', 'ab']);
   const trial = { id: 't', startedAtMs: NOW_MS, isVoid: false };
-  const started = ledger.noteTrial('a', trial, NOW_MS);
-  const voided = ledger.noteTrial('a', { ...trial, isVoid: true }, NOW_MS + 1);
+  const started = ledger.recordTrial('a', trial, NOW_MS);
+  const voided = ledger.recordTrial('a', { ...trial, isVoid: true }, NOW_MS + 1);
   other.apply(voided, NOW_MS + 1);
   other.apply(started, NOW_MS + 1);
-  t.match(ledger.doubts.find('a'), { trialCount: 0 });
-  t.match(other.doubts.find('a'), { trialCount: 0 });
+  t.match(ledger.probationList.findProgress('a'), { trialCount: 0 });
+  t.match(other.probationList.findProgress('a'), { trialCount: 0 });
 });
 
 t.test('a trial is open until it has a result or times out', async (t) => {
   const ledger = createLedger(['ab', 'ab', 'ab']);
   const trial = { id: 't', startedAtMs: NOW_MS, isVoid: false };
-  ledger.noteTrial('a', trial, NOW_MS);
-  t.equal(ledger.doubts.findOpen(NOW_MS + 500), 'a');
-  t.equal(ledger.doubts.findOpen(NOW_MS + 1_500), undefined);
+  ledger.recordTrial('a', trial, NOW_MS);
+  t.equal(ledger.probationList.findOpenTrial(NOW_MS + 500), 'a');
+  t.equal(ledger.probationList.findOpenTrial(NOW_MS + 1_500), undefined);
   ledger.clearContent('a', NOW_MS + 600);
-  t.equal(ledger.doubts.findOpen(NOW_MS + 600), undefined);
+  t.equal(ledger.probationList.findOpenTrial(NOW_MS + 600), undefined);
 });
 
 t.test('contents most likely to be harmless come first in the trial order', async (t) => {
   const ledger = createLedger(['ab', 'ab', 'ab', 'b']);
   t.same(
-    ['a', 'b'].map((id) => ledger.doubts.findPlace(id)),
+    ['a', 'b'].map((id) => ledger.probationList.findTrialPosition(id)),
     [0, 1],
   );
 });
@@ -126,7 +126,7 @@
     }));
     ledger.apply(notices, NOW_MS);
     t.notOk(ledger.isHeld('a'));
-    t.match(ledger.doubts.find('a'), { trialCount: 0 });
+    t.match(ledger.probationList.findProgress('a'), { trialCount: 0 });
     crashInTrial(ledger, 'a', NOW_MS);
     t.ok(ledger.isHeld('a'));
   },
--- a/src/domain/crashes/mod.ts
+++ b/src/domain/crashes/mod.ts
@@ -5,11 +5,11 @@
  *
  * @module
  */
-export { CrashLedger, REMEMBERED_MS } from './crash_ledger.js';
+export { CrashLedger, SUSPECT_RETENTION_MS } from './crash_ledger.js';
 export type { CrashLedgerOptions, SuspectStateChange } from './crash_ledger.js';
 export { CrashState } from './crash_note.js';
 export type { CrashNote, TrialNote } from './crash_note.js';
 export type { ProbationList } from './doubt_list.js';
 export { SuspectState } from './_suspect.js';
-export { computeNextStepMs, computeTurnMs } from './trial_plan.js';
-export type { Doubt } from './trial_plan.js';
+export { computeNextStepAtMs, computeTurnAtMs } from './trial_plan.js';
+export type { TrialProgress } from './trial_plan.js';
--- a/src/domain/crashes/trial_plan.ts
+++ b/src/domain/crashes/trial_plan.ts
@@ -32,7 +32,7 @@
 const TURN_STEP_MS = 250;
 
 /** Progress of a content's probation. */
-export interface Doubt {
+export interface TrialProgress {
   /** When the probation started. */
   readonly sinceMs: number;
   /** Number of trials since then. */
@@ -45,7 +45,7 @@
  * @param progress - progress of a content's trials
  * @returns the earliest time of the next trial; Infinity once the trials are used up
  */
-export function computeNextTrialAtMs({ sinceMs, trialCount, lastTrialAtMs }: Doubt): number {
+export function computeNextTrialAtMs({ sinceMs, trialCount, lastTrialAtMs }: TrialProgress): number {
   if (lastTrialAtMs === undefined) return sinceMs + FIRST_TRIAL_DELAY_MS;
   return lastTrialAtMs + (NEXT_TRIAL_DELAYS_MS[trialCount - 1] ?? Infinity);
 }
@@ -54,7 +54,7 @@
  * @param progress - progress of a content's trials
  * @returns when the next trial is due, or when the last one counts as unanswered
  */
-export function computeNextStepMs(progress: Doubt): number {
+export function computeNextStepAtMs(progress: TrialProgress): number {
   const { trialCount, lastTrialAtMs = Infinity } = progress;
   return trialCount < MAX_TRIALS
     ? computeNextTrialAtMs(progress)
@@ -71,7 +71,7 @@
  * @param rank - position of this entry host in the order for this trial, from 0
  * @returns the time, in milliseconds
  */
-export function computeTurnMs(progress: Doubt, askedAtMs: number, rank: number): number {
+export function computeTurnAtMs(progress: TrialProgress, askedAtMs: number, rank: number): number {
   const steps = Math.ceil(Math.log2(rank + 1));
   return Math.max(computeNextTrialAtMs(progress), askedAtMs) + steps * TURN_STEP_MS;
 }
--- a/src/domain/crashes/trial_plan_test.ts
+++ b/src/domain/crashes/trial_plan_test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { computeNextStepMs, computeNextTrialAtMs, computeTurnMs } from './trial_plan.js';
+import { computeNextStepAtMs, computeNextTrialAtMs, computeTurnAtMs } from './trial_plan.js';
 
 const PROGRESS = { sinceMs: 1_000, trialCount: 0, lastTrialAtMs: undefined };
 
@@ -11,14 +11,14 @@
 });
 
 t.test('the last trial gets time for its answer', async (t) => {
-  t.equal(computeNextStepMs(PROGRESS), 1_600);
-  t.equal(computeNextStepMs({ ...PROGRESS, trialCount: 3, lastTrialAtMs: 7_000 }), 17_000);
+  t.equal(computeNextStepAtMs(PROGRESS), 1_600);
+  t.equal(computeNextStepAtMs({ ...PROGRESS, trialCount: 3, lastTrialAtMs: 7_000 }), 17_000);
 });
 
 t.test('the number of entry hosts that may start a trial doubles with each delay', async (t) => {
   const steps = [0, 1, 2, 3, 4, 7, 8, 194].map(
-    (rank) => computeTurnMs(PROGRESS, 5_000, rank) - 5_000,
+    (rank) => computeTurnAtMs(PROGRESS, 5_000, rank) - 5_000,
   );
   t.same(steps, [0, 250, 500, 500, 750, 750, 1_000, 2_000]);
-  t.equal(computeTurnMs(PROGRESS, 0, 0), 1_600, 'not before the trial is due');
+  t.equal(computeTurnAtMs(PROGRESS, 0, 0), 1_600, 'not before the trial is due');
 });
--- a/src/domain/direct/mod.ts
+++ b/src/domain/direct/mod.ts
@@ -5,18 +5,18 @@
  *
  * @module
  */
-export { OutputForecast } from './output_forecast.js';
-export { RetryShare } from './retry_share.js';
+export { OutputEstimator } from './output_forecast.js';
+export { RetryBudgetShare } from './retry_share.js';
 export type { RetryBounds } from './retry_share.js';
-export { computeReturningThresholdMs, computeReturnMs } from './return_time.js';
+export { computeReturningThresholdMs, computeRetryAfterMs } from './return_time.js';
 export {
-  AIM_WAIT_PART,
-  computeDoubtWaitMs,
-  computeMoveWaitMs,
-  computeWaitMs,
+  WAIT_FRACTION,
+  computeMaxProbationWaitMs,
+  computeMaxFailoverWaitMs,
+  computeMaxWaitMs,
 } from './wait_time.js';
 export type { WaitOptions } from './wait_time.js';
-export { ReturningCallers } from './returning_callers.js';
-export { WaitOutlook } from './wait_outlook.js';
-export { computeUrgency, WaitingLine } from './waiting_line.js';
+export { ReturningCallerDetector } from './returning_callers.js';
+export { WaitSuccessTracker } from './wait_outlook.js';
+export { computeUrgency, WaitQueue } from './waiting_line.js';
 export type { WaitingCall } from './waiting_line.js';
--- a/src/domain/direct/output_forecast.ts
+++ b/src/domain/direct/output_forecast.ts
@@ -23,7 +23,7 @@
  * Callers' own hints are right at the median but often far off. Without a hint, the request's
  * output limit says little, since callers allow far more than they need.
  */
-export class OutputForecast {
+export class OutputEstimator {
   #hintFactor = 1;
 
   #limitFactor = INITIAL_LIMIT_FACTOR;
--- a/src/domain/direct/output_forecast_test.ts
+++ b/src/domain/direct/output_forecast_test.ts
@@ -1,12 +1,12 @@
 import t from 'tap';
 import { SeededRandom } from '../../../test/support/fakes.js';
-import { OutputForecast } from './mod.js';
+import { OutputEstimator } from './mod.js';
 
 const OUTPUT_LIMIT = 2_900;
 
 t.test('the output estimate follows hints whose median is right', async (t) => {
   const random = new SeededRandom(3);
-  const estimator = new OutputForecast();
+  const estimator = new OutputEstimator();
   for (let answer = 0; answer < 300; answer += 1) {
     const hintedTokens = 50 + random.nextFraction() * 400;
     // The actual output is twice the hint as often as half of it.
@@ -23,7 +23,7 @@
 });
 
 t.test('the output estimate learns the used fraction of the output limit', async (t) => {
-  const estimator = new OutputForecast();
+  const estimator = new OutputEstimator();
   const work = { promptTokens: 1, outputTokens: OUTPUT_LIMIT };
   for (let answer = 0; answer < 60; answer += 1) estimator.learn(work, 290);
   const expected = estimator.predict(work);
@@ -31,6 +31,6 @@
 });
 
 t.test('the output estimate never exceeds the limit of a request', async (t) => {
-  const estimator = new OutputForecast();
+  const estimator = new OutputEstimator();
   t.equal(estimator.predict({ promptTokens: 1, outputTokens: 10, hintedTokens: 500 }), 10);
 });
--- a/src/domain/direct/retry_share.ts
+++ b/src/domain/direct/retry_share.ts
@@ -34,7 +34,7 @@
  * the ratio to its own attempts and takes an equal share of the slack, so that all hosts together
  * keep the limits without exchanging messages.
  */
-export class RetryShare {
+export class RetryBudgetShare {
   readonly #bounds: RetryBounds;
 
   readonly #slices: Slice[] = [];
@@ -45,7 +45,7 @@
   }
 
   /** @param nowMs - monotonic time at which a first attempt is made */
-  noteAttempt(nowMs: number): void {
+  recordAttempt(nowMs: number): void {
     this.#getCurrentSlice(nowMs).attempts += 1;
   }
 
--- a/src/domain/direct/retry_share_test.ts
+++ b/src/domain/direct/retry_share_test.ts
@@ -1,19 +1,19 @@
 import fc from 'fast-check';
 import t from 'tap';
-import { RetryShare } from './mod.js';
+import { RetryBudgetShare } from './mod.js';
 
 const BOUNDS = { ratio: 0.2, slack: 50, windowMs: 10_000 };
 const RUNS = { seed: 22, numRuns: 200 };
 
 t.test('an idle service gets its share of the slack', async (t) => {
-  const share = new RetryShare(BOUNDS);
+  const share = new RetryBudgetShare(BOUNDS);
   let taken = 0;
   while (share.takeRetry(1_000, 5)) taken += 1;
   t.equal(taken, 6);
 });
 
 t.test('retries older than a window no longer count', async (t) => {
-  const share = new RetryShare(BOUNDS);
+  const share = new RetryBudgetShare(BOUNDS);
   while (share.takeRetry(0, 5));
   t.notOk(share.takeRetry(9_000, 5));
   t.ok(share.takeRetry(12_000, 5));
@@ -28,7 +28,7 @@
   });
   fc.assert(
     fc.property(fc.array(event, { minLength: 200, maxLength: 600 }), (events) => {
-      const hosts = [0, 1, 2, 3, 4].map(() => new RetryShare(BOUNDS));
+      const hosts = [0, 1, 2, 3, 4].map(() => new RetryBudgetShare(BOUNDS));
       const restarts = new Set<number>();
       const log: { readonly atMs: number; readonly isRetry: boolean }[] = [];
       let nowMs = 0;
@@ -36,11 +36,11 @@
         nowMs += passMs;
         if (restart === 0 && !restarts.has(host)) {
           restarts.add(host);
-          hosts[host] = new RetryShare(BOUNDS);
+          hosts[host] = new RetryBudgetShare(BOUNDS);
         }
-        const share = hosts[host] as RetryShare;
+        const share = hosts[host] as RetryBudgetShare;
         if (kind === 'attempt') {
-          share.noteAttempt(nowMs);
+          share.recordAttempt(nowMs);
           log.push({ atMs: nowMs, isRetry: false });
         } else if (share.takeRetry(nowMs, hosts.length)) log.push({ atMs: nowMs, isRetry: true });
       });
--- a/src/domain/direct/return_time_test.ts
+++ b/src/domain/direct/return_time_test.ts
@@ -1,10 +1,10 @@
 import fc from 'fast-check';
 import t from 'tap';
-import { computeReturningThresholdMs, computeReturnMs } from './mod.js';
+import { computeReturningThresholdMs, computeRetryAfterMs } from './mod.js';
 
 t.test('the retry-after time is short if the target can still be met', async (t) => {
   const options = { clearMs: 100, timeLeftMs: 10_000, aimLeftMs: 300, fraction: 0 };
-  t.equal(computeReturnMs(options), 100);
+  t.equal(computeRetryAfterMs(options), 100);
 });
 
 t.test('the retry-after time outlasts a burst if the target can not be met', async (t) => {
@@ -12,8 +12,8 @@
   // callers were asked back after the estimated wait of 0.2 s, so that all of them used their
   // last attempt while the burst lasted.
   const options = { clearMs: 200, timeLeftMs: 12_000, aimLeftMs: 100, fraction: 0 };
-  t.equal(computeReturnMs(options), 3_840);
-  t.ok(computeReturnMs({ ...options, fraction: 0.999 }) > 2_000);
+  t.equal(computeRetryAfterMs(options), 3_840);
+  t.ok(computeRetryAfterMs({ ...options, fraction: 0.999 }) > 2_000);
 });
 
 t.test('the retry-after time never exceeds what callers accept', async () => {
@@ -24,7 +24,7 @@
       fc.double({ min: -1e4, max: 1e5, noNaN: true }),
       fc.double({ min: 0, max: 0.999, noNaN: true }),
       (clearMs, timeLeftMs, aimLeftMs, fraction) => {
-        const retryAfterMs = computeReturnMs({ clearMs, timeLeftMs, aimLeftMs, fraction });
+        const retryAfterMs = computeRetryAfterMs({ clearMs, timeLeftMs, aimLeftMs, fraction });
         return retryAfterMs >= 0 && retryAfterMs <= timeLeftMs / 3;
       },
     ),
@@ -42,7 +42,7 @@
     const deadlineMs = longestDeadlineMs * (0.85 + (0.15 * step) / 20);
     t.ok(deadlineMs > thresholdMs);
     const lateOptions = { clearMs: 2_000, timeLeftMs: deadlineMs, aimLeftMs: 0 };
-    const shortestRetryAfterMs = computeReturnMs({ ...lateOptions, fraction: 1 });
+    const shortestRetryAfterMs = computeRetryAfterMs({ ...lateOptions, fraction: 1 });
     // Callers with the longest deadline and the shortest retry-after time return just below the
     // threshold.
     t.ok(deadlineMs - shortestRetryAfterMs <= Math.max(thresholdMs, deadlineMs * 0.81));
--- a/src/domain/direct/returning_callers.ts
+++ b/src/domain/direct/returning_callers.ts
@@ -9,7 +9,7 @@
  * Detects returning callers by their remaining time. A returning call carries nothing that
  * identifies the first one, but has less time left than first calls have.
  */
-export class ReturningCallers {
+export class ReturningCallerDetector {
   /** Longest deadline seen, in milliseconds. */
   #longestDeadlineMs = 0;
 
--- a/src/domain/direct/wait_outlook.ts
+++ b/src/domain/direct/wait_outlook.ts
@@ -31,7 +31,7 @@
  * refusal. In fourteen pairs of runs, neither the served calls nor the calls held in vain changed
  * beyond noise.
  */
-export class WaitOutlook {
+export class WaitSuccessTracker {
   readonly #outcomesByUrgency = new Map<number, WaitOutcomes>();
 
   /**
@@ -39,7 +39,7 @@
    * @param isGranted - whether the call got a slot
    * @param nowMs - monotonic time in milliseconds
    */
-  note(urgency: number, isGranted: boolean, nowMs: number): void {
+  record(urgency: number, isGranted: boolean, nowMs: number): void {
     const outcomes = this.#decayOutcomes(urgency, nowMs);
     outcomes.ended += 1;
     if (isGranted) outcomes.granted += 1;
--- a/src/domain/direct/wait_time.ts
+++ b/src/domain/direct/wait_time.ts
@@ -24,7 +24,7 @@
  * server: with all slots taken, three in four servers sent the first byte within 0.15 s, at
  * targets of 0.4 s.
  */
-export const AIM_WAIT_PART = 0.55;
+export const WAIT_FRACTION = 0.55;
 
 /** Inputs for the longest wait. */
 export interface WaitOptions {
@@ -43,9 +43,9 @@
  * @param options - times of the call
  * @returns milliseconds
  */
-export function computeWaitMs({ isLate, timeLeftMs, targetMs }: WaitOptions): number {
+export function computeMaxWaitMs({ isLate, timeLeftMs, targetMs }: WaitOptions): number {
   const maxLateWaitMs = Math.min(MAX_LATE_WAIT_MS, timeLeftMs * LATE_WAIT_FRACTION);
-  return isLate ? maxLateWaitMs : Math.min(maxLateWaitMs, targetMs * AIM_WAIT_PART);
+  return isLate ? maxLateWaitMs : Math.min(maxLateWaitMs, targetMs * WAIT_FRACTION);
 }
 
 /**
@@ -54,7 +54,7 @@
  * @param timeLeftMs - time left until the caller's deadline
  * @returns milliseconds
  */
-export function computeMoveWaitMs(timeLeftMs: number): number {
+export function computeMaxFailoverWaitMs(timeLeftMs: number): number {
   return Math.min(MAX_LATE_WAIT_MS, timeLeftMs / 2);
 }
 
@@ -65,6 +65,6 @@
  * @param timeLeftMs - time left until the caller's deadline
  * @returns milliseconds
  */
-export function computeDoubtWaitMs(timeLeftMs: number): number {
+export function computeMaxProbationWaitMs(timeLeftMs: number): number {
   return timeLeftMs * PROBATION_WAIT_FRACTION;
 }
--- a/src/domain/direct/waiting_line.ts
+++ b/src/domain/direct/waiting_line.ts
@@ -15,7 +15,7 @@
   /** Arrival time on the monotonic clock, in milliseconds. */
   readonly arrivedAtMs: number;
   /** Latest useful start on a backend server, in milliseconds of the monotonic clock. */
-  readonly startByMs: number;
+  readonly latestStartAtMs: number;
 }
 
 /**
@@ -26,7 +26,7 @@
  * themselves on their return. In one measured burst of 1.7 times the usual traffic, only 15
  * percent of answers were on time that way, and it stayed so for ten seconds after the burst.
  */
-export class WaitingLine<T extends WaitingCall> {
+export class WaitQueue<T extends WaitingCall> {
   readonly #calls: T[] = [];
 
   /** Number of waiting calls. */
@@ -76,8 +76,8 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns the removed calls
    */
-  takeExpired(nowMs: number): T[] {
-    const expired = this.#calls.filter(({ startByMs }) => startByMs <= nowMs);
+  removeExpired(nowMs: number): T[] {
+    const expired = this.#calls.filter(({ latestStartAtMs: startByMs }) => startByMs <= nowMs);
     expired.forEach((call) => this.remove(call));
     return expired;
   }
--- a/src/domain/direct/waiting_line_test.ts
+++ b/src/domain/direct/waiting_line_test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { WaitingLine } from './mod.js';
+import { WaitQueue } from './mod.js';
 import type { WaitingCall } from './mod.js';
 
 interface TestCall extends WaitingCall {
@@ -7,15 +7,15 @@
 }
 
 function buildCall(name: string, changes: Partial<TestCall> = {}): TestCall {
-  return { name, rank: 0, isLate: false, arrivedAtMs: 0, startByMs: 1_000, ...changes };
+  return { name, rank: 0, isLate: false, arrivedAtMs: 0, latestStartAtMs: 1_000, ...changes };
 }
 
-function listNames(queue: WaitingLine<TestCall>): string[] {
+function listNames(queue: WaitQueue<TestCall>): string[] {
   return queue.list().map(({ name }) => name);
 }
 
 t.test('the wait queue orders by rank, then lateness, then arrival', async (t) => {
-  const queue = new WaitingLine<TestCall>();
+  const queue = new WaitQueue<TestCall>();
   queue.add(buildCall('late', { isLate: true }));
   queue.add(buildCall('batch', { rank: 2 }));
   queue.add(buildCall('second', { arrivedAtMs: 5 }));
@@ -26,11 +26,11 @@
 });
 
 t.test('the wait queue removes calls that can no longer start in time', async (t) => {
-  const queue = new WaitingLine<TestCall>();
-  queue.add(buildCall('gone', { startByMs: 10 }));
-  queue.add(buildCall('stays', { startByMs: 50 }));
+  const queue = new WaitQueue<TestCall>();
+  queue.add(buildCall('gone', { latestStartAtMs: 10 }));
+  queue.add(buildCall('stays', { latestStartAtMs: 50 }));
   t.same(
-    queue.takeExpired(10).map(({ name }) => name),
+    queue.removeExpired(10).map(({ name }) => name),
     ['gone'],
   );
   t.same(listNames(queue), ['stays']);
@@ -56,7 +56,7 @@
  * second later and late.
  */
 function simulateOverload(order: (call: TestCall) => TestCall): SimulationResult {
-  const queue = new WaitingLine<TestCall>();
+  const queue = new WaitQueue<TestCall>();
   const returns: { readonly atMs: number }[] = [];
   let offered = 0;
   let inTime = 0;
@@ -67,14 +67,14 @@
     while (credit >= 1) {
       credit -= 1;
       offered += 1;
-      queue.add(order(buildCall('new', { arrivedAtMs: nowMs, startByMs: nowMs + WAIT_MS })));
+      queue.add(order(buildCall('new', { arrivedAtMs: nowMs, latestStartAtMs: nowMs + WAIT_MS })));
     }
     while ((returns[0]?.atMs ?? Infinity) <= nowMs) {
       returns.shift();
       const startByMs = nowMs + WAIT_MS;
-      queue.add(order(buildCall('back', { arrivedAtMs: nowMs, isLate: true, startByMs })));
+      queue.add(order(buildCall('back', { arrivedAtMs: nowMs, isLate: true, latestStartAtMs: startByMs })));
     }
-    const refused = queue.takeExpired(nowMs).filter(({ name }) => name === 'new');
+    const refused = queue.removeExpired(nowMs).filter(({ name }) => name === 'new');
     refused.forEach(() => returns.push({ atMs: nowMs + RETURN_MS }));
     const first = queue.list()[0];
     if (first) {
--- a/src/domain/overlay/pick_addresses.ts
+++ b/src/domain/overlay/pick_addresses.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { pickByWeight } from '../membership/mod.js';
-import type { Regions } from '../places/mod.js';
+import type { AllowedRegions } from '../places/mod.js';
 import type { PlannedHost } from './relay_plan.js';
 
 /**
@@ -33,7 +33,7 @@
   /** Region of the caller; empty if unknown. */
   readonly callerRegion: string;
   /** Regions to which the caller's calls are restricted; undefined without a restriction. */
-  readonly homeRegions: Regions;
+  readonly homeRegions: AllowedRegions;
   /** @returns region of an availability zone; undefined if the zone is unknown */
   readonly findRegion: (zone: string) => string | undefined;
 }
--- a/src/domain/places/allowed_regions.ts
+++ b/src/domain/places/allowed_regions.ts
@@ -5,7 +5,7 @@
  */
 
 /** Names of the allowed regions; undefined if all are allowed. */
-export type Regions = readonly string[] | undefined;
+export type AllowedRegions = readonly string[] | undefined;
 
 /**
  * Combines two restrictions.
@@ -14,7 +14,7 @@
  * @param other - regions that the second restriction allows
  * @returns regions that both allow
  */
-export function intersectRegions(one: Regions, other: Regions): Regions {
+export function intersectRegions(one: AllowedRegions, other: AllowedRegions): AllowedRegions {
   if (one === undefined) return other;
   if (other === undefined) return one;
   return one.filter((region) => other.includes(region));
@@ -28,6 +28,6 @@
  * @param region - region of the resource; undefined if unknown
  * @returns whether the resource may be used
  */
-export function isAllowedRegion(regions: Regions, region: string | undefined): boolean {
+export function isAllowedRegion(regions: AllowedRegions, region: string | undefined): boolean {
   return regions === undefined || (region !== undefined && regions.includes(region));
 }
--- a/src/domain/places/closed_zones.ts
+++ b/src/domain/places/closed_zones.ts
@@ -23,7 +23,7 @@
    * @param zone - an availability zone
    * @returns whether it is closed, so that its backend servers get no new requests
    */
-  has(zone: string): boolean {
+  isClosed(zone: string): boolean {
     return this.#closed.has(zone);
   }
 
--- a/src/domain/places/mod.ts
+++ b/src/domain/places/mod.ts
@@ -6,8 +6,8 @@
  * @module
  */
 export { intersectRegions, isAllowedRegion } from './allowed_regions.js';
-export type { Regions } from './allowed_regions.js';
+export type { AllowedRegions } from './allowed_regions.js';
 export { ClosedZones } from './closed_zones.js';
 export { deriveWarmupShare, isWarmupSender } from './warmup_share.js';
-export type { WarmupBound, WarmupShare } from './warmup_share.js';
-export { WarmupPace } from './warmup_pace.js';
+export type { WarmupLimit, WarmupShare } from './warmup_share.js';
+export { WarmupPacer } from './warmup_pace.js';
--- a/src/domain/places/warmup_pace.ts
+++ b/src/domain/places/warmup_pace.ts
@@ -5,7 +5,7 @@
  */
 
 /** Tracks until when a server is cold and when this entry host may send to it next. */
-export class WarmupPace {
+export class WarmupPacer {
   #coldUntilMs = Number.NEGATIVE_INFINITY;
 
   #intervalMs = Infinity;
@@ -17,7 +17,7 @@
    * @param intervalMs - shortest time between two requests of this entry host until then;
    *   Infinity if it may send none
    */
-  set(coldUntilMs: number, intervalMs: number): void {
+  configure(coldUntilMs: number, intervalMs: number): void {
     this.#coldUntilMs = coldUntilMs;
     this.#intervalMs = intervalMs;
   }
@@ -34,7 +34,7 @@
   }
 
   /** @param nowMs - monotonic time at which a request is sent */
-  noteSent(nowMs: number): void {
+  recordSent(nowMs: number): void {
     this.#sentAtMs = nowMs;
   }
 }
--- a/src/domain/places/warmup_share.ts
+++ b/src/domain/places/warmup_share.ts
@@ -6,7 +6,7 @@
 import { sortByRendezvous } from '../membership/mod.js';
 
 /** Rate limit of a backend server that is warming up. */
-export interface WarmupBound {
+export interface WarmupLimit {
   /** Time from the server's start until it is warm, in milliseconds. */
   readonly durationMs: number;
   /** Maximum number of requests in any second from all entry hosts together. */
@@ -16,7 +16,7 @@
 /** Share of the rate limit that one entry host gets. */
 export interface WarmupShare {
   /** Number of entry hosts that may send to the server. */
-  readonly senders: number;
+  readonly senderCount: number;
   /** Shortest time between two requests of one such host, in milliseconds. */
   readonly intervalMs: number;
 }
@@ -50,7 +50,7 @@
   const sharedPerSecond = Math.max(1, Math.floor(requestsPerSecond * SHARED_FRACTION));
   const senders = Math.min(MAX_SENDERS, sharedPerSecond);
   const perSender = Math.floor(sharedPerSecond / senders);
-  return { senders, intervalMs: (MS_PER_SECOND * INTERVAL_MARGIN) / perSender };
+  return { senderCount: senders, intervalMs: (MS_PER_SECOND * INTERVAL_MARGIN) / perSender };
 }
 
 /**
--- a/src/domain/places/warmup_share_test.ts
+++ b/src/domain/places/warmup_share_test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import t from 'tap';
-import { deriveWarmupShare, isWarmupSender, WarmupPace } from './mod.js';
+import { deriveWarmupShare, isWarmupSender, WarmupPacer } from './mod.js';
 
 const MS_PER_SECOND = 1_000;
 
@@ -17,11 +17,11 @@
  * Returns the times at which one host sends, out of the times at which it tries, in milliseconds.
  */
 function simulateSends(attemptTimesMs: readonly number[], intervalMs: number): number[] {
-  const pacer = new WarmupPace();
-  pacer.set(Infinity, intervalMs);
+  const pacer = new WarmupPacer();
+  pacer.configure(Infinity, intervalMs);
   return attemptTimesMs.filter((atMs) => {
     if (!pacer.maySend(atMs)) return false;
-    pacer.noteSent(atMs);
+    pacer.recordSent(atMs);
     return true;
   });
 }
@@ -49,7 +49,7 @@
       fc.array(attemptTimes),
       (limit, size, attempts) => {
         const names = Array.from({ length: size }, (_, index) => `entry-${index}`);
-        const { senders, intervalMs } = deriveWarmupShare(limit);
+        const { senderCount: senders, intervalMs } = deriveWarmupShare(limit);
         const views = new Map(names.map((name) => [name, names]));
         const sent = listSenders(views, 's-1', senders).flatMap((_name, index) =>
           simulateSends(
@@ -73,7 +73,7 @@
       const half = Math.ceil(size / 2);
       const sides = [names.slice(0, half), names.slice(half)];
       const views = new Map(sides.flatMap((side) => side.map((name) => [name, side] as const)));
-      const { senders, intervalMs } = deriveWarmupShare(limit);
+      const { senderCount: senders, intervalMs } = deriveWarmupShare(limit);
       const everyMs = Array.from({ length: 3_000 }, (_, index) => index);
       const sent = listSenders(views, 's-1', senders).flatMap(() =>
         simulateSends(everyMs, intervalMs),
@@ -87,30 +87,30 @@
 
 t.test('a partition whose sides remember each other keeps the senders', async (t) => {
   const names = Array.from({ length: 60 }, (_, index) => `entry-${index}`);
-  const { senders } = deriveWarmupShare(32);
+  const { senderCount: senders } = deriveWarmupShare(32);
   const views = new Map(names.map((name) => [name, names]));
   t.equal(listSenders(views, 's-1', senders).length, senders);
 });
 
 t.test('deriveWarmupShare() allows requests at any limit', async (t) => {
   [0.5, 1, 2, 3, 7, 32, 500].forEach((limit) => {
-    const { senders, intervalMs } = deriveWarmupShare(limit);
+    const { senderCount: senders, intervalMs } = deriveWarmupShare(limit);
     t.ok(senders >= 1 && intervalMs < 1_100, `${limit} a second`);
   });
 });
 
 t.test('the warmup limit ends once the server is warm', async (t) => {
-  const pacer = new WarmupPace();
+  const pacer = new WarmupPacer();
   t.ok(pacer.maySend(0));
-  pacer.noteSent(0);
+  pacer.recordSent(0);
   t.ok(pacer.maySend(0));
-  pacer.set(1_000, 400);
+  pacer.configure(1_000, 400);
   t.notOk(pacer.maySend(100), 'a request sent before the server turned cold counts');
   t.ok(pacer.maySend(400));
-  const neverSent = new WarmupPace();
-  neverSent.set(1_000, Infinity);
+  const neverSent = new WarmupPacer();
+  neverSent.configure(1_000, Infinity);
   t.notOk(neverSent.maySend(0));
-  pacer.set(1_000, Infinity);
+  pacer.configure(1_000, Infinity);
   t.notOk(pacer.maySend(900));
   t.ok(pacer.maySend(1_000));
 });
--- a/src/domain/routing/route_table.ts
+++ b/src/domain/routing/route_table.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { Regions } from '../places/mod.js';
+import type { AllowedRegions } from '../places/mod.js';
 import type { ClientAccount, Route, RoutingDocument, ServiceInfo } from './types.js';
 
 /** Number of route ranks within one account rank. */
@@ -57,7 +57,7 @@
    * @param hostName - host name of the requests
    * @returns the union of its routes' regions; undefined if a route allows all or none exists
    */
-  findAllowedRegions(hostName: string): Regions {
+  findAllowedRegions(hostName: string): AllowedRegions {
     const routes = this.#routes.get(hostName) ?? [];
     if (routes.length === 0 || routes.some(({ regions }) => regions === undefined))
       return undefined;
--- a/src/domain/routing/types.ts
+++ b/src/domain/routing/types.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import type { Regions } from '../places/mod.js';
+import type { AllowedRegions } from '../places/mod.js';
 
 /** One of the services among which a route's requests are divided. */
 export interface WeightedService {
@@ -41,7 +41,7 @@
   /** Whether requests without an API key are served. */
   readonly mayBeAnonymous: boolean;
   /** Regions in which its requests may be handled; undefined: all. */
-  readonly regions?: Regions;
+  readonly regions?: AllowedRegions;
 }
 
 /** A service and the properties that its backend servers share. */
@@ -91,7 +91,7 @@
   /** Rate limit; undefined: the account has no limit. */
   readonly limit: AccountLimit | undefined;
   /** Regions in which its requests may be handled; undefined: all. */
-  readonly regions?: Regions;
+  readonly regions?: AllowedRegions;
 }
 
 /** Limits on each connection of a caller. */
