--- a/src/application/crashes/_answered_contents.ts
+++ b/src/application/crashes/_answered_contents.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { RecentKeys } from '../../domain/collections/mod.js';
+import { BoundedMap } from '../../domain/collections/mod.js';
 import { CrashState } from '../../domain/crashes/mod.js';
 import type { CrashNote } from '../../domain/crashes/mod.js';
 
@@ -27,7 +27,7 @@
 
 /** Remembers when each content was last answered with success. */
 export class AnsweredContents {
-  readonly #answeredAtMs = new RecentKeys<number>(MAX_ANSWERED_CONTENTS);
+  readonly #answeredAtMs = new BoundedMap<number>(MAX_ANSWERED_CONTENTS);
 
   /** @param contentId - content that was answered. @param nowMs - monotonic time in milliseconds */
   recordAnswer(contentId: string, nowMs: number): void {
--- a/src/application/direct/_answer_relay.ts
+++ b/src/application/direct/_answer_relay.ts
@@ -158,7 +158,7 @@
   override end(): void {
     if (!this.#hasBegun) this.#reply.writeHead(this.#head);
     this.#hasBegun = true;
-    this.#reply.write(this.#splitter.rest);
+    this.#reply.write(this.#splitter.pendingBytes);
     this.#reply.end();
   }
 }
--- a/src/application/direct/_report_role.ts
+++ b/src/application/direct/_report_role.ts
@@ -171,10 +171,10 @@
     this.#plannedRevision = revision;
     const pickRelayIds = (hosts: readonly HostState[]): ReadonlySet<string> =>
       pickRelays([self, ...hosts].filter(({ isLeaving }) => !isLeaving));
-    this.#relayIds = pickRelayIds(this.#roster.listPresumed());
+    this.#relayIds = pickRelayIds(this.#roster.listPresumedLive());
     const potentialRelayIds = pickRelayIds(this.#roster.listKnown());
     this.#relayStates = this.#roster
-      .listPresumed()
+      .listPresumedLive()
       .filter(({ identity }) => this.#relayIds.has(identity.id));
     this.#relayLinkTargets = this.#roster
       .listKnown()
--- a/src/application/direct/_report_sources.ts
+++ b/src/application/direct/_report_sources.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { ReportScope, SILENT_AFTER_MS } from '../../domain/overlay/mod.js';
+import { ReportScope, PEER_TIMEOUT_MS } from '../../domain/overlay/mod.js';
 import type { EntryHostIdentity } from '../../domain/membership/mod.js';
 import type { HostReportMessage } from '../../ports/mod.js';
 
@@ -60,7 +60,7 @@
    */
   dropSilent(nowMs: number): void {
     this.#byIncarnation.forEach(({ receivedAtMs }, incarnation) => {
-      if (nowMs - receivedAtMs > SILENT_AFTER_MS) this.#byIncarnation.delete(incarnation);
+      if (nowMs - receivedAtMs > PEER_TIMEOUT_MS) this.#byIncarnation.delete(incarnation);
     });
   }
 
--- a/src/application/direct/host_reports.ts
+++ b/src/application/direct/host_reports.ts
@@ -254,9 +254,9 @@
     const isFirstReport = this.#received.find(incarnation) === undefined;
     const received = { identity, report, receivedAtMs: nowMs };
     this.#received.put(received);
-    this.#roster.noteHeard(incarnation, nowMs);
+    this.#roster.recordContact(incarnation, nowMs);
     report.roster.forEach((entry) => {
-      if (this.#roster.apply(incarnation, entry, nowMs))
+      if (this.#roster.applyEntry(incarnation, entry, nowMs))
         this.#rosterLog.logSeen(entry.state.identity);
     });
     if (report.scope === ReportScope.Member) this.#roster.addMember(identity);
@@ -289,7 +289,7 @@
   #expire(): void {
     const nowMs = this.#options.clock.nowMs();
     this.#received.dropSilent(nowMs);
-    const { silent, forgotten } = this.#roster.expire(nowMs);
+    const { silent, forgotten } = this.#roster.removeExpired(nowMs);
     silent.forEach(({ identity }) => this.#rosterLog.logSilent(identity));
     forgotten.forEach(({ identity }) => this.#rosterLog.logForgotten(identity));
   }
--- a/src/application/membership/_host_list_watch.ts
+++ b/src/application/membership/_host_list_watch.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { HOST_LIST_PREFIX, HostListOrder, parseListedHost } from '../../domain/membership/mod.js';
+import { HOST_LIST_PREFIX, StaleReadFilter, parseListedHost } from '../../domain/membership/mod.js';
 import type { HostList, ListedHost } from '../../domain/membership/mod.js';
 import { LogLevel, formatReason } from '../../domain/errors/mod.js';
 import type {
@@ -46,7 +46,7 @@
 export class HostListWatch {
   readonly #options: HostListWatchOptions;
 
-  readonly #staleReadFilter = new HostListOrder(RESTORE_CONFIRMATION_MS);
+  readonly #staleReadFilter = new StaleReadFilter(RESTORE_CONFIRMATION_MS);
 
   readonly #loggedFaultIndexes = new Map<string, number>();
 
--- a/src/application/membership/_peer_directory.ts
+++ b/src/application/membership/_peer_directory.ts
@@ -6,7 +6,7 @@
 import {
   EntryHostTable,
   HostRole,
-  HostState,
+  ListedHostState,
   PeerReports,
   PeerState,
   pickByRendezvous,
@@ -81,7 +81,7 @@
 
   /** Records a message from a peer. @param incarnation - the peer. @param nowMs - monotonic time */
   recordContact(incarnation: string, nowMs: number): void {
-    this.#table.noteHeard(incarnation, nowMs);
+    this.#table.recordContact(incarnation, nowMs);
   }
 
   /**
@@ -91,12 +91,12 @@
    * @param requestedAtMs - when the heartbeat was sent
    */
   recordReply(incarnation: string, requestedAtMs: number): void {
-    this.#table.noteReply(incarnation, requestedAtMs);
+    this.#table.recordReply(incarnation, requestedAtMs);
   }
 
   /** Records the end of a pause of this process. @param nowMs - monotonic time */
   recordWake(nowMs: number): void {
-    this.#table.noteWake(
+    this.#table.recordWake(
       nowMs,
       (incarnation) => this.#states.get(incarnation) !== PeerState.Suspected,
     );
@@ -198,7 +198,7 @@
 
   #getSelfState(): PeerState {
     const isListedLeaving =
-      this.#listedHosts.get(this.#options.self.id)?.state === HostState.Leaving;
+      this.#listedHosts.get(this.#options.self.id)?.state === ListedHostState.Leaving;
     return this.#isSelfStopping || isListedLeaving ? PeerState.Leaving : PeerState.Live;
   }
 
@@ -206,11 +206,11 @@
    * Derives a peer's state from its report and the host list. A list entry that was
    * written before this incarnation appeared refers to an earlier one and is ignored.
    */
-  #getReportedState({ identity, staleListIndex }: EntryHostRecord): PeerState {
+  #getReportedState({ identity, outdatedListIndex: staleListIndex }: EntryHostRecord): PeerState {
     const report = this.#reports.find(identity.incarnation);
     const listed = this.#listedHosts.get(identity.id);
     const isListedLeaving =
-      listed?.state === HostState.Leaving && listed.modifyIndex > staleListIndex;
+      listed?.state === ListedHostState.Leaving && listed.modifyIndex > staleListIndex;
     if (report?.leaving || isListedLeaving) return PeerState.Leaving;
     return report?.ready ? PeerState.Live : PeerState.Starting;
   }
@@ -219,7 +219,7 @@
     return { identity: this.#options.self, state: this.#getSelfState(), silentMs: 0 };
   }
 
-  #buildView({ identity, heardAtMs }: EntryHostRecord, nowMs: number): EntryHostView {
+  #buildView({ identity, lastContactAtMs: heardAtMs }: EntryHostRecord, nowMs: number): EntryHostView {
     const state = this.#states.get(identity.incarnation) ?? PeerState.Live;
     return { identity, state, silentMs: Math.max(0, nowMs - heardAtMs) };
   }
--- a/src/application/membership/membership_keeper.ts
+++ b/src/application/membership/membership_keeper.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { hasSameWord, LeavingBackendServers, PeerState } from '../../domain/membership/mod.js';
+import { hasSameContents, LeavingBackendServers, PeerState } from '../../domain/membership/mod.js';
 import type { EntryHostIdentity, EntryHostView, HostList } from '../../domain/membership/mod.js';
 import { LogLevel } from '../../domain/errors/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
@@ -120,7 +120,7 @@
    * @param backendServerId - ID of the backend server
    */
   noteBackendServerLeaving(backendServerId: string): void {
-    if (!this.#leavingServers.noteOwn(backendServerId, this.#options.clock.nowMs())) return;
+    if (!this.#leavingServers.recordOwn(backendServerId, this.#options.clock.nowMs())) return;
     this.#options.log.write(LogLevel.Info, 'backend_server_leaving', {
       backendServer: backendServerId,
     });
@@ -228,7 +228,7 @@
     // A heartbeat that a newer one has overtaken on another link must not replace it.
     if (!this.#directory.mergeReport(incarnation, message)) return;
     this.#leavingServers.applyClaims(incarnation, message.leavingBackendServers, nowMs);
-    if (!hasSameWord(previousReport, message)) this.#updateStates();
+    if (!hasSameContents(previousReport, message)) this.#updateStates();
     const { configurationRevision, configurationHash, groups } = message;
     this.#configurationHandlers.forEach((handler) =>
       handler(incarnation, configurationRevision, configurationHash),
--- a/src/application/owner/_attempt.ts
+++ b/src/application/owner/_attempt.ts
@@ -100,7 +100,7 @@
       const backendAnswer = yield* this.#dispatchOrRecover(traceparent);
       this.#openAnswer(backendAnswer);
       yield* this.#readBody(backendAnswer);
-      this.#request.record.advance(RequestState.Answered);
+      this.#request.record.transitionTo(RequestState.Answered);
       answer.close();
       return this.#buildResult(SlotOutcome.Answered, undefined);
     } catch (error) {
@@ -183,7 +183,7 @@
 
   #recordHandOver(): void {
     this.#handedOverAtMs = this.#context.clock.nowMs();
-    this.#request.record.advance(RequestState.Dispatched);
+    this.#request.record.transitionTo(RequestState.Dispatched);
     this.#request.backendServerId = this.#slot.backendServer.id;
   }
 
@@ -233,7 +233,7 @@
   }
 
   #buildFailure(error: BackendCallError): AttemptResult {
-    if (!this.#request.record.hasLeft) return this.#buildNotHandedOver(error);
+    if (!this.#request.record.isHandedOver) return this.#buildNotHandedOver(error);
     if (!this.#request.isWanted) {
       this.#cancelStream();
       return this.#buildResult(
--- a/src/application/owner/_run_request.ts
+++ b/src/application/owner/_run_request.ts
@@ -55,9 +55,9 @@
     const refusal = context.crashes.findRefusal(request.contentId);
     if (refusal) throw refusal;
     admission = context.allowances.admit(call.account, prompt.promptTokens + outputTokens);
-    request.record.advance(RequestState.Queued);
+    request.record.transitionTo(RequestState.Queued);
     const result = yield* runAttempts(context, request, call, prompt, outputTokens);
-    usedTokens = request.record.hasLeft ? prompt.promptTokens + result.use.outputTokens : 0;
+    usedTokens = request.record.isHandedOver ? prompt.promptTokens + result.use.outputTokens : 0;
     if (result.error) request.fail(result.error);
     else recordOutputTokens(context, call, result.use.outputTokens);
   } catch (error) {
@@ -100,11 +100,11 @@
       signal: request.signal,
     });
     const result = yield* useSlot(context, request, call, slot, deadlineAtMs);
-    if (!request.record.hasLeft) pass.handBack();
+    if (!request.record.isHandedOver) pass.handBack();
     if (!result.mayRetry) return result;
     checkMayRetry(context, request, result, { attempt, deadlineAtMs });
     if (result.use.outcome === SlotOutcome.Refused) excluded.push(slot.backendServer.id);
-    request.record.advance(RequestState.Queued);
+    request.record.transitionTo(RequestState.Queued);
   }
 }
 
@@ -165,7 +165,7 @@
   slot: Slot,
   deadlineAtMs: number,
 ): Step<AttemptResult> {
-  request.record.advance(RequestState.Dispatching);
+  request.record.transitionTo(RequestState.Dispatching);
   const startedAtMs = context.clock.nowMs();
   let result: AttemptResult | undefined;
   try {
@@ -191,7 +191,7 @@
   const { id: serverId, url } = slot.backendServer;
   const { hasSucceeded } = result;
   if (!result.error) crashes.noteAnswered({ contentId, serverId, startedAtMs, hasSucceeded });
-  const wasLost = record.hasLeft && result.use.outcome === SlotOutcome.Failed;
+  const wasLost = record.isHandedOver && result.use.outcome === SlotOutcome.Failed;
   if (!wasLost || membership.isBackendServerLeaving(serverId)) return;
   const address = formatAddress(url);
   crashes.noteLost({ contentId, serverId, address, startedAtMs, endedAtMs: clock.nowMs() });
--- a/src/application/owner/owned_request.ts
+++ b/src/application/owner/owned_request.ts
@@ -82,7 +82,7 @@
   /** Cancels the request; one whose body has been sent ends when its attempt ends. */
   cancel(): void {
     this.#controller.abort();
-    if (!this.record.hasLeft) this.fail(new SchedulerError(ErrorKind.Cancelled));
+    if (!this.record.isHandedOver) this.fail(new SchedulerError(ErrorKind.Cancelled));
   }
 
   /**
@@ -102,7 +102,7 @@
    * @param error - the reason
    */
   fail(error: SchedulerError): void {
-    const recordedError = this.record.refuse(error);
+    const recordedError = this.record.endWithError(error);
     this.answer.close(recordedError);
   }
 
@@ -134,7 +134,7 @@
 
   #cancelIfUnwanted(): void {
     if (this.record.isFinal || this.#callerCount > 0) return;
-    if (this.record.hasLeft && this.#options.mustRunToCompletion) return;
+    if (this.record.isHandedOver && this.#options.mustRunToCompletion) return;
     this.cancel();
   }
 }
--- a/src/application/owner/owner_service.ts
+++ b/src/application/owner/owner_service.ts
@@ -179,7 +179,7 @@
     }
     const { clock } = this.#options;
     const error = new SchedulerError(ErrorKind.Cancelled);
-    const record = this.#ledger.void(id, error, clock.wallMs());
+    const record = this.#ledger.voidId(id, error, clock.wallMs());
     const request = this.#addRequest(record);
     return request.buildReport();
   }
@@ -193,7 +193,7 @@
   #refuseQuarantined(contentId: string): void {
     const waiting = this.#ledger
       .listOpen()
-      .filter(({ hasLeft }) => !hasLeft)
+      .filter(({ isHandedOver: hasLeft }) => !hasLeft)
       .flatMap(({ id }) => this.#requests.get(id.nonce) ?? [])
       .filter((request) => request.contentId === contentId);
     const refusal = this.#options.crashes.findRefusal(contentId);
@@ -276,7 +276,7 @@
       message: `Cannot answer within ${call.deadlineMs} ms`,
       requestId: request.record.id.text,
     });
-    if (call.work.repeatable || !request.record.hasLeft) {
+    if (call.work.repeatable || !request.record.isHandedOver) {
       request.stop(error);
       throw request.record.error ?? error;
     }
--- a/src/commands/direct_entry.ts
+++ b/src/commands/direct_entry.ts
@@ -24,7 +24,7 @@
 } from '../application/direct/mod.js';
 import type { CountedReport, DirectGateway, StoreLayout } from '../application/direct/mod.js';
 import { LogLevel } from '../domain/errors/mod.js';
-import { pickAddresses, pickNearHosts } from '../domain/overlay/mod.js';
+import { pickAddresses, pickNearbyHosts } from '../domain/overlay/mod.js';
 import type { EntryHostIdentity } from '../domain/membership/mod.js';
 import type { CallerLimits } from '../domain/routing/mod.js';
 import type { ChangeFeed, Clock, EventLog } from '../ports/mod.js';
@@ -178,7 +178,7 @@
   listAddresses(query: AddressQuery): readonly string[] {
     const hosts = this.#reports.listHeard().filter(({ isServing }) => isServing);
     const serving = this.isServing ? [...hosts, this.#reports.self] : hosts;
-    const nearbyHosts = pickNearHosts(serving, {
+    const nearbyHosts = pickNearbyHosts(serving, {
       callerRegion: query.region,
       homeRegions: this.#storeView.routing.table?.findAllowedRegions(query.hostName),
       findRegion: (zone) => this.#storeView.findRegion(zone),
--- a/src/domain/backend_servers/server_directory.ts
+++ b/src/domain/backend_servers/server_directory.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { RecentKeys } from '../collections/mod.js';
+import { BoundedMap } from '../collections/mod.js';
 import type { BackendServerEntry } from './types.js';
 
 /**
@@ -63,10 +63,10 @@
    * IDs of incarnations that are shutting down, were superseded, or whose address answered as a
    * different incarnation.
    */
-  readonly #endedIds = new RecentKeys<true>(MAX_REMEMBERED_INCARNATIONS);
+  readonly #endedIds = new BoundedMap<true>(MAX_REMEMBERED_INCARNATIONS);
 
   /** Newest incarnation seen under each server name, kept after its end. */
-  readonly #newestByServer = new RecentKeys<Pick<BackendServerEntry, 'id' | 'bornAtMs'>>(
+  readonly #newestByServer = new BoundedMap<Pick<BackendServerEntry, 'id' | 'bornAtMs'>>(
     MAX_REMEMBERED_INCARNATIONS,
   );
 
--- a/src/domain/collections/mod.ts
+++ b/src/domain/collections/mod.ts
@@ -3,4 +3,4 @@
  *
  * @module
  */
-export { RecentKeys } from './recent_keys.js';
+export { BoundedMap } from './recent_keys.js';
--- a/src/domain/collections/recent_keys.ts
+++ b/src/domain/collections/recent_keys.ts
@@ -8,7 +8,7 @@
  * Maps keys to values and evicts the least recently set key beyond the capacity, so that
  * its memory stays bounded. Reading a key does not delay its eviction.
  */
-export class RecentKeys<T> {
+export class BoundedMap<T> {
   readonly #values = new Map<string, T>();
 
   readonly #capacity: number;
--- a/src/domain/membership/entry_host_table.ts
+++ b/src/domain/membership/entry_host_table.ts
@@ -13,11 +13,11 @@
 export interface EntryHostRecord {
   readonly identity: EntryHostIdentity;
   /** Monotonic time of the last message from the peer, in milliseconds. */
-  readonly heardAtMs: number;
+  readonly lastContactAtMs: number;
   /** Monotonic time at which the last request that the peer answered was sent, in milliseconds. */
   readonly answeredRequestSentAtMs: number;
   /** Index of the host list write that described an earlier incarnation; 0 if there is none. */
-  readonly staleListIndex: number;
+  readonly outdatedListIndex: number;
 }
 
 /** Time limits of an {@link EntryHostTable}. */
@@ -75,17 +75,17 @@
     this.#replacedAtMs.delete(identity.incarnation);
     this.#records.set(identity.id, {
       identity,
-      heardAtMs: nowMs,
+      lastContactAtMs: nowMs,
       answeredRequestSentAtMs: nowMs,
-      staleListIndex: known ? listIndex : 0,
+      outdatedListIndex: known ? listIndex : 0,
     });
     this.#idByIncarnation.set(identity.incarnation, identity.id);
     return { accepted: true, replaced: known?.identity };
   }
 
   /** @param incarnation - sender of a message. @param nowMs - monotonic time of its receipt */
-  noteHeard(incarnation: string, nowMs: number): void {
-    this.#updateRecord(incarnation, { heardAtMs: nowMs });
+  recordContact(incarnation: string, nowMs: number): void {
+    this.#updateRecord(incarnation, { lastContactAtMs: nowMs });
   }
 
   /**
@@ -95,7 +95,7 @@
    * @param incarnation - sender of the reply
    * @param requestSentAtMs - monotonic time at which the request was sent
    */
-  noteReply(incarnation: string, requestSentAtMs: number): void {
+  recordReply(incarnation: string, requestSentAtMs: number): void {
     const record = this.find(incarnation);
     if (!record || record.answeredRequestSentAtMs >= requestSentAtMs) return;
     this.#updateRecord(incarnation, { answeredRequestSentAtMs: requestSentAtMs });
@@ -108,7 +108,7 @@
    * @param nowMs - monotonic time at which the process resumed
    * @param wasAnswering - returns whether an incarnation was not suspected before the pause
    */
-  noteWake(nowMs: number, wasAnswering: (incarnation: string) => boolean): void {
+  recordWake(nowMs: number, wasAnswering: (incarnation: string) => boolean): void {
     this.list()
       .filter(({ identity }) => wasAnswering(identity.incarnation))
       .forEach(({ identity }) =>
@@ -125,7 +125,7 @@
    */
   prune(nowMs: number, isListed: (id: string) => boolean): readonly EntryHostIdentity[] {
     const forgotten = [...this.#records.values()].filter(
-      ({ identity, heardAtMs }) =>
+      ({ identity, lastContactAtMs: heardAtMs }) =>
         nowMs - heardAtMs > this.#options.forgetAfterMs && !isListed(identity.id),
     );
     forgotten.forEach((record) => this.#removeRecord(record, nowMs));
--- a/src/domain/membership/entry_host_table_test.ts
+++ b/src/domain/membership/entry_host_table_test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { EntryHostTable, HostListOrder, PauseDetector, PeerState, sortForCallers } from './mod.js';
+import { EntryHostTable, StaleReadFilter, PauseDetector, PeerState, sortForCallers } from './mod.js';
 import type { EntryHostIdentity, EntryHostView } from './mod.js';
 
 const SUSPECT_MS = 2_000;
@@ -26,10 +26,10 @@
 
 t.test('EntryHostTable suspects by the send time of the last answered request', async (t) => {
   const table = buildTable();
-  table.noteReply('b-1', 500);
+  table.recordReply('b-1', 500);
   t.equal(getState(table, 'b-1', 500 + SUSPECT_MS), PeerState.Live);
   t.equal(getState(table, 'b-1', 501 + SUSPECT_MS), PeerState.Suspected);
-  table.noteHeard('b-1', 501 + SUSPECT_MS);
+  table.recordContact('b-1', 501 + SUSPECT_MS);
   t.equal(
     getState(table, 'b-1', 501 + SUSPECT_MS),
     PeerState.Suspected,
@@ -45,7 +45,7 @@
   const second = table.addIncarnation(buildIdentity('b', 'b-2'), 100, 7);
   t.equal(second.replaced?.incarnation, 'b-1');
   t.equal(table.find('b-1'), undefined);
-  t.equal(table.find('b-2')?.staleListIndex, 7);
+  t.equal(table.find('b-2')?.outdatedListIndex, 7);
   t.equal(table.addIncarnation(buildIdentity('b', 'b-1'), 200, 7).accepted, false);
   t.ok(table.find('b-2'));
   const back = table.addIncarnation(buildIdentity('b', 'b-1'), 200 + SUSPECT_MS, 7);
@@ -72,7 +72,7 @@
 t.test('a pause of this process makes no answering peer suspected', async (t) => {
   const table = buildTable();
   table.addIncarnation(buildIdentity('c', 'c-1'), 0, 0);
-  table.noteWake(90_000, (incarnation) => incarnation === 'b-1');
+  table.recordWake(90_000, (incarnation) => incarnation === 'b-1');
   t.equal(
     getState(table, 'c-1', 90_000),
     PeerState.Suspected,
@@ -99,7 +99,7 @@
 });
 
 t.test('older host list reads are rejected until the restore timeout is over', async (t) => {
-  const order = new HostListOrder(60_000);
+  const order = new StaleReadFilter(60_000);
   t.ok(order.acceptIndex(10, 0));
   t.equal(order.acceptIndex(9, 1_000), false);
   t.ok(order.acceptIndex(10, 2_000));
--- a/src/domain/membership/host_list.ts
+++ b/src/domain/membership/host_list.ts
@@ -15,7 +15,7 @@
 }
 
 /** State of a host according to the host list. */
-export enum HostState {
+export enum ListedHostState {
   Live = 'live',
   Leaving = 'leaving',
 }
@@ -29,7 +29,7 @@
   peerUrl: textSchema.optional(),
   url: textSchema.optional(),
   availabilityZone: textSchema.optional(),
-  state: z.enum(HostState),
+  state: z.enum(ListedHostState),
 });
 
 /** One host of the host list. */
--- a/src/domain/membership/host_list_order.ts
+++ b/src/domain/membership/host_list_order.ts
@@ -10,7 +10,7 @@
  * host that is about to stop. If the index stays lower for the restore timeout, the
  * service was restored from a backup, and the lower index is accepted.
  */
-export class HostListOrder {
+export class StaleReadFilter {
   readonly #restoreTimeoutMs: number;
 
   #index = -1;
--- a/src/domain/membership/leaving_backend_servers.ts
+++ b/src/domain/membership/leaving_backend_servers.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { HostList, ListedHost } from './host_list.js';
-import { HostRole, HostState } from './host_list.js';
+import { HostRole, ListedHostState } from './host_list.js';
 
 /** Time without a repetition after which an unchanged host list entry may clear a note. */
 export const NOTE_STALE_AFTER_MS = 10_000;
@@ -58,7 +58,7 @@
    * @param nowMs - monotonic time
    * @returns whether the statement is accepted and was not known at first hand before
    */
-  noteOwn(id: string, nowMs: number): boolean {
+  recordOwn(id: string, nowMs: number): boolean {
     const returnedAtMs = this.#returnedAtMs.get(id);
     // A lagging load report would take a backend server that has just returned out of
     // service, and the host list might not change for long enough to clear the note.
@@ -97,8 +97,8 @@
     this.#listed = new Map(backendServers.map((host) => [host.id, host]));
     this.#listIndex = list.index;
     this.#listed.forEach((host, id) => {
-      const wasLeaving = previous.get(id)?.state === HostState.Leaving;
-      if (wasLeaving && host.state === HostState.Live) this.#returnedAtMs.set(id, nowMs);
+      const wasLeaving = previous.get(id)?.state === ListedHostState.Leaving;
+      if (wasLeaving && host.state === ListedHostState.Live) this.#returnedAtMs.set(id, nowMs);
     });
     this.#notes.forEach((sources, id) => this.#updateNotes(id, sources, nowMs));
     this.#returnedAtMs.forEach((atMs, id) => {
@@ -108,7 +108,7 @@
 
   /** @param id - a backend server's ID. @returns whether any source marks it as leaving */
   isLeaving(id: string): boolean {
-    if (this.#listed.get(id)?.state === HostState.Leaving) return true;
+    if (this.#listed.get(id)?.state === ListedHostState.Leaving) return true;
     return [...(this.#notes.get(id)?.values() ?? [])].some((note) => !note.isOverruled);
   }
 
@@ -129,7 +129,7 @@
 
   #isKnownAtFirstHand(id: string): boolean {
     return (
-      this.#listed.get(id)?.state === HostState.Leaving ||
+      this.#listed.get(id)?.state === ListedHostState.Leaving ||
       this.#notes.get(id)?.has(OWN_SOURCE) === true
     );
   }
@@ -173,7 +173,7 @@
 
   #mayClearNote(id: string, note: LeavingNote, nowMs: number): boolean {
     const host = this.#listed.get(id);
-    if (host?.state === HostState.Leaving) return false;
+    if (host?.state === ListedHostState.Leaving) return false;
     // A restarted entry host receives claims of its peers before it has read any list. Each
     // entry of the first list is newer than no list, but not newer than the claim; clearing
     // the note here would make this entry host alone send work to the leaving backend server.
--- a/src/domain/membership/mod.ts
+++ b/src/domain/membership/mod.ts
@@ -11,15 +11,15 @@
 export { pickByRendezvous, pickByWeight, sortByRendezvous } from './rendezvous.js';
 export type { WeightedCandidate } from './rendezvous.js';
 export { sortForCallers } from './caller_order.js';
-export { HOST_LIST_PREFIX, HostRole, HostState, parseListedHost } from './host_list.js';
+export { HOST_LIST_PREFIX, HostRole, ListedHostState, parseListedHost } from './host_list.js';
 export type { HostList, ListedHost, RawHostEntry } from './host_list.js';
-export { HostListOrder } from './host_list_order.js';
+export { StaleReadFilter } from './host_list_order.js';
 export {
   LeavingBackendServers,
   LOAD_REPORT_LAG_MS,
   NOTE_STALE_AFTER_MS,
 } from './leaving_backend_servers.js';
-export { hasSameWord, PeerReports } from './peer_reports.js';
+export { hasSameContents, PeerReports } from './peer_reports.js';
 export type { PeerReport } from './peer_reports.js';
 export { EntryHostTable } from './entry_host_table.js';
 export type {
--- a/src/domain/membership/pause_detector.ts
+++ b/src/domain/membership/pause_detector.ts
@@ -41,7 +41,7 @@
   }
 
   /** Monotonic time at which the process started or last resumed, in milliseconds. */
-  get wokeAtMs(): number {
+  get resumedAtMs(): number {
     return this.#wokeAtMs;
   }
 
--- a/src/domain/membership/peer_reports.ts
+++ b/src/domain/membership/peer_reports.ts
@@ -23,7 +23,7 @@
  * @param right - the other report
  * @returns whether all other fields are equal
  */
-export function hasSameWord(left: PeerReport | undefined, right: PeerReport): boolean {
+export function hasSameContents(left: PeerReport | undefined, right: PeerReport): boolean {
   return (
     left?.ready === right.ready &&
     left.leaving === right.leaving &&
--- a/src/domain/overlay/mod.ts
+++ b/src/domain/overlay/mod.ts
@@ -5,10 +5,10 @@
  *
  * @module
  */
-export { MAX_ADDRESSES, pickAddresses, pickNearHosts } from './pick_addresses.js';
+export { MAX_ADDRESSES, pickAddresses, pickNearbyHosts } from './pick_addresses.js';
 export { MAX_MESH_HOSTS, pickRelays, rankRelays } from './relay_plan.js';
 export type { PlannedHost } from './relay_plan.js';
-export { Roster, SILENT_AFTER_MS } from './roster.js';
+export { Roster, PEER_TIMEOUT_MS } from './roster.js';
 export type { RosterExpiry } from './roster.js';
 export { ReportScope } from './types.js';
 export type { HostState, RosterEntry } from './types.js';
--- a/src/domain/overlay/pick_addresses.ts
+++ b/src/domain/overlay/pick_addresses.ts
@@ -48,7 +48,7 @@
  * @param location - region of the caller, and the regions in which its calls may be handled
  * @returns the hosts
  */
-export function pickNearHosts<Host extends PlannedHost>(
+export function pickNearbyHosts<Host extends PlannedHost>(
   hosts: readonly Host[],
   { callerRegion, homeRegions, findRegion }: CallerLocation,
 ): readonly Host[] {
--- a/src/domain/overlay/pick_addresses_test.ts
+++ b/src/domain/overlay/pick_addresses_test.ts
@@ -1,6 +1,6 @@
 import t from 'tap';
 import { buildIdentity } from '../../../test/support/fake_peer_network.js';
-import { pickNearHosts } from './mod.js';
+import { pickNearbyHosts } from './mod.js';
 import type { PlannedHost } from './mod.js';
 
 const ZONE_REGIONS: Readonly<Record<string, string>> = { 'north-a': 'north', 'south-a': 'south' };
@@ -18,7 +18,7 @@
   homeRegions: readonly string[] | undefined,
 ): readonly PlannedHost[] {
   const findRegion = (zone: string): string | undefined => ZONE_REGIONS[zone];
-  return pickNearHosts(hosts, { callerRegion, homeRegions, findRegion });
+  return pickNearbyHosts(hosts, { callerRegion, homeRegions, findRegion });
 }
 
 t.test('pickNearHosts() returns hosts of the caller’s own region', async (t) => {
--- a/src/domain/overlay/roster.ts
+++ b/src/domain/overlay/roster.ts
@@ -12,7 +12,7 @@
  * Silence after which an entry host counts as gone, in milliseconds: six report intervals.
  * Callers are not sent to a host that has been silent for longer.
  */
-export const SILENT_AFTER_MS = 900;
+export const PEER_TIMEOUT_MS = 900;
 
 /** Silence after which a host is forgotten, in milliseconds; a restart takes a few seconds. */
 const FORGET_AFTER_MS = 20_000;
@@ -95,7 +95,7 @@
   }
 
   /** @param source - sender of a report. @param nowMs - monotonic time in milliseconds */
-  noteHeard(source: string, nowMs: number): void {
+  recordContact(source: string, nowMs: number): void {
     this.#lastContactAtMs.set(source, nowMs);
     if (this.#liveSources.has(source)) return;
     this.#liveSources.add(source);
@@ -113,7 +113,7 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns whether the entry's process has become the current one of its host
    */
-  apply(source: string, entry: RosterEntry, nowMs: number): boolean {
+  applyEntry(source: string, entry: RosterEntry, nowMs: number): boolean {
     const { id } = entry.state.identity;
     if (id === this.#self.identity.id) return false;
     const target = this.#pickTarget(source, entry, nowMs);
@@ -134,7 +134,7 @@
    * @param nowMs - monotonic time in milliseconds
    * @returns entry hosts that have fallen silent, and those that were forgotten
    */
-  expire(nowMs: number): RosterExpiry {
+  removeExpired(nowMs: number): RosterExpiry {
     const newlySilent: HostState[] = [];
     const forgotten: HostState[] = [];
     const silentSources = this.#takeSilentSources(nowMs);
@@ -183,7 +183,7 @@
   }
 
   /** @returns peers that are heard, and announced peers that were never heard so far */
-  listPresumed(): readonly HostState[] {
+  listPresumedLive(): readonly HostState[] {
     return this.#listCached(
       RosterListName.Presumed,
       ({ isHeard, hasBeenHeard: wasHeard }) => isHeard || !wasHeard,
@@ -289,7 +289,7 @@
   }
 
   #isFresh(source: string, nowMs: number): boolean {
-    return nowMs - (this.#lastContactAtMs.get(source) ?? -Infinity) <= SILENT_AFTER_MS;
+    return nowMs - (this.#lastContactAtMs.get(source) ?? -Infinity) <= PEER_TIMEOUT_MS;
   }
 
   #listCached(name: RosterListName, isWanted: (known: KnownHost) => boolean): readonly HostState[] {
--- a/src/domain/overlay/roster_test.ts
+++ b/src/domain/overlay/roster_test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import t from 'tap';
-import { Roster, SILENT_AFTER_MS } from './mod.js';
+import { Roster, PEER_TIMEOUT_MS } from './mod.js';
 import type { HostState } from './mod.js';
 
 function buildState(
@@ -35,13 +35,13 @@
   // from one relay to another, and the previous relay reports it silent. The last report must
   // not count regardless of its sender.
   const roster = new Roster(buildState('self'));
-  roster.noteHeard('r1', 0);
-  roster.noteHeard('r2', 0);
-  roster.apply('r1', { state: buildState('m'), isHeard: true }, 0);
-  roster.apply('r2', { state: buildState('m'), isHeard: true }, 0);
-  roster.apply('r1', { state: buildState('m'), isHeard: false }, 10);
+  roster.recordContact('r1', 0);
+  roster.recordContact('r2', 0);
+  roster.applyEntry('r1', { state: buildState('m'), isHeard: true }, 0);
+  roster.applyEntry('r2', { state: buildState('m'), isHeard: true }, 0);
+  roster.applyEntry('r1', { state: buildState('m'), isHeard: false }, 10);
   t.same(listHeardIds(roster), ['m']);
-  roster.apply('r2', { state: buildState('m'), isHeard: false }, 20);
+  roster.applyEntry('r2', { state: buildState('m'), isHeard: false }, 20);
   t.same(listHeardIds(roster), []);
 });
 
@@ -50,37 +50,37 @@
   // second of silence the relay continues and reports changes only, so it does not repeat the
   // members that it reported before.
   const roster = new Roster(buildState('self'));
-  roster.noteHeard('r1', 0);
-  roster.apply('r1', { state: buildState('m'), isHeard: true }, 0);
-  const later = SILENT_AFTER_MS + 1;
+  roster.recordContact('r1', 0);
+  roster.applyEntry('r1', { state: buildState('m'), isHeard: true }, 0);
+  const later = PEER_TIMEOUT_MS + 1;
   t.same(
-    roster.expire(later).silent.map(({ identity }) => identity.id),
+    roster.removeExpired(later).silent.map(({ identity }) => identity.id),
     ['m'],
   );
-  t.same(roster.expire(later + 1).silent, []);
-  roster.noteHeard('r1', later + 2);
+  t.same(roster.removeExpired(later + 1).silent, []);
+  roster.recordContact('r1', later + 2);
   t.same(listHeardIds(roster), ['m']);
 });
 
 t.test('Roster keeps the newer process of a host when the previous one is reported', async (t) => {
   const roster = new Roster(buildState('self'));
-  roster.noteHeard('r1', 0);
-  t.ok(roster.apply('r1', { state: buildState('m'), isHeard: true }, 0));
+  roster.recordContact('r1', 0);
+  t.ok(roster.applyEntry('r1', { state: buildState('m'), isHeard: true }, 0));
   const newer = buildState('m', { bornAtMs: 2_000 }, 'm-2');
-  t.ok(roster.apply('r1', { state: newer, isHeard: true }, 10));
-  t.notOk(roster.apply('r1', { state: buildState('m'), isHeard: true }, 20));
+  t.ok(roster.applyEntry('r1', { state: newer, isHeard: true }, 10));
+  t.notOk(roster.applyEntry('r1', { state: buildState('m'), isHeard: true }, 20));
   t.equal(roster.find('m')?.identity.incarnation, 'm-2');
 });
 
 t.test('Roster accepts an announced process once the previous one is silent', async (t) => {
   const roster = new Roster(buildState('self'));
-  roster.noteHeard('m-1', 0);
-  roster.apply('m-1', { state: buildState('m'), isHeard: true }, 0);
+  roster.recordContact('m-1', 0);
+  roster.applyEntry('m-1', { state: buildState('m'), isHeard: true }, 0);
   const back = buildState('m', { bornAtMs: 500 }, 'm-2');
-  roster.noteHeard('r1', SILENT_AFTER_MS);
-  t.notOk(roster.apply('r1', { state: back, isHeard: true }, SILENT_AFTER_MS));
+  roster.recordContact('r1', PEER_TIMEOUT_MS);
+  t.notOk(roster.applyEntry('r1', { state: back, isHeard: true }, PEER_TIMEOUT_MS));
   t.equal(roster.find('m')?.identity.incarnation, 'm-1');
-  roster.expire(SILENT_AFTER_MS + 1);
+  roster.removeExpired(PEER_TIMEOUT_MS + 1);
   t.equal(roster.find('m')?.identity.incarnation, 'm-2');
   t.same(listHeardIds(roster), ['m']);
 });
@@ -94,13 +94,13 @@
     const roster = new Roster(buildState('self'));
     const former = buildState('m', { bornAtMs: 9_000 }, 'm-1');
     const next = buildState('m', { bornAtMs: 1_000 }, 'm-2');
-    roster.noteHeard('r1', 0);
-    roster.apply('r1', { state: former, isHeard: true }, 0);
-    roster.noteHeard('m-2', 100);
-    roster.apply('m-2', { state: next, isHeard: true }, 100);
+    roster.recordContact('r1', 0);
+    roster.applyEntry('r1', { state: former, isHeard: true }, 0);
+    roster.recordContact('m-2', 100);
+    roster.applyEntry('m-2', { state: next, isHeard: true }, 100);
     t.equal(roster.find('m')?.identity.incarnation, 'm-2');
-    roster.noteHeard('r2', 200);
-    roster.apply('r2', { state: former, isHeard: true }, 200);
+    roster.recordContact('r2', 200);
+    roster.applyEntry('r2', { state: former, isHeard: true }, 200);
     t.equal(roster.find('m')?.identity.incarnation, 'm-2');
   },
 );
@@ -113,12 +113,12 @@
   const roster = new Roster(buildState('self'));
   const former = buildState('m', { bornAtMs: 9_000 }, 'm-1');
   const next = buildState('m', { bornAtMs: 1_000 }, 'm-2');
-  roster.noteHeard('r1', 0);
-  roster.noteHeard('r2', 0);
-  roster.apply('r1', { state: former, isHeard: true }, 0);
-  roster.apply('r2', { state: next, isHeard: true }, 10);
+  roster.recordContact('r1', 0);
+  roster.recordContact('r2', 0);
+  roster.applyEntry('r1', { state: former, isHeard: true }, 0);
+  roster.applyEntry('r2', { state: next, isHeard: true }, 10);
   t.equal(roster.find('m')?.identity.incarnation, 'm-1');
-  roster.apply('r1', { state: former, isHeard: false }, 20);
+  roster.applyEntry('r1', { state: former, isHeard: false }, 20);
   t.equal(roster.find('m')?.identity.incarnation, 'm-2');
   t.same(listHeardIds(roster), ['m']);
 });
@@ -143,8 +143,8 @@
           'm-2': buildState('m', { bornAtMs: nextBornAtMs }, 'm-2'),
         };
         const report = (relay: string, process: string, isHeard: boolean, nowMs: number): void => {
-          roster.noteHeard(relay, nowMs);
-          roster.apply(relay, { state: states[process] as HostState, isHeard }, nowMs);
+          roster.recordContact(relay, nowMs);
+          roster.applyEntry(relay, { state: states[process] as HostState, isHeard }, nowMs);
         };
         entries.forEach(({ relay, process, isHeard }, index) =>
           report(relay, process, isHeard, index),
@@ -152,7 +152,7 @@
         report('r2', 'm-2', true, 100);
         report('r1', 'm-1', false, 101);
         report('r2', 'm-1', false, 102);
-        roster.expire(103);
+        roster.removeExpired(103);
         return roster.find('m')?.identity.incarnation === 'm-2' && roster.isHeard('m');
       },
     ),
@@ -162,8 +162,8 @@
 
 t.test('Roster lists changes since a revision, and itself only after a change', async (t) => {
   const roster = new Roster(buildState('self'));
-  roster.noteHeard('m-1', 0);
-  roster.apply('m-1', { state: buildState('m'), isHeard: true }, 0);
+  roster.recordContact('m-1', 0);
+  roster.applyEntry('m-1', { state: buildState('m'), isHeard: true }, 0);
   t.equal(roster.listChanges(0, true).length, 2);
   const seen = roster.revision;
   t.same(roster.listChanges(seen, true), []);
@@ -181,9 +181,9 @@
   // reporting it to each other as heard, each because of the other's report, if reports of
   // others were passed on as first-hand knowledge.
   const roster = new Roster(buildState('self'));
-  ['m-1', 'r2'].forEach((source) => roster.noteHeard(source, 0));
-  roster.apply('m-1', { state: buildState('m'), isHeard: true }, 0);
-  roster.apply('r2', { state: buildState('n'), isHeard: true }, 0);
+  ['m-1', 'r2'].forEach((source) => roster.recordContact(source, 0));
+  roster.applyEntry('m-1', { state: buildState('m'), isHeard: true }, 0);
+  roster.applyEntry('r2', { state: buildState('n'), isHeard: true }, 0);
   roster.addMember(buildState('m').identity);
   const listed = roster
     .listChanges(0, false)
@@ -200,8 +200,8 @@
   // reports here and is announced to no other relay. Then it becomes a member, and must be
   // listed although its state has not changed since.
   const roster = new Roster(buildState('self'));
-  roster.noteHeard('m-1', 0);
-  roster.apply('m-1', { state: buildState('m'), isHeard: true }, 0);
+  roster.recordContact('m-1', 0);
+  roster.applyEntry('m-1', { state: buildState('m'), isHeard: true }, 0);
   const seen = roster.revision;
   roster.addMember(buildState('m').identity);
   t.equal(roster.listChanges(seen, false).length, 1);
--- a/src/domain/requests/request_ledger.ts
+++ b/src/domain/requests/request_ledger.ts
@@ -87,11 +87,11 @@
    * @param wallMs - the owner's wall clock
    * @returns the existing record of the ID, or a new one that is refused
    */
-  void(id: RequestId, error: SchedulerError, wallMs: number): RequestRecord {
+  voidId(id: RequestId, error: SchedulerError, wallMs: number): RequestRecord {
     const known = this.find(id, wallMs);
     if (known) return known;
     const { record } = this.accept(id, VOID_FINGERPRINT, wallMs);
-    record.refuse(error);
+    record.endWithError(error);
     return record;
   }
 
--- a/src/domain/requests/request_record.ts
+++ b/src/domain/requests/request_record.ts
@@ -57,7 +57,7 @@
   }
 
   /** Whether the body has been handed over to a backend server. */
-  get hasLeft(): boolean {
+  get isHandedOver(): boolean {
     return [RequestState.Dispatched, RequestState.Answered, RequestState.Failed].includes(
       this.#state,
     );
@@ -78,7 +78,7 @@
    * @param next - the next state
    * @throws SchedulerError of kind Internal if the transition is not permitted
    */
-  advance(next: RequestState): void {
+  transitionTo(next: RequestState): void {
     if (!TRANSITIONS[this.#state].includes(next)) {
       throw new SchedulerError(ErrorKind.Internal, {
         message: `Cannot move request from ${this.#state} to ${next}: transition not permitted`,
@@ -96,9 +96,9 @@
    * @param error - reason for the refusal or failure
    * @returns the error to send to the caller
    */
-  refuse(error: SchedulerError): SchedulerError {
+  endWithError(error: SchedulerError): SchedulerError {
     if (this.isFinal) return this.#error ?? error;
-    const mustCorrect = this.hasLeft && error.run === RunOutcome.NotRun;
+    const mustCorrect = this.isHandedOver && error.run === RunOutcome.NotRun;
     this.#error = new SchedulerError(error.kind, {
       message: error.message,
       retryAfterMs: error.retryAfterMs,
@@ -106,7 +106,7 @@
       requestId: this.id.text,
       cause: error,
     });
-    this.advance(this.hasLeft ? RequestState.Failed : RequestState.Refused);
+    this.transitionTo(this.isHandedOver ? RequestState.Failed : RequestState.Refused);
     return this.#error;
   }
 }
--- a/src/domain/streams/event_splitter.ts
+++ b/src/domain/streams/event_splitter.ts
@@ -33,7 +33,7 @@
   #rest: Buffer = Buffer.alloc(0);
 
   /** Bytes received so far of the event that is incomplete. */
-  get rest(): Buffer {
+  get pendingBytes(): Buffer {
     return this.#rest;
   }
 
--- a/src/domain/streams/event_splitter_test.ts
+++ b/src/domain/streams/event_splitter_test.ts
@@ -28,7 +28,7 @@
   const { bytes, lastId } = splitter.split(Buffer.from('\nid: 2\ndata'));
   t.equal(bytes.toString(), 'id: 1\ndata: a\n\n');
   t.equal(lastId, '1');
-  t.equal(splitter.rest.toString(), 'id: 2\ndata');
+  t.equal(splitter.pendingBytes.toString(), 'id: 2\ndata');
 });
 
 t.test('EventSplitter splits events whose lines end with CR LF', async (t) => {
