--- a/src/application/direct/_call_checks.ts
+++ b/src/application/direct/_call_checks.ts
@@ -8,14 +8,14 @@
 import type { ClientAccount, Route, RouteTable } from '../../domain/routing/mod.js';
 import type { DirectRequest } from '../../ports/mod.js';
 import type { CrashKeeper } from '../crashes/mod.js';
-import type { RoutingKeeper } from './routing_keeper.js';
+import type { RoutingView } from './routing_keeper.js';
 
 /** Retry-after time of callers that another entry host may be able to serve, in milliseconds. */
 const RETRY_ELSEWHERE_MS = 50;
 
 /** Dependencies and limits of {@link CallChecks}. */
 export interface CallChecksOptions {
-  readonly routing: RoutingKeeper;
+  readonly routing: RoutingView;
   readonly crashes: CrashKeeper;
   /** Configuration age, in milliseconds, from which on the keys in it are no longer accepted. */
   readonly maxKeyAgeMs: number;
--- a/src/application/direct/_candidate_lists.ts
+++ b/src/application/direct/_candidate_lists.ts
@@ -19,7 +19,7 @@
 }
 
 /** Caches one list of candidates for each service. */
-export class CandidateLists {
+export class CandidateCache {
   readonly #clock: Clock;
 
   readonly #build: (serviceId: string) => readonly Candidate[];
@@ -36,7 +36,7 @@
   }
 
   /** @param serviceId - ID of the service. @returns the cached list, or a new one once it expired */
-  take(serviceId: string): readonly Candidate[] {
+  get(serviceId: string): readonly Candidate[] {
     const nowMs = this.#clock.nowMs();
     const cached = this.#lists.get(serviceId);
     if (cached && nowMs - cached.builtAtMs < LIST_TTL_MS) return cached.candidates;
--- a/src/application/direct/_warmup_guard.ts
+++ b/src/application/direct/_warmup_guard.ts
@@ -9,7 +9,7 @@
 import { deriveWarmupShare, isWarmupSender } from '../../domain/places/mod.js';
 import type { WarmupLimit } from '../../domain/places/mod.js';
 import type { Clock, EventLog } from '../../ports/mod.js';
-import type { PlaceKeeper } from './place_keeper.js';
+import type { ZoneView } from './place_keeper.js';
 
 /** The entry hosts among which the right to send to a cold backend server is shared. */
 export interface WarmupHosts {
@@ -24,17 +24,17 @@
   readonly isSettled: () => boolean;
 }
 
-/** Dependencies of {@link WarmupGuard}. */
-export interface WarmupGuardOptions {
+/** Dependencies of {@link WarmupTracker}. */
+export interface WarmupTrackerOptions {
   readonly clock: Clock;
   readonly log: EventLog;
-  readonly places: PlaceKeeper;
+  readonly places: ZoneView;
   readonly hosts: WarmupHosts;
   /**
    * @param serviceId - ID of the service
    * @returns load limit of its backend servers while they warm up; undefined: no limit
    */
-  readonly findWarmupBound: (serviceId: string) => WarmupLimit | undefined;
+  readonly findWarmupLimit: (serviceId: string) => WarmupLimit | undefined;
 }
 
 interface CachedSenderRole {
@@ -43,8 +43,8 @@
 }
 
 /** Tracks until when backend servers are cold, and sets the pace at which they receive requests. */
-export class WarmupGuard {
-  readonly #options: WarmupGuardOptions;
+export class WarmupTracker {
+  readonly #options: WarmupTrackerOptions;
 
   /**
    * When backend servers become warm according to their registry entries, by incarnation ID.
@@ -56,13 +56,13 @@
   readonly #senderRoles = new Map<string, CachedSenderRole>();
 
   /** @param options - dependencies */
-  constructor(options: WarmupGuardOptions) {
+  constructor(options: WarmupTrackerOptions) {
     this.#options = options;
   }
 
   /** @param entry - registry entry that was just read */
-  noteEntry({ id, serviceId, warmupLeftMs }: BackendServerEntry): void {
-    const { clock, log, findWarmupBound } = this.#options;
+  recordEntry({ id, serviceId, warmupLeftMs }: BackendServerEntry): void {
+    const { clock, log, findWarmupLimit: findWarmupBound } = this.#options;
     const wasCold = this.#warmAtMs.has(id);
     if (warmupLeftMs === 0) {
       this.#warmAtMs.delete(id);
@@ -85,7 +85,7 @@
 
   /** @param entry - registry entry of a server. @returns whether the server is warming up now */
   isCold(entry: BackendServerEntry): boolean {
-    const limit = this.#options.findWarmupBound(entry.serviceId);
+    const limit = this.#options.findWarmupLimit(entry.serviceId);
     return limit !== undefined && this.#options.clock.nowMs() < this.#computeWarmAtMs(entry, limit);
   }
 
@@ -95,8 +95,8 @@
    * @param entry - registry entry of the backend server
    * @param load - load of the backend server, which holds the pace
    */
-  update(entry: BackendServerEntry, load: ServerLoad): void {
-    const { clock, findWarmupBound } = this.#options;
+  updatePace(entry: BackendServerEntry, load: ServerLoad): void {
+    const { clock, findWarmupLimit: findWarmupBound } = this.#options;
     const limit = findWarmupBound(entry.serviceId);
     if (!limit) return;
     const warmAtMs = this.#computeWarmAtMs(entry, limit);
@@ -113,7 +113,7 @@
    * closed, and its entry reports that only later, so a newly opened zone counts as cold.
    */
   #computeWarmAtMs({ id, availabilityZone }: BackendServerEntry, limit: WarmupLimit): number {
-    const openedAtMs = this.#options.places.findOpenedAtMs(availabilityZone) ?? -Infinity;
+    const openedAtMs = this.#options.places.findReopenedAtMs(availabilityZone) ?? -Infinity;
     return Math.max(this.#warmAtMs.get(id) ?? -Infinity, openedAtMs + limit.durationMs);
   }
 
--- a/src/application/direct/account_spending.ts
+++ b/src/application/direct/account_spending.ts
@@ -63,7 +63,7 @@
    * @param receiver - incarnation of the peer that receives the report
    * @returns total units by account ID; for one scope and receiver they never decrease
    */
-  listTotals(scope: ReportScope, receiver: string): Record<string, number> {
+  listSpentUnits(scope: ReportScope, receiver: string): Record<string, number> {
     const totals = [...this.#buckets].map(([id, bucket]) => [
       id,
       readTotal(bucket, scope, receiver),
--- a/src/application/direct/direct_gateway.ts
+++ b/src/application/direct/direct_gateway.ts
@@ -130,17 +130,17 @@
   }
 
   /** Refuses new calls from now on. Other entry hosts can serve them. */
-  refuseNew(): void {
+  refuseNewCalls(): void {
     this.#isRefusingNew = true;
   }
 
   /** Ends all calls in progress. Each caller is told whether its request may have run. */
-  endAll(): void {
+  stopAllCalls(): void {
     [...this.#calls].forEach((call) => call.stop());
   }
 
   /** Dispatches waiting calls to slots that have become free at other entry hosts. */
-  advance(): void {
+  dispatchWaiting(): void {
     this.#queues.list().forEach(([, line]) => line.dispatchWaiting());
   }
 
--- a/src/application/direct/direct_gateway_test.ts
+++ b/src/application/direct/direct_gateway_test.ts
@@ -113,7 +113,7 @@
 t.test('new calls are refused as not run once the gateway refuses new calls', async (t) => {
   const host = await startDirectHost(t);
   const running = host.call();
-  host.gateway.refuseNew();
+  host.gateway.refuseNewCalls();
   t.equal(host.call().error?.kind, ErrorKind.EntryHostStopping);
   host.sent(0).answer();
   t.equal(running.body, 'ok');
--- a/src/application/direct/direct_services.ts
+++ b/src/application/direct/direct_services.ts
@@ -11,7 +11,7 @@
   RandomSource,
 } from '../../ports/mod.js';
 import type { CrashKeeper } from '../crashes/mod.js';
-import type { RoutingKeeper } from './routing_keeper.js';
+import type { RoutingView } from './routing_keeper.js';
 import type { ServerKeeper } from './server_keeper.js';
 
 /** Dependencies that all calls of an entry host share. */
@@ -21,7 +21,7 @@
   readonly log: EventLog;
   readonly metrics: Metrics;
   readonly backend: DirectBackendClient;
-  readonly routing: RoutingKeeper;
+  readonly routing: RoutingView;
   readonly servers: ServerKeeper;
   readonly crashes: CrashKeeper;
   /** @param serviceId - ID of the service to which a call is sent for the first time */
--- a/src/application/direct/direct_stop.ts
+++ b/src/application/direct/direct_stop.ts
@@ -28,11 +28,11 @@
   /** Time limit of the whole shutdown, in milliseconds. */
   readonly limitMs: number;
   /** Announces that callers must no longer be sent to this entry host. */
-  readonly announce: () => void;
-  readonly refuseNew: () => void;
-  readonly closeIdle: () => void;
+  readonly announceStop: () => void;
+  readonly refuseNewCalls: () => void;
+  readonly closeIdleConnections: () => void;
   readonly countCalls: () => number;
-  readonly endAll: () => void;
+  readonly stopAllCalls: () => void;
 }
 
 /**
@@ -46,9 +46,9 @@
   const { clock, log, limitMs } = options;
   const startedAtMs = clock.nowMs();
   log.write(LogLevel.Info, 'stop_begun', { calls: options.countCalls(), limitMs });
-  options.announce();
+  options.announceStop();
   await wait(clock, Math.min(ACCEPT_PERIOD_MS, limitMs / 2));
-  options.refuseNew();
+  options.refuseNewCalls();
   const endCallsAtMs = startedAtMs + limitMs * END_CALLS_FRACTION;
   const refuseUntilMs = clock.nowMs() + REFUSAL_PERIOD_MS;
   while (
@@ -58,8 +58,8 @@
     await wait(clock, POLL_INTERVAL_MS);
   }
   const cutCalls = options.countCalls();
-  options.endAll();
-  options.closeIdle();
+  options.stopAllCalls();
+  options.closeIdleConnections();
   await wait(clock, POLL_INTERVAL_MS);
   log.write(LogLevel.Info, 'stop_ended', { cutCalls, tookMs: clock.nowMs() - startedAtMs });
 }
--- a/src/application/direct/direct_stop_test.ts
+++ b/src/application/direct/direct_stop_test.ts
@@ -22,10 +22,10 @@
     clock,
     log: new FakeLog(),
     limitMs: LIMIT_MS,
-    announce: recordStep('announce'),
-    refuseNew: recordStep('refuse'),
-    closeIdle: recordStep('close'),
-    endAll: recordStep('end'),
+    announceStop: recordStep('announce'),
+    refuseNewCalls: recordStep('refuse'),
+    closeIdleConnections: recordStep('close'),
+    stopAllCalls: recordStep('end'),
     countCalls: () => endsAtMs.filter((endMs) => clock.nowMs() - startMs < endMs).length,
   }).then(() => {
     tookMs = clock.nowMs() - startMs;
--- a/src/application/direct/place_keeper.ts
+++ b/src/application/direct/place_keeper.ts
@@ -9,8 +9,8 @@
 import type { Clock, EventLog, FeedChange, FeedItem, Metrics } from '../../ports/mod.js';
 import type { FeedContext } from './feed_follower.js';
 
-/** Dependencies of {@link PlaceKeeper}, and where the store holds the closed zones. */
-export interface PlaceKeeperOptions {
+/** Dependencies of {@link ZoneView}, and where the store holds the closed zones. */
+export interface ZoneViewOptions {
   /** Prefix of the keys that close a zone while they exist; the name of the zone follows. */
   readonly prefix: string;
   readonly clock: Clock;
@@ -19,8 +19,8 @@
 }
 
 /** Holds the closed zones, and when zones were reopened. */
-export class PlaceKeeper {
-  readonly #options: PlaceKeeperOptions;
+export class ZoneView {
+  readonly #options: ZoneViewOptions;
 
   readonly #closedZones = new ClosedZones();
 
@@ -28,7 +28,7 @@
   readonly #openedAtMs = new Map<string, number>();
 
   /** @param options - dependencies and key prefix */
-  constructor(options: PlaceKeeperOptions) {
+  constructor(options: ZoneViewOptions) {
     this.#options = options;
   }
 
@@ -46,7 +46,7 @@
    * @param zone - an availability zone
    * @returns when it was last reopened, on the monotonic clock in milliseconds; undefined: never
    */
-  findOpenedAtMs(zone: string): number | undefined {
+  findReopenedAtMs(zone: string): number | undefined {
     return this.#openedAtMs.get(zone);
   }
 
--- a/src/application/direct/report_figures.ts
+++ b/src/application/direct/report_figures.ts
@@ -66,7 +66,7 @@
     waitingCalls: servers.peers.sum('waitingCalls', gateway.countWaiting(), incarnations),
     firstWaiting: servers.peers.mergeFirstWaiting(incarnations, gateway.listFirstWaiting()),
     avoidedBy: servers.countAvoiding(incarnations),
-    spentUnits: spending.listTotals(scope, receiver),
+    spentUnits: spending.listSpentUnits(scope, receiver),
     endedServers: servers.listEnded(),
   };
 }
--- a/src/application/direct/routing_keeper.ts
+++ b/src/application/direct/routing_keeper.ts
@@ -10,8 +10,8 @@
 import type { Clock, EventLog, Metrics } from '../../ports/mod.js';
 import type { FeedContext } from './feed_follower.js';
 
-/** Dependencies of {@link RoutingKeeper}, and where the store holds the configuration. */
-export interface RoutingKeeperOptions {
+/** Dependencies of {@link RoutingView}, and where the store holds the configuration. */
+export interface RoutingViewOptions {
   /** Key of the newest configuration in the store. */
   readonly key: string;
   readonly clock: Clock;
@@ -26,8 +26,8 @@
 }
 
 /** Applies each newer configuration as a whole, and never an older one. */
-export class RoutingKeeper {
-  readonly #options: RoutingKeeperOptions;
+export class RoutingView {
+  readonly #options: RoutingViewOptions;
 
   readonly #confirmedAge = new ConfirmedAge();
 
@@ -36,7 +36,7 @@
   #table: RouteTable | undefined;
 
   /** @param options - dependencies and key */
-  constructor(options: RoutingKeeperOptions) {
+  constructor(options: RoutingViewOptions) {
     this.#options = options;
   }
 
--- a/src/application/direct/server_keeper.ts
+++ b/src/application/direct/server_keeper.ts
@@ -8,17 +8,17 @@
 import { LogLevel } from '../../domain/errors/mod.js';
 import type { FeedChange, FeedItem } from '../../ports/mod.js';
 import type { FeedContext } from './feed_follower.js';
-import { CandidateLists } from './_candidate_lists.js';
+import { CandidateCache } from './_candidate_lists.js';
 import { EndedIncarnations } from './_ended_lives.js';
 import { EntryReader } from './_entry_reader.js';
 import type { EntryReaderOptions } from './_entry_reader.js';
-import { WarmupGuard } from './_warmup_guard.js';
-import type { WarmupGuardOptions } from './_warmup_guard.js';
+import { WarmupTracker } from './_warmup_guard.js';
+import type { WarmupTrackerOptions } from './_warmup_guard.js';
 import { PeerStatsTable } from './_peer_figures.js';
 import type { PeerStats } from './_peer_figures.js';
 
 /** Dependencies and settings of a {@link ServerKeeper}. */
-export interface ServerKeeperOptions extends EntryReaderOptions, WarmupGuardOptions {
+export interface ServerKeeperOptions extends EntryReaderOptions, WarmupTrackerOptions {
   /** @returns number of entry hosts that serve callers, including this one */
   readonly countServing: () => number;
   /** @returns whether a service's backend servers are model engines */
@@ -42,9 +42,9 @@
 
   readonly #endedIncarnations = new EndedIncarnations();
 
-  readonly #warmupGuard: WarmupGuard;
+  readonly #warmupGuard: WarmupTracker;
 
-  readonly #candidateLists: CandidateLists;
+  readonly #candidateLists: CandidateCache;
 
   readonly #changeHandlers: (() => void)[] = [];
 
@@ -54,8 +54,8 @@
   constructor(options: ServerKeeperOptions) {
     this.#options = options;
     this.#reader = new EntryReader(options);
-    this.#warmupGuard = new WarmupGuard(options);
-    this.#candidateLists = new CandidateLists(options.clock, (id) => this.#buildCandidates(id));
+    this.#warmupGuard = new WarmupTracker(options);
+    this.#candidateLists = new CandidateCache(options.clock, (id) => this.#buildCandidates(id));
   }
 
   /** Number of backend servers that are warming up. */
@@ -75,7 +75,7 @@
 
   /** @param serviceId - a service. @returns backend servers that may be given work */
   listCandidates(serviceId: string): readonly Candidate[] {
-    return this.#candidateLists.take(serviceId);
+    return this.#candidateLists.get(serviceId);
   }
 
   #buildCandidates(serviceId: string): readonly Candidate[] {
@@ -85,7 +85,7 @@
       .filter(({ availabilityZone }) => !places.isClosed(availabilityZone))
       .map((entry) => {
         const load = this.#getOrCreateLoad(entry.id);
-        this.#warmupGuard.update(entry, load);
+        this.#warmupGuard.updatePace(entry, load);
         return { id: entry.id, load, region: findRegion(entry.availabilityZone) };
       });
   }
@@ -212,7 +212,7 @@
     this.#endedIncarnations.clearEntries();
     entries.forEach((entry) => {
       this.#endedIncarnations.recordEntry(entry, this.#isActive(entry.id));
-      this.#warmupGuard.noteEntry(entry);
+      this.#warmupGuard.recordEntry(entry);
     });
     endedIds.forEach((id) => this.#handleRestart(id));
     this.#refresh();
@@ -259,7 +259,7 @@
     }
     const { effect, endedId } = this.#directory.applyEntry(entry, nowMs);
     if (effect !== EntryEffect.None) this.#logEntry(entry, effect);
-    if (effect !== EntryEffect.Outdated) this.#warmupGuard.noteEntry(entry);
+    if (effect !== EntryEffect.Outdated) this.#warmupGuard.recordEntry(entry);
     this.#endedIncarnations.recordEntry(entry, this.#isActive(entry.id));
     if (endedId !== undefined) this.#handleRestart(endedId);
   }
--- a/src/application/direct/store_knowledge.ts
+++ b/src/application/direct/store_knowledge.ts
@@ -9,8 +9,8 @@
 import type { Clock, EventLog, FeedChange, FeedItem, Metrics } from '../../ports/mod.js';
 import type { WarmupHosts } from './_warmup_guard.js';
 import type { FeedContext } from './feed_follower.js';
-import { PlaceKeeper } from './place_keeper.js';
-import { RoutingKeeper } from './routing_keeper.js';
+import { ZoneView } from './place_keeper.js';
+import { RoutingView } from './routing_keeper.js';
 import { ServerKeeper } from './server_keeper.js';
 
 /** Keys and value formats of the store. */
@@ -49,9 +49,9 @@
 
 /** Holds the parts of the store's state and applies reads to each of them. */
 export class StoreKnowledge {
-  readonly routing: RoutingKeeper;
+  readonly routing: RoutingView;
 
-  readonly places: PlaceKeeper;
+  readonly places: ZoneView;
 
   readonly servers: ServerKeeper;
 
@@ -61,18 +61,18 @@
   constructor(options: StoreKnowledgeOptions) {
     this.#options = options;
     const { layout } = options;
-    this.routing = new RoutingKeeper({
+    this.routing = new RoutingView({
       ...options,
       key: layout.configurationKey,
       decode: layout.decodeConfiguration,
     });
-    this.places = new PlaceKeeper({ ...options, prefix: layout.closedZonesPrefix });
+    this.places = new ZoneView({ ...options, prefix: layout.closedZonesPrefix });
     this.servers = new ServerKeeper({
       ...options,
       prefix: layout.serversPrefix,
       decode: layout.decodeServer,
       places: this.places,
-      findWarmupBound: (serviceId) => this.#findWarmupBound(serviceId),
+      findWarmupLimit: (serviceId) => this.#findWarmupBound(serviceId),
       isEngine: (id) => this.routing.table?.findService(id)?.isEngine === true,
       findRegion: (zone) => this.findRegion(zone),
     });
--- a/src/commands/direct_entry.ts
+++ b/src/commands/direct_entry.ts
@@ -161,7 +161,7 @@
       handle: (request, reply) => this.#gateway.handle(request, reply),
     });
     this.#storeView.routing.onChange(() => this.#applyAccounts());
-    this.#storeView.servers.onChange(() => this.#gateway.advance());
+    this.#storeView.servers.onChange(() => this.#gateway.dispatchWaiting());
   }
 
   /** Whether callers may be sent to this entry host. */
@@ -234,14 +234,14 @@
       clock: this.clock,
       log: this.log,
       limitMs: this.#adapters.settings.stopLimitS * MS_PER_SECOND,
-      announce: () => {
+      announceStop: () => {
         this.#isStopping = true;
         this.#reports.sendNow();
       },
-      refuseNew: () => this.#gateway.refuseNew(),
-      closeIdle: () => this.#listener.closeIdle(),
+      refuseNewCalls: () => this.#gateway.refuseNewCalls(),
+      closeIdleConnections: () => this.#listener.closeIdle(),
       countCalls: () => this.#gateway.callCount,
-      endAll: () => this.#gateway.endAll(),
+      stopAllCalls: () => this.#gateway.stopAllCalls(),
     });
   }
 
@@ -288,7 +288,7 @@
     const { identity, report } = counted;
     this.#spending.applyReport(counted);
     this.#storeView.servers.applyPeer(identity.incarnation, report);
-    this.#gateway.advance();
+    this.#gateway.dispatchWaiting();
   }
 
   #applyAccounts(): void {
--- a/test/support/direct_host.ts
+++ b/test/support/direct_host.ts
@@ -11,7 +11,7 @@
   LEADING_PAUSES,
   StoreKnowledge,
 } from '../../src/application/direct/mod.js';
-import type { RoutingKeeper, ServerKeeper, StoreLayout } from '../../src/application/direct/mod.js';
+import type { RoutingView, ServerKeeper, StoreLayout } from '../../src/application/direct/mod.js';
 import { CrashKeeper, MeshCrashPaths } from '../../src/application/crashes/mod.js';
 import type { BackendServerEntry } from '../../src/domain/backend_servers/mod.js';
 import type { EntryHostIdentity } from '../../src/domain/membership/mod.js';
@@ -149,7 +149,7 @@
 
   readonly knowledge: StoreKnowledge;
 
-  readonly routing: RoutingKeeper;
+  readonly routing: RoutingView;
 
   readonly servers: ServerKeeper;
 
@@ -221,7 +221,7 @@
     this.routing.onChange(() => {
       this.spending.applyAccounts(this.routing.table?.document.accounts ?? []);
     });
-    this.servers.onChange(() => this.gateway.advance());
+    this.servers.onChange(() => this.gateway.dispatchWaiting());
   }
 
   /** Publishes a routing document and backend servers, and starts the host. */
--- a/test/support/server_keepers.ts
+++ b/test/support/server_keepers.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { PlaceKeeper, ServerKeeper } from '../../src/application/direct/mod.js';
+import { ZoneView, ServerKeeper } from '../../src/application/direct/mod.js';
 import type { BackendServerEntry } from '../../src/domain/backend_servers/mod.js';
 import type { Clock } from '../../src/ports/mod.js';
 import { FakeLog, FakeMetrics } from './fakes.js';
@@ -33,9 +33,9 @@
     },
     isEngine: () => true,
     countServing: () => hostCount,
-    places: new PlaceKeeper({ ...shared, prefix: 'closed/' }),
+    places: new ZoneView({ ...shared, prefix: 'closed/' }),
     hosts: { selfId: 'entry-1', listKnown: () => [], isSettled: () => true },
-    findWarmupBound: () => undefined,
+    findWarmupLimit: () => undefined,
     findRegion: () => undefined,
   });
 }
