--- a/src/application/direct/_call_obstacle.ts
+++ b/src/application/direct/_call_obstacle.ts
@@ -6,7 +6,7 @@
 import { ErrorKind } from '../../domain/errors/mod.js';
 import { isAllowedRegion } from '../../domain/places/mod.js';
 import type { AllowedRegions } from '../../domain/places/mod.js';
-import type { ServerKeeper } from './server_keeper.js';
+import type { ServerRegistry } from './server_keeper.js';
 
 /**
  * Finds why no backend server can take a call: all servers of the service are in closed zones,
@@ -18,11 +18,11 @@
  * @returns the kind of refusal; undefined when waiting may help
  */
 export function findRejection(
-  servers: ServerKeeper,
+  servers: ServerRegistry,
   serviceId: string,
   regions: AllowedRegions,
 ): ErrorKind | undefined {
-  if (servers.isClosed(serviceId)) return ErrorKind.ServiceClosed;
+  if (servers.hasOnlyClosedZones(serviceId)) return ErrorKind.ServiceClosed;
   if (regions === undefined) return undefined;
   const candidates = servers.listCandidates(serviceId);
   const isAllowed = candidates.some(({ region }) => isAllowedRegion(regions, region));
--- a/src/application/direct/_kept_by_key.ts
+++ b/src/application/direct/_kept_by_key.ts
@@ -5,7 +5,7 @@
  */
 
 /** Holds one value for each key, created when it is first requested. */
-export class KeptByKey<T> {
+export class LazyMap<T> {
   readonly #values = new Map<string, T>();
 
   readonly #create: (key: string) => T;
@@ -16,7 +16,7 @@
   }
 
   /** @param key - a key. @returns its value, created if it is missing */
-  take(key: string): T {
+  getOrCreate(key: string): T {
     const existing = this.#values.get(key);
     if (existing !== undefined) return existing;
     const created = this.#create(key);
@@ -25,12 +25,12 @@
   }
 
   /** @param key - a key. @returns its value; undefined if it was never created */
-  find(key: string): T | undefined {
+  get(key: string): T | undefined {
     return this.#values.get(key);
   }
 
   /** @returns all keys with their values */
-  list(): readonly (readonly [string, T])[] {
+  listEntries(): readonly (readonly [string, T])[] {
     return [...this.#values];
   }
 }
--- a/src/application/direct/_peer_figures.ts
+++ b/src/application/direct/_peer_figures.ts
@@ -138,7 +138,7 @@
    * @param serverId - incarnation of the backend server
    * @param change - number of slots taken; negative for freed slots
    */
-  adjust(source: string, serverId: string, change: number): void {
+  adjustInFlight(source: string, serverId: string, change: number): void {
     this.#update(source, ({ inFlight }) => {
       const slotCount = Math.max(0, (inFlight[serverId] ?? 0) + change);
       return { inFlight: { ...inFlight, [serverId]: slotCount } };
@@ -151,7 +151,7 @@
    * @param source - incarnation of the peer's process
    * @param notice - the announcement
    */
-  applyNotice(source: string, { serviceId, calls, firstUrgency }: WaitingNoticeMessage): void {
+  applyWaitingNotice(source: string, { serviceId, calls, firstUrgency }: WaitingNoticeMessage): void {
     this.#update(source, ({ waitingCalls, firstWaiting }) => ({
       waitingCalls: { ...waitingCalls, [serviceId]: calls },
       firstWaiting: { ...firstWaiting, [serviceId]: firstUrgency },
@@ -164,7 +164,7 @@
    * @param source - incarnation of the peer's process
    * @param serviceId - service that the call waited for
    */
-  noteServed(source: string, serviceId: string): void {
+  recordCallServed(source: string, serviceId: string): void {
     this.#update(source, ({ waitingCalls }) => {
       const remaining = Math.max(0, (waitingCalls[serviceId] ?? 0) - 1);
       return { waitingCalls: { ...waitingCalls, [serviceId]: remaining } };
--- a/src/application/direct/_report_builder.ts
+++ b/src/application/direct/_report_builder.ts
@@ -8,8 +8,8 @@
 import type { Roster, RosterEntry } from '../../domain/overlay/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
 import type { HostReportMessage } from '../../ports/mod.js';
-import { NO_FIGURES } from './report_figures.js';
-import type { FigureSources, ReportFigures } from './report_figures.js';
+import { NO_STATS } from './report_figures.js';
+import type { StatsSources, ReportStats } from './report_figures.js';
 import type { ReportRole } from './_report_role.js';
 import type { ReceivedReports } from './_report_sources.js';
 
@@ -18,7 +18,7 @@
   readonly roster: Roster;
   readonly role: ReportRole;
   readonly received: ReceivedReports;
-  readonly buildStats: (sources: FigureSources) => ReportFigures;
+  readonly buildStats: (sources: StatsSources) => ReportStats;
 }
 
 /** Combines stats and roster entries into a report. */
@@ -48,7 +48,7 @@
     const hasStats = scope === ReportScope.Member || role.isRelay;
     const stats = hasStats
       ? buildStats({ incarnations, scope, receiver: incarnation })
-      : NO_FIGURES;
+      : NO_STATS;
     // A report of another scope may have left entries out, so its acknowledgement doesn't count.
     const ackedRevision = lastReport?.heardScope === scope ? lastReport.heardRosterRevision : 0;
     return {
--- a/src/application/direct/_report_sources.ts
+++ b/src/application/direct/_report_sources.ts
@@ -12,7 +12,7 @@
  * milliseconds: three report intervals. Until then, both sides of a partition may spend the
  * whole limit.
  */
-export const REACH_SILENT_MS = 450;
+export const LIMIT_PEER_TIMEOUT_MS = 450;
 
 /** A peer's newest report and when it arrived. */
 export interface ReceivedReport {
@@ -83,7 +83,7 @@
    */
   countReachable(origin: ViewOrigin, nowMs: number): number {
     return this.listCounted(origin)
-      .filter(({ receivedAtMs }) => nowMs - receivedAtMs <= REACH_SILENT_MS)
+      .filter(({ receivedAtMs }) => nowMs - receivedAtMs <= LIMIT_PEER_TIMEOUT_MS)
       .reduce((sum, { report }) => sum + report.hostCount, 0);
   }
 }
--- a/src/application/direct/_run_evidence.ts
+++ b/src/application/direct/_run_evidence.ts
@@ -56,7 +56,7 @@
    */
   #recordLostRun(serverId: string, startedAtMs: number): void {
     const { clock, crashes, servers } = this.#services;
-    const address = servers.find(serverId)?.address;
+    const address = servers.findEntry(serverId)?.address;
     if (address === undefined || !servers.isUsable(serverId)) return;
     const contentId = this.#contentId;
     const endedAtMs = clock.nowMs();
--- a/src/application/direct/account_spending.ts
+++ b/src/application/direct/account_spending.ts
@@ -8,7 +8,7 @@
 import { LimitUnit } from '../../domain/routing/mod.js';
 import type { AccountLimit, ClientAccount } from '../../domain/routing/mod.js';
 import type { Clock, DirectRequest } from '../../ports/mod.js';
-import { REACH_SILENT_MS } from './_report_sources.js';
+import { LIMIT_PEER_TIMEOUT_MS } from './_report_sources.js';
 import type { CountedReport } from './report_figures.js';
 
 /** Holds one shared token bucket for each account that has a limit. */
@@ -96,7 +96,7 @@
     const bucket = new SharedBucket({
       limit: buildBucketLimit(limit),
       nowMs,
-      peerTimeoutMs: REACH_SILENT_MS,
+      peerTimeoutMs: LIMIT_PEER_TIMEOUT_MS,
     });
     bucket.setReachableFraction(this.#reach, nowMs);
     this.#buckets.set(id, bucket);
--- a/src/application/direct/direct_call.ts
+++ b/src/application/direct/direct_call.ts
@@ -124,7 +124,7 @@
       this.fail(refusal);
       return;
     }
-    const server = services.servers.find(id);
+    const server = services.servers.findEntry(id);
     if (!server) {
       this.shed(0);
       return;
@@ -252,7 +252,7 @@
     const { services, serviceId } = this.#options;
     const mayHaveRun = mayAttemptHaveRun({ failure });
     if (!mayHaveRun) this.#attempts.recordNotRun();
-    if (failure === BackendFailure.Misdirected) services.servers.noteEnded(serverId);
+    if (failure === BackendFailure.Misdirected) services.servers.recordEnded(serverId);
     const isAllowed = mayHaveRun ? this.#attempts.mayRunAgain() : this.#attempts.maySendAgain();
     const canResume = !this.#options.reply.hasBegun || this.#stream?.lastEventId !== undefined;
     // A request that was never written costs the service nothing; all other retries are counted.
--- a/src/application/direct/direct_crash_paths.ts
+++ b/src/application/direct/direct_crash_paths.ts
@@ -6,7 +6,7 @@
 import type { EntryHostIdentity } from '../../domain/membership/mod.js';
 import { CrashPaths } from '../crashes/mod.js';
 import type { HostReports } from './host_reports.js';
-import type { ServerKeeper } from './server_keeper.js';
+import type { ServerRegistry } from './server_keeper.js';
 
 /**
  * Routes crash notes along the same links as the load reports. An incarnation ends only once,
@@ -15,13 +15,13 @@
 export class DirectCrashPaths extends CrashPaths {
   readonly #reports: HostReports;
 
-  readonly #servers: ServerKeeper;
+  readonly #servers: ServerRegistry;
 
   /**
    * @param reports - provide the known entry hosts and the links between them
    * @param servers - provide the addresses of the usable backend servers
    */
-  constructor(reports: HostReports, servers: ServerKeeper) {
+  constructor(reports: HostReports, servers: ServerRegistry) {
     super();
     this.#reports = reports;
     this.#servers = servers;
@@ -41,7 +41,7 @@
   }
 
   override listFurther(from: EntryHostIdentity): readonly EntryHostIdentity[] {
-    return this.#reports.listFurther(from);
+    return this.#reports.listForwardTargets(from);
   }
 
   override createCrashId(serverId: string): string {
@@ -51,7 +51,7 @@
   /** Returns an address only on relays: in a large fleet, they probe on behalf of all members. */
   override findAddress(serverId: string): string | undefined {
     if (!this.#reports.isRelay || !this.#servers.isUsable(serverId)) return undefined;
-    return this.#servers.find(serverId)?.address;
+    return this.#servers.findEntry(serverId)?.address;
   }
 
   override readServerId(crashId: string): string {
--- a/src/application/direct/direct_gateway.ts
+++ b/src/application/direct/direct_gateway.ts
@@ -23,8 +23,8 @@
 import { FreedSlotForwarder } from './freed_slots.js';
 import { DirectCall } from './direct_call.js';
 import type { DirectServices } from './direct_services.js';
-import { KeptByKey } from './_kept_by_key.js';
-import type { ServerKeeper } from './server_keeper.js';
+import { LazyMap } from './_kept_by_key.js';
+import type { ServerRegistry } from './server_keeper.js';
 import { ServiceQueue } from './service_line.js';
 import { WaitingNotices } from './waiting_notices.js';
 
@@ -36,7 +36,7 @@
   readonly metrics: Metrics;
   readonly backend: DirectBackendClient;
   readonly peers: PeerNetwork;
-  readonly servers: ServerKeeper;
+  readonly servers: ServerRegistry;
   readonly spending: AccountSpending;
   readonly retryBounds: RetryBounds;
   /** @returns number of entry hosts that share the retry budget */
@@ -52,22 +52,22 @@
   readonly #checks: CallChecks;
 
   /** Queues by service ID. */
-  readonly #queues = new KeptByKey((serviceId) => this.#createQueue(serviceId));
+  readonly #queues = new LazyMap((serviceId) => this.#createQueue(serviceId));
 
   readonly #freedSlotForwarder: FreedSlotForwarder;
 
   readonly #waitingNotices: WaitingNotices;
 
   /** Shares of the retry budget by service ID. */
-  readonly #retryShares = new KeptByKey(() => new RetryBudgetShare(this.#options.retryBounds));
+  readonly #retryShares = new LazyMap(() => new RetryBudgetShare(this.#options.retryBounds));
 
   readonly #calls = new Set<DirectCall>();
 
   /** Output estimators by route name. */
-  readonly #outputEstimators = new KeptByKey(() => new OutputEstimator());
+  readonly #outputEstimators = new LazyMap(() => new OutputEstimator());
 
   /** Detectors of returning callers by route name. */
-  readonly #returningCallers = new KeptByKey(() => new ReturningCallerDetector());
+  readonly #returningCallers = new LazyMap(() => new ReturningCallerDetector());
 
   #isRefusingNew = false;
 
@@ -78,16 +78,16 @@
     this.#services = {
       ...options,
       recordFirstAttempt: (serviceId) =>
-        this.#retryShares.take(serviceId).recordAttempt(options.clock.nowMs()),
+        this.#retryShares.getOrCreate(serviceId).recordAttempt(options.clock.nowMs()),
       takeRetry: (serviceId) =>
         this.#retryShares
-          .take(serviceId)
+          .getOrCreate(serviceId)
           .takeRetry(options.clock.nowMs(), options.countEntryHosts()),
     };
     this.#freedSlotForwarder = new FreedSlotForwarder({
       ...options,
-      getFirstUrgency: (serviceId) => this.#queues.find(serviceId)?.firstUrgency ?? Infinity,
-      dispatchWaiting: (serviceId) => this.#queues.find(serviceId)?.dispatchWaiting(),
+      getFirstUrgency: (serviceId) => this.#queues.get(serviceId)?.firstUrgency ?? Infinity,
+      dispatchWaiting: (serviceId) => this.#queues.get(serviceId)?.dispatchWaiting(),
     });
     this.#waitingNotices = new WaitingNotices(options);
     options.servers.onRestart((endedId) => {
@@ -105,7 +105,7 @@
 
   /** Number of calls that wait for a slot. */
   get waitingCount(): number {
-    return this.#queues.list().reduce((sum, [, { size }]) => sum + size, 0);
+    return this.#queues.listEntries().reduce((sum, [, { size }]) => sum + size, 0);
   }
 
   /** @returns number of calls that wait for a slot, by service ID */
@@ -120,7 +120,7 @@
   }
 
   #listNonEmptyQueues(): readonly (readonly [string, ServiceQueue])[] {
-    return this.#queues.list().filter(([, { size }]) => size > 0);
+    return this.#queues.listEntries().filter(([, { size }]) => size > 0);
   }
 
   /** Whether callers may be sent to this entry host. */
@@ -141,7 +141,7 @@
 
   /** Dispatches waiting calls to slots that have become free at other entry hosts. */
   dispatchWaiting(): void {
-    this.#queues.list().forEach(([, line]) => line.dispatchWaiting());
+    this.#queues.listEntries().forEach(([, line]) => line.dispatchWaiting());
   }
 
   /**
@@ -182,9 +182,9 @@
       serviceId,
       account,
       rank: computeRank(route, account),
-      isReturning: this.#returningCallers.take(route.name).isReturning(request.deadlineMs),
-      queue: this.#queues.take(serviceId),
-      outputEstimator: this.#outputEstimators.take(route.name),
+      isReturning: this.#returningCallers.getOrCreate(route.name).isReturning(request.deadlineMs),
+      queue: this.#queues.getOrCreate(serviceId),
+      outputEstimator: this.#outputEstimators.getOrCreate(route.name),
       tokensPerEvent: table.findService(serviceId)?.tokensPerEvent ?? 1,
       services: this.#services,
       findDispatchRefusal: () => this.#checks.findDispatchRefusal(checked, request),
@@ -202,7 +202,7 @@
       listCandidates: () => servers.listCandidates(serviceId),
       onWaiting: () => this.#waitingNotices.notifyPeers(serviceId, queue),
       forwardFreedSlot: (serverId) => this.#freedSlotForwarder.forward(serverId),
-      countWaitingAtPeers: () => servers.countWaitingAt(serviceId),
+      countWaitingAtPeers: () => servers.countWaitingAtPeers(serviceId),
     });
     return queue;
   }
--- a/src/application/direct/direct_services.ts
+++ b/src/application/direct/direct_services.ts
@@ -12,7 +12,7 @@
 } from '../../ports/mod.js';
 import type { CrashKeeper } from '../crashes/mod.js';
 import type { RoutingView } from './routing_keeper.js';
-import type { ServerKeeper } from './server_keeper.js';
+import type { ServerRegistry } from './server_keeper.js';
 
 /** Dependencies that all calls of an entry host share. */
 export interface DirectServices {
@@ -22,7 +22,7 @@
   readonly metrics: Metrics;
   readonly backend: DirectBackendClient;
   readonly routing: RoutingView;
-  readonly servers: ServerKeeper;
+  readonly servers: ServerRegistry;
   readonly crashes: CrashKeeper;
   /** @param serviceId - ID of the service to which a call is sent for the first time */
   readonly recordFirstAttempt: (serviceId: string) => void;
--- a/src/application/direct/feed_follower.ts
+++ b/src/application/direct/feed_follower.ts
@@ -19,7 +19,7 @@
 import type { Step } from '../channels/mod.js';
 
 /** Backoff delays after failed reads; each delay is twice the one before it. */
-export interface RetryPauses {
+export interface RetryBackoff {
   /** First delay, in milliseconds. */
   readonly minMs: number;
   /** Longest delay, in milliseconds. */
@@ -31,7 +31,7 @@
   /** Longest wait of the next read, in milliseconds; undefined while peers read. */
   readonly waitMs: number | undefined;
   /** Time until the plan is checked again while peers read, in milliseconds. */
-  readonly lookAfterMs: number;
+  readonly recheckAfterMs: number;
 }
 
 /** Wait of a read that probes the store after a failure or a gap, in milliseconds. */
@@ -69,13 +69,13 @@
   readonly metrics: Metrics;
   readonly getReadPlan: () => ReadPlan;
   /** @returns backoff delays after failed reads */
-  readonly getRetryPauses: () => RetryPauses;
+  readonly getRetryBackoff: () => RetryBackoff;
   /** Called with all items of the store, at the start and after lost history. */
-  readonly onAll: (items: readonly FeedItem[], context: FeedContext) => void;
+  readonly onSnapshot: (items: readonly FeedItem[], context: FeedContext) => void;
   /** Called with changes; the list is empty when the store confirms that nothing has changed. */
   readonly onChanges: (changes: readonly FeedChange[], context: FeedContext) => void;
   /** Called with each update that this follower has read from the store itself. */
-  readonly onRead: (update: FeedUpdate, context: FeedContext) => void;
+  readonly onStoreRead: (update: FeedUpdate, context: FeedContext) => void;
 }
 
 /** Reads everything once and then follows changes; reads everything again when history is lost. */
@@ -167,12 +167,12 @@
     const plan = this.#options.getReadPlan();
     const waitMs = this.#hasGap ? PROBE_WAIT_MS : plan.waitMs;
     if (this.#revision === undefined || this.#hasLostHistory) yield* this.#readSnapshot();
-    else if (waitMs === undefined) yield* settle(this.#waitIdle(plan.lookAfterMs));
+    else if (waitMs === undefined) yield* settle(this.#waitIdle(plan.recheckAfterMs));
     else yield* this.#readChanges(this.#revision, waitMs);
   }
 
   *#readSnapshot(): Step<void> {
-    const { feed, onAll, onRead } = this.#options;
+    const { feed, onSnapshot: onAll, onStoreRead: onRead } = this.#options;
     const askedAt = this.#readClock();
     const { items, revision } = yield* settle(feed.readAll(''));
     const wasFilledByPeer = this.#revision !== undefined && !this.#hasLostHistory;
@@ -212,7 +212,7 @@
   }
 
   *#readChanges(after: number, waitMs: number): Step<void> {
-    const { feed, onRead } = this.#options;
+    const { feed, onStoreRead: onRead } = this.#options;
     const askedAt = this.#readClock();
     // The first read after a failure doesn't wait, to notice the store's return at once.
     const maxWaitMs = this.#failureCount > 0 ? PROBE_WAIT_MS : waitMs;
@@ -255,7 +255,7 @@
       const reason = formatReason(error);
       log.write(LogLevel.Warn, 'dependency_lost', { dependency: 'store', reason });
     }
-    const { minMs, maxMs } = this.#options.getRetryPauses();
+    const { minMs, maxMs } = this.#options.getRetryBackoff();
     const maxDelayMs = Math.min(maxMs, minMs * 2 ** (this.#failureCount - 1));
     yield* settle(this.#wait(maxDelayMs * (0.5 + this.#options.random.nextFraction() / 2)));
   }
--- a/src/application/direct/feed_follower_test.ts
+++ b/src/application/direct/feed_follower_test.ts
@@ -3,7 +3,7 @@
 import { FakeFeed } from '../../../test/support/fake_feed.js';
 import { FakeLog, FakeMetrics, SeededRandom } from '../../../test/support/fakes.js';
 import { settle, VirtualClock } from '../../../test/support/virtual_clock.js';
-import { FeedFollower, LEADING_PAUSES } from './mod.js';
+import { FeedFollower, FAST_RETRY_BACKOFF } from './mod.js';
 import type { FeedContext, FeedUpdate } from './mod.js';
 
 /** Runs a follower on a fake store, and records its callbacks in order. */
@@ -31,12 +31,12 @@
       clock,
       feed,
       log,
-      getReadPlan: () => ({ waitMs: this.waitMs, lookAfterMs: 100 }),
-      getRetryPauses: () => LEADING_PAUSES,
-      onRead: (update) => this.updates.push(update),
+      getReadPlan: () => ({ waitMs: this.waitMs, recheckAfterMs: 100 }),
+      getRetryBackoff: () => FAST_RETRY_BACKOFF,
+      onStoreRead: (update) => this.updates.push(update),
       random: new SeededRandom(),
       metrics: new FakeMetrics(),
-      onAll: (items, context) => {
+      onSnapshot: (items, context) => {
         this.calls.push(`all ${items.map(({ key }) => key).join()}`);
         this.contexts.push(context);
       },
--- a/src/application/direct/feed_sharing.ts
+++ b/src/application/direct/feed_sharing.ts
@@ -15,7 +15,7 @@
   FeedFollower,
   FeedUpdate,
   ReadPlan,
-  RetryPauses,
+  RetryBackoff,
 } from './feed_follower.js';
 import type { HostReports } from './host_reports.js';
 
@@ -54,10 +54,10 @@
 const FAST_RETRY_HOSTS = 4;
 
 /** Backoff of the hosts that retry often, short enough to notice the store's return soon. */
-export const LEADING_PAUSES: RetryPauses = { minMs: 50, maxMs: 400 };
+export const FAST_RETRY_BACKOFF: RetryBackoff = { minMs: 50, maxMs: 400 };
 
 /** Backoff of all other entry hosts. */
-const SLOW_RETRY_BACKOFF: RetryPauses = { minMs: 400, maxMs: 2_000 };
+const SLOW_RETRY_BACKOFF: RetryBackoff = { minMs: 400, maxMs: 2_000 };
 
 /**
  * Shortest and longest time between two checks of whether to read, in milliseconds. Updates come
@@ -90,8 +90,8 @@
   readonly precedingFraction: number;
 }
 
-/** Dependencies of {@link FeedSharing}. */
-export interface FeedSharingOptions {
+/** Dependencies of {@link FeedDistributor}. */
+export interface FeedDistributorOptions {
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly peers: PeerNetwork;
@@ -108,8 +108,8 @@
  * that it had received from the receiver, and the receiver counts the age from when it sent that
  * report.
  */
-export class FeedSharing {
-  readonly #options: FeedSharingOptions;
+export class FeedDistributor {
+  readonly #options: FeedDistributorOptions;
 
   /** Age of the state that was last sent to peers. */
   readonly #sentAge = new ConfirmedAge();
@@ -124,7 +124,7 @@
   #lastProbeAtMs = Number.NEGATIVE_INFINITY;
 
   /** @param options - dependencies */
-  constructor(options: FeedSharingOptions) {
+  constructor(options: FeedDistributorOptions) {
     this.#options = options;
     options.peers.handle(PeerMessageType.FeedUpdate, (from, message) =>
       this.#handleUpdate(from, message),
@@ -142,14 +142,14 @@
         remainingMs < 0
           ? this.#computeTakeoverWaitMs(nowMs)
           : this.#computeWaitMs(readerRank, nowMs),
-      lookAfterMs: Math.min(MAX_RECHECK_MS, Math.max(MIN_RECHECK_MS, remainingMs)),
+      recheckAfterMs: Math.min(MAX_RECHECK_MS, Math.max(MIN_RECHECK_MS, remainingMs)),
     };
   }
 
   /** @returns backoff delays while the store doesn't answer */
-  getRetryPauses(): RetryPauses {
+  getRetryBackoff(): RetryBackoff {
     const { rank } = this.#computeRank(this.#options.reports.listHeard());
-    return rank < FAST_RETRY_HOSTS ? LEADING_PAUSES : SLOW_RETRY_BACKOFF;
+    return rank < FAST_RETRY_HOSTS ? FAST_RETRY_BACKOFF : SLOW_RETRY_BACKOFF;
   }
 
   /**
@@ -255,7 +255,7 @@
   #forward(from: EntryHostIdentity, update: FeedUpdate, context: FeedContext): void {
     const { reports } = this.#options;
     if (this.#recordSent(update, context)) {
-      this.#sendTo(reports.listFurther(from), update, context);
+      this.#sendTo(reports.listForwardTargets(from), update, context);
     }
   }
 
--- a/src/application/direct/feed_sharing_test.ts
+++ b/src/application/direct/feed_sharing_test.ts
@@ -9,7 +9,7 @@
 import { FakeLog, FakeMetrics, SeededRandom } from '../../../test/support/fakes.js';
 import { settle, VirtualClock } from '../../../test/support/virtual_clock.js';
 import { ConfirmedAge } from '../../domain/freshness/mod.js';
-import { FeedFollower, FeedSharing, HostReports, NO_FIGURES } from './mod.js';
+import { FeedFollower, FeedDistributor, HostReports, NO_STATS } from './mod.js';
 import type { FeedContext } from './mod.js';
 
 /** An entry host that follows the store and tracks the age of its state. */
@@ -20,7 +20,7 @@
 
   readonly reports: HostReports;
 
-  readonly sharing: FeedSharing;
+  readonly distributor: FeedDistributor;
 
   readonly knowledgeAge = new ConfirmedAge();
 
@@ -44,18 +44,18 @@
         isInTouch: this.follower.isInTouch,
         isLeaving: false,
       }),
-      buildFigures: () => NO_FIGURES,
+      buildStats: () => NO_STATS,
       onReport: () => undefined,
       onSilent: () => undefined,
-      onReach: () => undefined,
+      onReachableFraction: () => undefined,
     });
     this.follower = new FeedFollower({
       ...shared,
       feed,
       random: new SeededRandom(),
-      getReadPlan: () => this.sharing.getReadPlan(),
-      getRetryPauses: () => this.sharing.getRetryPauses(),
-      onAll: (items, context) => {
+      getReadPlan: () => this.distributor.getReadPlan(),
+      getRetryBackoff: () => this.distributor.getRetryBackoff(),
+      onSnapshot: (items, context) => {
         this.keys.clear();
         items.forEach(({ key }) => this.keys.add(key));
         this.#confirm(context);
@@ -67,9 +67,9 @@
         });
         this.#confirm(context);
       },
-      onRead: (update, context) => this.sharing.sendUpdate(update, context),
+      onStoreRead: (update, context) => this.distributor.sendUpdate(update, context),
     });
-    this.sharing = new FeedSharing({
+    this.distributor = new FeedDistributor({
       ...shared,
       peers: this.network,
       reports: this.reports,
--- a/src/application/direct/freed_slots.ts
+++ b/src/application/direct/freed_slots.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock, FreedSlotMessage, Metrics, PeerNetwork } from '../../ports/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
-import type { ServerKeeper } from './server_keeper.js';
+import type { ServerRegistry } from './server_keeper.js';
 
 /**
  * Maximum number of times that a slot is forwarded: from a member to its relay, to another
@@ -17,7 +17,7 @@
 export interface FreedSlotForwarderOptions {
   readonly peers: PeerNetwork;
   readonly clock: Clock;
-  readonly servers: ServerKeeper;
+  readonly servers: ServerRegistry;
   readonly metrics: Metrics;
   /**
    * @param serviceId - ID of the service
@@ -65,7 +65,7 @@
 
   #forwardOrDispatch(serverId: string, hops: number, from?: string): void {
     const { clock, servers, getFirstUrgency, dispatchWaiting } = this.#options;
-    const serviceId = servers.find(serverId)?.serviceId;
+    const serviceId = servers.findEntry(serverId)?.serviceId;
     if (serviceId === undefined) return;
     const mostUrgent =
       hops < MAX_HOPS ? servers.peers.findFirstWaiting(serviceId, from) : undefined;
@@ -85,7 +85,7 @@
   /** Counts a slot that a peer took or gave back, which the peer itself reports only later. */
   #adjustPeerInFlight(source: string, serverId: string, change: number): void {
     const { servers } = this.#options;
-    servers.peers.adjust(source, serverId, change);
+    servers.peers.adjustInFlight(source, serverId, change);
     servers.findLoad(serverId)?.adjustPeersInFlight(change);
   }
 
@@ -95,7 +95,7 @@
     if (!peers.send(to, message)) return;
     this.#adjustPeerInFlight(to, serverId, 1);
     servers.findLoad(serverId)?.share.recordTaken();
-    servers.peers.noteServed(to, serviceId);
+    servers.peers.recordCallServed(to, serviceId);
     metrics.count('freed_slots_passed_total', { hops: String(hops) });
   }
 }
--- a/src/application/direct/freed_slots_test.ts
+++ b/src/application/direct/freed_slots_test.ts
@@ -11,12 +11,12 @@
 import { ServerOutcome } from '../../domain/backend_servers/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
 import { FreedSlotForwarder } from './freed_slots.js';
-import type { ServerKeeper } from './server_keeper.js';
+import type { ServerRegistry } from './server_keeper.js';
 
 const WORK = { promptTokens: 1, outputTokens: 1 };
 /** An entry host that knows one engine with one slot, which an own call has taken. */
 class SlotHost {
-  readonly servers: ServerKeeper;
+  readonly servers: ServerRegistry;
 
   readonly slots: FreedSlotForwarder;
 
@@ -41,7 +41,7 @@
     });
     this.servers = createServerKeeper(clock);
     const value = Buffer.from(JSON.stringify(buildServer('s-1', { slots: 1 })));
-    this.servers.applyAll([{ key: 'servers/s-1', value, revision: 1 }], CALM_CONTEXT);
+    this.servers.applySnapshot([{ key: 'servers/s-1', value, revision: 1 }], CALM_CONTEXT);
     this.servers.listCandidates('engines');
     this.slots = new FreedSlotForwarder({
       clock,
@@ -69,7 +69,7 @@
 
   /** Receives a peer's report of waiting calls. */
   receiveWaitingReport(peer: SlotHost, urgency: number, inFlight = 0): void {
-    this.servers.applyPeer(peer.incarnation, {
+    this.servers.applyPeerStats(peer.incarnation, {
       ...NO_FIGURES,
       inFlight: { 's-1': inFlight },
       waitingCalls: { engines: 1 },
--- a/src/application/direct/host_reports.ts
+++ b/src/application/direct/host_reports.ts
@@ -13,7 +13,7 @@
 import { CountedPeers } from './_counted_hosts.js';
 import { PeerLinks } from './_peer_links.js';
 import { ReportBuilder } from './_report_builder.js';
-import type { CountedReport, FigureSources, ReportFigures } from './report_figures.js';
+import type { CountedReport, StatsSources, ReportStats } from './report_figures.js';
 import { ReportRole } from './_report_role.js';
 import { RosterLog } from './_roster_log.js';
 import { ReportScheduler } from './_report_rounds.js';
@@ -32,13 +32,13 @@
   readonly clock: Clock;
   readonly log: EventLog;
   readonly getState: () => Pick<HostState, 'isServing' | 'isInTouch' | 'isLeaving'>;
-  readonly buildFigures: (sources: FigureSources) => ReportFigures;
+  readonly buildStats: (sources: StatsSources) => ReportStats;
   /** Called with each report that counts. */
   readonly onReport: (report: CountedReport) => void;
   /** Called when the reports of a process no longer count. */
   readonly onSilent: (identity: EntryHostIdentity) => void;
   /** Called after each round with the fraction of the known entry hosts that is reachable. */
-  readonly onReach: (reach: number) => void;
+  readonly onReachableFraction: (reach: number) => void;
 }
 
 /** Sends reports in regular rounds, and at once on request. */
@@ -86,7 +86,7 @@
       roster: this.#roster,
       role: this.#role,
       received: this.#received,
-      buildStats: options.buildFigures,
+      buildStats: options.buildStats,
     });
     this.#links = new PeerLinks({ peers, clock, log, selfUrl: self.peerUrl, seeds: seedPeerUrls });
     this.#scheduler = new ReportScheduler({
@@ -108,7 +108,7 @@
   }
 
   /** @param peerUrls - URLs of the seed peers from now on */
-  setSeeds(peerUrls: readonly string[]): void {
+  setSeedUrls(peerUrls: readonly string[]): void {
     this.#links.setSeedUrls(peerUrls);
     this.#updateRole();
   }
@@ -178,7 +178,7 @@
    * @param from - linked peer that has sent the message
    * @returns linked peers that receive the message only through this entry host
    */
-  listFurther({ incarnation }: EntryHostIdentity): readonly EntryHostIdentity[] {
+  listForwardTargets({ incarnation }: EntryHostIdentity): readonly EntryHostIdentity[] {
     if (!this.isRelay) return [];
     const isFromMember = this.hasMember(incarnation);
     return this.listTargets()
@@ -197,7 +197,7 @@
   }
 
   #runRound(): void {
-    const { clock, onReach } = this.#options;
+    const { clock, onReachableFraction: onReach } = this.#options;
     this.#expire();
     this.#updateRole();
     const reachableCount = this.#received.countReachable(this.#role.origin, clock.nowMs());
--- a/src/application/direct/mod.ts
+++ b/src/application/direct/mod.ts
@@ -16,18 +16,18 @@
   FeedFollowerOptions,
   FeedUpdate,
   ReadPlan,
-  RetryPauses,
+  RetryBackoff,
 } from './feed_follower.js';
-export { FeedSharing, LEADING_PAUSES } from './feed_sharing.js';
-export type { FeedSharingOptions } from './feed_sharing.js';
+export { FeedDistributor, FAST_RETRY_BACKOFF } from './feed_sharing.js';
+export type { FeedDistributorOptions } from './feed_sharing.js';
 export { HostReports } from './host_reports.js';
 export type { HostReportsOptions } from './host_reports.js';
-export { buildReportFigures, NO_FIGURES } from './report_figures.js';
-export type { CountedReport, FigureParts, FigureSources, ReportFigures } from './report_figures.js';
+export { buildReportStats, NO_STATS } from './report_figures.js';
+export type { CountedReport, StatsProviders, StatsSources, ReportStats } from './report_figures.js';
 export { ZoneView } from './place_keeper.js';
 export { RoutingView } from './routing_keeper.js';
 export type { RoutingViewOptions } from './routing_keeper.js';
-export { ServerKeeper } from './server_keeper.js';
-export type { ServerKeeperOptions } from './server_keeper.js';
-export { StoreKnowledge } from './store_knowledge.js';
-export type { StoreKnowledgeOptions, StoreLayout, WarmupTolerance } from './store_knowledge.js';
+export { ServerRegistry } from './server_keeper.js';
+export type { ServerRegistryOptions } from './server_keeper.js';
+export { StoreView } from './store_knowledge.js';
+export type { StoreViewOptions, StoreLayout, WarmupTolerance } from './store_knowledge.js';
--- a/src/application/direct/place_keeper_test.ts
+++ b/src/application/direct/place_keeper_test.ts
@@ -83,7 +83,7 @@
 t.test('a zone that was reopened in a gap of the change history is open', async (t) => {
   const host = await startInTwoZones(t);
   await closeZone(host, 'hall-a');
-  host.knowledge.applyAll(
+  host.knowledge.applySnapshot(
     [{ key: 'servers/s-1', value: Buffer.from(JSON.stringify(buildServer('s-1'))), revision: 9 }],
     { askedAt: { steadyMs: 0, wallMs: 0 }, ageMs: 0, wasAway: false },
   );
@@ -96,7 +96,7 @@
   await closeZone(host, 'hall-a');
   host.feed.put('servers/s-1', buildServer('s-1', { slots: 3 }));
   await settle();
-  t.same(host.servers.listEnded(), []);
+  t.same(host.servers.listEndedIds(), []);
   await openZone(host, 'hall-a');
   t.same(listIds(host), ['s-1', 's-2']);
 });
--- a/src/application/direct/report_figures.ts
+++ b/src/application/direct/report_figures.ts
@@ -8,16 +8,16 @@
 import type { HostReportMessage } from '../../ports/mod.js';
 import type { AccountSpending } from './account_spending.js';
 import type { DirectGateway } from './direct_gateway.js';
-import type { ServerKeeper } from './server_keeper.js';
+import type { ServerRegistry } from './server_keeper.js';
 
 /** Stats of one entry host, or sums over several. */
-export type ReportFigures = Pick<
+export type ReportStats = Pick<
   HostReportMessage,
   'inFlight' | 'waitingCalls' | 'firstWaiting' | 'avoidedBy' | 'spentUnits' | 'endedServers'
 >;
 
 /** Stats without any counts. */
-export const NO_FIGURES: ReportFigures = {
+export const NO_STATS: ReportStats = {
   inFlight: {},
   waitingCalls: {},
   firstWaiting: {},
@@ -27,7 +27,7 @@
 };
 
 /** Which entry hosts' stats a report contains in addition to those of this entry host. */
-export interface FigureSources {
+export interface StatsSources {
   readonly scope: ReportScope;
   /** Process incarnations whose newest reports are added. */
   readonly incarnations: readonly string[];
@@ -44,8 +44,8 @@
 }
 
 /** Components of an entry host that supply its stats. */
-export interface FigureParts {
-  readonly servers: ServerKeeper;
+export interface StatsProviders {
+  readonly servers: ServerRegistry;
   readonly gateway: DirectGateway;
   readonly spending: AccountSpending;
 }
@@ -57,16 +57,16 @@
  * @param sources - which other stats are added
  * @returns the sums
  */
-export function buildReportFigures(
-  { servers, gateway, spending }: FigureParts,
-  { scope, incarnations, receiver }: FigureSources,
-): ReportFigures {
+export function buildReportStats(
+  { servers, gateway, spending }: StatsProviders,
+  { scope, incarnations, receiver }: StatsSources,
+): ReportStats {
   return {
     inFlight: servers.countInFlight(incarnations),
     waitingCalls: servers.peers.sum('waitingCalls', gateway.countWaiting(), incarnations),
     firstWaiting: servers.peers.mergeFirstWaiting(incarnations, gateway.listFirstWaiting()),
     avoidedBy: servers.countAvoiding(incarnations),
     spentUnits: spending.listSpentUnits(scope, receiver),
-    endedServers: servers.listEnded(),
+    endedServers: servers.listEndedIds(),
   };
 }
--- a/src/application/direct/server_keeper.ts
+++ b/src/application/direct/server_keeper.ts
@@ -17,8 +17,8 @@
 import { PeerStatsTable } from './_peer_figures.js';
 import type { PeerStats } from './_peer_figures.js';
 
-/** Dependencies and settings of a {@link ServerKeeper}. */
-export interface ServerKeeperOptions extends EntryReaderOptions, WarmupTrackerOptions {
+/** Dependencies and settings of a {@link ServerRegistry}. */
+export interface ServerRegistryOptions extends EntryReaderOptions, WarmupTrackerOptions {
   /** @returns number of entry hosts that serve callers, including this one */
   readonly countServing: () => number;
   /** @returns whether a service's backend servers are model engines */
@@ -28,8 +28,8 @@
 }
 
 /** Combines registrations, stats from peers and the outcomes of own requests. */
-export class ServerKeeper {
-  readonly #options: ServerKeeperOptions;
+export class ServerRegistry {
+  readonly #options: ServerRegistryOptions;
 
   readonly #reader: EntryReader;
 
@@ -51,7 +51,7 @@
   readonly #restartHandlers: ((endedId: string) => void)[] = [];
 
   /** @param options - dependencies and settings */
-  constructor(options: ServerKeeperOptions) {
+  constructor(options: ServerRegistryOptions) {
     this.#options = options;
     this.#reader = new EntryReader(options);
     this.#warmupGuard = new WarmupTracker(options);
@@ -96,14 +96,14 @@
    * @param serviceId - a service
    * @returns whether only the closed zones keep requests from it
    */
-  isClosed(serviceId: string): boolean {
+  hasOnlyClosedZones(serviceId: string): boolean {
     if (this.listCandidates(serviceId).length > 0) return false;
     return this.#directory.listUsable(serviceId, this.#options.clock.nowMs()).length > 0;
   }
 
   /** @param id - a server incarnation. @returns whether it may be given work at present */
   isUsable(id: string): boolean {
-    const zone = this.find(id)?.availabilityZone;
+    const zone = this.findEntry(id)?.availabilityZone;
     return zone !== undefined && !this.#options.places.isClosed(zone) && this.#isActive(id);
   }
 
@@ -113,7 +113,7 @@
   }
 
   /** @param id - a server incarnation. @returns its entry */
-  find(id: string): BackendServerEntry | undefined {
+  findEntry(id: string): BackendServerEntry | undefined {
     return this.#directory.find(id);
   }
 
@@ -143,12 +143,12 @@
   }
 
   /** @param serviceId - a service. @returns number of calls at peers that wait for its slots */
-  countWaitingAt(serviceId: string): number {
+  countWaitingAtPeers(serviceId: string): number {
     return this.peers.getTotal('waitingCalls', serviceId);
   }
 
   /** @returns server incarnations that have ended although entries may not say so */
-  listEnded(): readonly string[] {
+  listEndedIds(): readonly string[] {
     return this.#endedIncarnations.list();
   }
 
@@ -158,14 +158,14 @@
    * @param source - incarnation of the peer's process
    * @param stats - the reported stats; undefined when the process is gone
    */
-  applyPeer(source: string, stats: PeerStats | undefined): void {
+  applyPeerStats(source: string, stats: PeerStats | undefined): void {
     this.peers.set(source, stats);
     const hostCount = this.#options.countServing();
     this.#loads.forEach((load, id) => {
       load.setPeersInFlight(this.peers.getTotal('inFlight', id));
       load.setAvoidingHostCount(this.peers.getTotal('avoidedBy', id), hostCount);
     });
-    stats?.endedServers.forEach((id) => this.noteEnded(id));
+    stats?.endedServers.forEach((id) => this.recordEnded(id));
   }
 
   /** @param id - a server incarnation. @returns its load, if it was ever a candidate */
@@ -174,7 +174,7 @@
   }
 
   /** @param id - a server incarnation whose address has answered as another one */
-  noteEnded(id: string): void {
+  recordEnded(id: string): void {
     if (this.#directory.find(id)) this.#endedIncarnations.add(id);
     if (this.#directory.recordEnded(id)) this.#handleEnded(id);
   }
@@ -200,7 +200,7 @@
    * @param items - all items that were read
    * @param context - circumstances of the read
    */
-  applyAll(items: readonly FeedItem[], { wasAway }: FeedContext): void {
+  applySnapshot(items: readonly FeedItem[], { wasAway }: FeedContext): void {
     const serverItems = items.filter(({ key }) => key.startsWith(this.#options.prefix));
     const entries = serverItems.flatMap(({ key, value }) => this.#reader.read(key, value) ?? []);
     const presentIds = new Set(serverItems.map(({ key }) => this.#reader.getServerId(key)));
--- a/src/application/direct/server_keeper_test.ts
+++ b/src/application/direct/server_keeper_test.ts
@@ -15,7 +15,7 @@
   host.feed.put('servers/s-1', buildServer('s-1', { isLeaving: true }));
   await settle();
   t.same(listIds(host), ['s-2']);
-  host.servers.noteEnded('s-2');
+  host.servers.recordEnded('s-2');
   t.same(listIds(host), []);
 });
 
@@ -54,16 +54,16 @@
   formerCandidate?.load.recordStart({ promptTokens: 1, outputTokens: 1 });
   formerCandidate?.load.recordEnd(ServerOutcome.Failed, host.clock.nowMs());
   formerCandidate?.load.recordStart({ promptTokens: 1, outputTokens: 1 });
-  host.servers.applyPeer('peer-1', { ...NO_FIGURES, inFlight: { 's-1@1': 5 } });
+  host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, inFlight: { 's-1@1': 5 } });
   await putIncarnation(2);
   const [newCandidate] = host.servers.listCandidates('engines');
   t.equal(newCandidate?.id, 's-1@2');
   t.equal(newCandidate?.load.inFlight, 0);
   t.notOk(newCandidate?.load.mustAvoid(host.clock.nowMs()));
   // A peer that doesn't know of the restart yet still counts requests that have ended with it.
-  host.servers.applyPeer('peer-1', { ...NO_FIGURES, inFlight: { 's-1@1': 5 } });
+  host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, inFlight: { 's-1@1': 5 } });
   t.equal(newCandidate?.load.inFlight, 0);
-  t.same(host.servers.listEnded(), ['s-1@1']);
+  t.same(host.servers.listEndedIds(), ['s-1@1']);
   await putIncarnation(1);
   t.same(listIds(host), ['s-1@2']);
 });
@@ -73,26 +73,26 @@
   async (t) => {
     const host = await startDirectHost(t, {}, ['s-1']);
     const [candidate] = host.servers.listCandidates('engines');
-    host.servers.applyPeer('peer-1', { ...NO_FIGURES, inFlight: { 's-1': 2 } });
-    host.servers.applyPeer('peer-2', { ...NO_FIGURES, inFlight: { 's-1': 1 } });
+    host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, inFlight: { 's-1': 2 } });
+    host.servers.applyPeerStats('peer-2', { ...NO_FIGURES, inFlight: { 's-1': 1 } });
     t.equal(candidate?.load.inFlight, 3);
-    host.servers.applyPeer('peer-1', undefined);
+    host.servers.applyPeerStats('peer-1', undefined);
     t.equal(candidate?.load.inFlight, 1);
   },
 );
 
 t.test('the server registry trusts peers that report an ended server', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1', 's-2']);
-  host.servers.applyPeer('peer-1', { ...NO_FIGURES, endedServers: ['s-1'] });
+  host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, endedServers: ['s-1'] });
   t.same(listIds(host), ['s-2']);
   // The ended server is reported on, since not all hosts report to each other, and is forgotten
   // together with its entry.
-  t.same(host.servers.listEnded(), ['s-1']);
+  t.same(host.servers.listEndedIds(), ['s-1']);
   host.feed.remove('servers/s-1');
   await settle();
-  t.same(host.servers.listEnded(), []);
-  host.servers.applyPeer('peer-1', { ...NO_FIGURES, endedServers: ['s-1'] });
-  t.same(host.servers.listEnded(), []);
+  t.same(host.servers.listEndedIds(), []);
+  host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, endedServers: ['s-1'] });
+  t.same(host.servers.listEndedIds(), []);
 });
 
 t.test('the server registry avoids a server that peers report as silent', async (t) => {
@@ -101,13 +101,13 @@
   // others need not find out for themselves.
   const host = await startDirectHost(t, {}, ['s-1', 's-2']);
   const [candidate] = host.servers.listCandidates('engines');
-  host.servers.applyPeer('peer-1', { ...NO_FIGURES, avoidedBy: { 's-1': 1 } });
+  host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, avoidedBy: { 's-1': 1 } });
   t.notOk(candidate?.load.mustAvoid(host.clock.nowMs()));
-  host.servers.applyPeer('peer-2', { ...NO_FIGURES, avoidedBy: { 's-1': 1 } });
+  host.servers.applyPeerStats('peer-2', { ...NO_FIGURES, avoidedBy: { 's-1': 1 } });
   t.ok(candidate?.load.mustAvoid(host.clock.nowMs()));
   t.same(host.servers.countAvoiding(['peer-1', 'peer-2']), { 's-1': 2 });
   t.same(host.servers.countAvoiding(), {});
-  host.servers.applyPeer('peer-1', NO_FIGURES);
+  host.servers.applyPeerStats('peer-1', NO_FIGURES);
   t.notOk(candidate?.load.mustAvoid(host.clock.nowMs()));
 });
 
@@ -119,6 +119,6 @@
   const work = { promptTokens: 1, outputTokens: 1 };
   candidate?.load.recordStart(work);
   candidate?.load.recordEnd(ServerOutcome.Answered, host.clock.nowMs());
-  host.servers.applyPeer('peer-1', { ...NO_FIGURES, avoidedBy: { 's-1': 2 } });
+  host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, avoidedBy: { 's-1': 2 } });
   t.notOk(candidate?.load.mustAvoid(host.clock.nowMs()));
 });
--- a/src/application/direct/server_lives_test.ts
+++ b/src/application/direct/server_lives_test.ts
@@ -10,7 +10,7 @@
 import { VirtualClock } from '../../../test/support/virtual_clock.js';
 import { formatIncarnationId, EXPIRED_ENTRY_GRACE_MS } from '../../domain/backend_servers/mod.js';
 import type { FeedChange } from '../../ports/mod.js';
-import type { ServerKeeper } from './server_keeper.js';
+import type { ServerRegistry } from './server_keeper.js';
 
 const SEED = 31;
 const SERVER_IDS = ['a', 'b'];
@@ -68,14 +68,14 @@
     const items = [...standing.values()].flatMap(({ key, value, revision }) =>
       value === undefined ? [] : [{ key, value, revision }],
     );
-    registry.applyAll(items, CALM_CONTEXT);
+    registry.applySnapshot(items, CALM_CONTEXT);
     this.#getHost(index).read = this.#changes.length;
   }
 
   /** Delivers one host's report to another. */
   deliverReport(from: number, to: number): void {
-    const endedServers = this.#getHost(from).registry.listEnded();
-    this.#getHost(to).registry.applyPeer(`peer-${from}`, { ...NO_FIGURES, endedServers });
+    const endedServers = this.#getHost(from).registry.listEndedIds();
+    this.#getHost(to).registry.applyPeerStats(`peer-${from}`, { ...NO_FIGURES, endedServers });
   }
 
   listUsable(index: number): string[] {
@@ -83,11 +83,11 @@
     return candidates.map(({ id }) => id).sort();
   }
 
-  #getHost(index: number): { readonly registry: ServerKeeper; read: number } {
-    return this.#hosts[index] as { readonly registry: ServerKeeper; read: number };
+  #getHost(index: number): { readonly registry: ServerRegistry; read: number } {
+    return this.#hosts[index] as { readonly registry: ServerRegistry; read: number };
   }
 
-  #startHost(): { readonly registry: ServerKeeper; read: number } {
+  #startHost(): { readonly registry: ServerRegistry; read: number } {
     const registry = createServerKeeper(this.clock, HOST_COUNT);
     return { registry, read: 0 };
   }
--- a/src/application/direct/store_knowledge.ts
+++ b/src/application/direct/store_knowledge.ts
@@ -11,7 +11,7 @@
 import type { FeedContext } from './feed_follower.js';
 import { ZoneView } from './place_keeper.js';
 import { RoutingView } from './routing_keeper.js';
-import { ServerKeeper } from './server_keeper.js';
+import { ServerRegistry } from './server_keeper.js';
 
 /** Keys and value formats of the store. */
 export interface StoreLayout {
@@ -33,8 +33,8 @@
   readonly slack: number;
 }
 
-/** Dependencies and settings of a {@link StoreKnowledge}. */
-export interface StoreKnowledgeOptions {
+/** Dependencies and settings of a {@link StoreView}. */
+export interface StoreViewOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
@@ -48,17 +48,17 @@
 }
 
 /** Holds the parts of the store's state and applies reads to each of them. */
-export class StoreKnowledge {
+export class StoreView {
   readonly routing: RoutingView;
 
   readonly places: ZoneView;
 
-  readonly servers: ServerKeeper;
+  readonly servers: ServerRegistry;
 
-  readonly #options: StoreKnowledgeOptions;
+  readonly #options: StoreViewOptions;
 
   /** @param options - dependencies and settings */
-  constructor(options: StoreKnowledgeOptions) {
+  constructor(options: StoreViewOptions) {
     this.#options = options;
     const { layout } = options;
     this.routing = new RoutingView({
@@ -67,7 +67,7 @@
       decode: layout.decodeConfiguration,
     });
     this.places = new ZoneView({ ...options, prefix: layout.closedZonesPrefix });
-    this.servers = new ServerKeeper({
+    this.servers = new ServerRegistry({
       ...options,
       prefix: layout.serversPrefix,
       decode: layout.decodeServer,
@@ -90,10 +90,10 @@
    * @param items - all items that were read
    * @param context - circumstances of the read
    */
-  applyAll(items: readonly FeedItem[], context: FeedContext): void {
+  applySnapshot(items: readonly FeedItem[], context: FeedContext): void {
     this.routing.applyValues(items, context);
     this.places.applyAll(items, context);
-    this.servers.applyAll(items, context);
+    this.servers.applySnapshot(items, context);
   }
 
   /**
--- a/src/application/direct/waiting_notices.ts
+++ b/src/application/direct/waiting_notices.ts
@@ -6,7 +6,7 @@
 import { PeerMessageType } from '../../ports/mod.js';
 import type { Clock, Metrics, PeerNetwork } from '../../ports/mod.js';
 import { REPORT_INTERVAL_MS } from './_report_rounds.js';
-import type { ServerKeeper } from './server_keeper.js';
+import type { ServerRegistry } from './server_keeper.js';
 
 /**
  * Minimum interval between two notices per receiving peer, in milliseconds: with sixteen peers,
@@ -32,7 +32,7 @@
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly peers: PeerNetwork;
-  readonly servers: ServerKeeper;
+  readonly servers: ServerRegistry;
 }
 
 interface SentNotice {
@@ -59,7 +59,7 @@
   constructor(options: WaitingNoticesOptions) {
     this.#options = options;
     options.peers.handle(PeerMessageType.WaitingNotice, ({ incarnation }, notice) =>
-      options.servers.peers.applyNotice(incarnation, notice),
+      options.servers.peers.applyWaitingNotice(incarnation, notice),
     );
   }
 
--- a/src/application/direct/waiting_notices_test.ts
+++ b/src/application/direct/waiting_notices_test.ts
@@ -4,12 +4,12 @@
 import { createServerKeeper, NO_FIGURES } from '../../../test/support/server_keepers.js';
 import { settle, VirtualClock } from '../../../test/support/virtual_clock.js';
 import { PeerMessageType } from '../../ports/mod.js';
-import type { ServerKeeper } from './server_keeper.js';
+import type { ServerRegistry } from './server_keeper.js';
 import { WaitingNotices } from './waiting_notices.js';
 
 interface NoticeHost {
   readonly incarnation: string;
-  readonly servers: ServerKeeper;
+  readonly servers: ServerRegistry;
   readonly waitingNotices: WaitingNotices;
 }
 
@@ -38,7 +38,7 @@
   const hub = new FakePeerHub();
   const a = startHost(hub, clock, 'a');
   const b = startHost(hub, clock, 'b');
-  b.servers.applyPeer(a.incarnation, NO_FIGURES);
+  b.servers.applyPeerStats(a.incarnation, NO_FIGURES);
   a.waitingNotices.notifyPeers('engines', { size: 1, firstUrgency: 2 });
   await settle();
   t.match(b.servers.peers.findFirstWaiting('engines'), { source: a.incarnation, urgency: 2 });
--- a/src/commands/_direct_gauges.ts
+++ b/src/commands/_direct_gauges.ts
@@ -5,11 +5,11 @@
  */
 import type { HdrMetrics } from '../adapters/metrics/mod.js';
 import type { CrashKeeper } from '../application/crashes/mod.js';
-import type { DirectGateway, HostReports, StoreKnowledge } from '../application/direct/mod.js';
+import type { DirectGateway, HostReports, StoreView } from '../application/direct/mod.js';
 
 /** Components whose current state the gauges report. */
 export interface GaugeSources {
-  readonly storeView: StoreKnowledge;
+  readonly storeView: StoreView;
   readonly gateway: DirectGateway;
   readonly reports: HostReports;
   readonly crashes: CrashKeeper;
--- a/src/commands/direct_entry.ts
+++ b/src/commands/direct_entry.ts
@@ -14,13 +14,13 @@
 import { CrashKeeper } from '../application/crashes/mod.js';
 import {
   AccountSpending,
-  buildReportFigures,
+  buildReportStats,
   DirectCrashPaths,
   FeedFollower,
-  FeedSharing,
+  FeedDistributor,
   HostReports,
   runDirectStop,
-  StoreKnowledge,
+  StoreView,
 } from '../application/direct/mod.js';
 import type { CountedReport, DirectGateway, StoreLayout } from '../application/direct/mod.js';
 import { LogLevel } from '../domain/errors/mod.js';
@@ -84,7 +84,7 @@
 
   readonly #peers: WsPeerNetwork;
 
-  readonly #storeView: StoreKnowledge;
+  readonly #storeView: StoreView;
 
   readonly #spending: AccountSpending;
 
@@ -92,7 +92,7 @@
 
   readonly #feedFollower: FeedFollower;
 
-  readonly #feedDistributor: FeedSharing;
+  readonly #feedDistributor: FeedDistributor;
 
   readonly #crashes: CrashKeeper;
 
@@ -114,7 +114,7 @@
       settings,
       random: this.#random,
     });
-    this.#storeView = new StoreKnowledge({
+    this.#storeView = new StoreView({
       ...shared,
       layout: adapters.layout,
       zoneRegions: settings.zoneRegions,
@@ -129,7 +129,7 @@
     this.#spending = new AccountSpending(this.clock);
     this.#reports = this.#createReports();
     this.#feedFollower = this.#createFollower(adapters.createFeed(this.clock));
-    this.#feedDistributor = new FeedSharing({
+    this.#feedDistributor = new FeedDistributor({
       ...shared,
       peers: this.#peers,
       reports: this.#reports,
@@ -205,7 +205,7 @@
    * @param settings - checked settings
    */
   reload(settings: DirectSettings): void {
-    this.#reports.setSeeds(settings.seedPeerAddresses.map(formatPeerUrl));
+    this.#reports.setSeedUrls(settings.seedPeerAddresses.map(formatPeerUrl));
     this.log.write(LogLevel.Info, 'settings_reloaded', {
       seeds: settings.seedPeerAddresses.join(),
     });
@@ -258,14 +258,14 @@
         isInTouch: this.#feedFollower.isInTouch,
         isLeaving: this.#isStopping,
       }),
-      buildFigures: (sources) =>
-        buildReportFigures(
+      buildStats: (sources) =>
+        buildReportStats(
           { servers: this.#storeView.servers, gateway: this.#gateway, spending: this.#spending },
           sources,
         ),
       onReport: (report) => this.#handleReport(report),
-      onSilent: ({ incarnation }) => this.#storeView.servers.applyPeer(incarnation, undefined),
-      onReach: (reachableFraction) => this.#spending.setReach(reachableFraction),
+      onSilent: ({ incarnation }) => this.#storeView.servers.applyPeerStats(incarnation, undefined),
+      onReachableFraction: (reachableFraction) => this.#spending.setReach(reachableFraction),
     });
   }
 
@@ -277,17 +277,17 @@
       log: this.log,
       metrics: this.metrics,
       getReadPlan: () => this.#feedDistributor.getReadPlan(),
-      getRetryPauses: () => this.#feedDistributor.getRetryPauses(),
-      onAll: (items, context) => this.#storeView.applyAll(items, context),
+      getRetryBackoff: () => this.#feedDistributor.getRetryBackoff(),
+      onSnapshot: (items, context) => this.#storeView.applySnapshot(items, context),
       onChanges: (changes, context) => this.#storeView.applyChanges(changes, context),
-      onRead: (update, context) => this.#feedDistributor.sendUpdate(update, context),
+      onStoreRead: (update, context) => this.#feedDistributor.sendUpdate(update, context),
     });
   }
 
   #handleReport(counted: CountedReport): void {
     const { identity, report } = counted;
     this.#spending.applyReport(counted);
-    this.#storeView.servers.applyPeer(identity.incarnation, report);
+    this.#storeView.servers.applyPeerStats(identity.incarnation, report);
     this.#gateway.dispatchWaiting();
   }
 
--- a/test/support/direct_host.ts
+++ b/test/support/direct_host.ts
@@ -8,10 +8,10 @@
   AccountSpending,
   DirectGateway,
   FeedFollower,
-  LEADING_PAUSES,
-  StoreKnowledge,
+  FAST_RETRY_BACKOFF,
+  StoreView,
 } from '../../src/application/direct/mod.js';
-import type { RoutingView, ServerKeeper, StoreLayout } from '../../src/application/direct/mod.js';
+import type { RoutingView, ServerRegistry, StoreLayout } from '../../src/application/direct/mod.js';
 import { CrashKeeper, MeshCrashPaths } from '../../src/application/crashes/mod.js';
 import type { BackendServerEntry } from '../../src/domain/backend_servers/mod.js';
 import type { EntryHostIdentity } from '../../src/domain/membership/mod.js';
@@ -147,11 +147,11 @@
 
   readonly spending: AccountSpending;
 
-  readonly knowledge: StoreKnowledge;
+  readonly knowledge: StoreView;
 
   readonly routing: RoutingView;
 
-  readonly servers: ServerKeeper;
+  readonly servers: ServerRegistry;
 
   readonly gateway: DirectGateway;
 
@@ -174,7 +174,7 @@
     const { clock, feed, log, metrics } = this;
     const random = new SeededRandom();
     const shared = { clock, log, metrics, random };
-    this.knowledge = new StoreKnowledge({
+    this.knowledge = new StoreView({
       ...shared,
       layout: TEST_LAYOUT,
       zoneRegions: TEST_ZONE_REGIONS,
@@ -193,7 +193,7 @@
         random,
         selfId: identity.id,
         findAddress: (id) =>
-          this.servers.isUsable(id) ? this.servers.find(id)?.address : undefined,
+          this.servers.isUsable(id) ? this.servers.findEntry(id)?.address : undefined,
       }),
     });
     this.gateway = new DirectGateway({
@@ -212,11 +212,11 @@
     this.follower = new FeedFollower({
       ...shared,
       feed,
-      getReadPlan: () => ({ waitMs: 1_000, lookAfterMs: 100 }),
-      getRetryPauses: () => LEADING_PAUSES,
-      onAll: (items, context) => this.knowledge.applyAll(items, context),
+      getReadPlan: () => ({ waitMs: 1_000, recheckAfterMs: 100 }),
+      getRetryBackoff: () => FAST_RETRY_BACKOFF,
+      onSnapshot: (items, context) => this.knowledge.applySnapshot(items, context),
       onChanges: (changes, context) => this.knowledge.applyChanges(changes, context),
-      onRead: () => undefined,
+      onStoreRead: () => undefined,
     });
     this.routing.onChange(() => {
       this.spending.applyAccounts(this.routing.table?.document.accounts ?? []);
--- a/test/support/report_host.ts
+++ b/test/support/report_host.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { EntryHostIdentity } from '../../src/domain/membership/mod.js';
-import { HostReports, NO_FIGURES } from '../../src/application/direct/mod.js';
+import { HostReports, NO_STATS } from '../../src/application/direct/mod.js';
 import type { CountedReport } from '../../src/application/direct/mod.js';
 import { FakePeerNetwork } from './fake_peer_network.js';
 import type { FakePeerHub } from './fake_peer_network.js';
@@ -51,8 +51,8 @@
       clock,
       log: this.log,
       getState: () => ({ isServing: this.isServing, isInTouch: true, isLeaving: false }),
-      buildFigures: ({ incarnations }) => ({
-        ...NO_FIGURES,
+      buildStats: ({ incarnations }) => ({
+        ...NO_STATS,
         inFlight: { engine: 1 + this.#sumInFlight(incarnations) },
       }),
       onReport: (counted) => this.#handleReport(counted),
@@ -60,7 +60,7 @@
         this.silent.push(incarnation);
         this.#reportedInFlight.delete(incarnation);
       },
-      onReach: (reach) => {
+      onReachableFraction: (reach) => {
         this.reach = reach;
       },
     });
--- a/test/support/server_keepers.ts
+++ b/test/support/server_keepers.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { ZoneView, ServerKeeper } from '../../src/application/direct/mod.js';
+import { ZoneView, ServerRegistry } from '../../src/application/direct/mod.js';
 import type { BackendServerEntry } from '../../src/domain/backend_servers/mod.js';
 import type { Clock } from '../../src/ports/mod.js';
 import { FakeLog, FakeMetrics } from './fakes.js';
@@ -21,9 +21,9 @@
 export const CALM_CONTEXT = { wasAway: false, ageMs: 0, askedAt: { steadyMs: 0, wallMs: 0 } };
 
 /** @returns a server registry that decodes entries as JSON and rejects values that are no object */
-export function createServerKeeper(clock: Clock, hostCount = 3): ServerKeeper {
+export function createServerKeeper(clock: Clock, hostCount = 3): ServerRegistry {
   const shared = { clock, log: new FakeLog(), metrics: new FakeMetrics() };
-  return new ServerKeeper({
+  return new ServerRegistry({
     ...shared,
     prefix: 'servers/',
     decode: (_key, value) => {
