--- a/src/adapters/callers_http/_chat_completion_route.ts
+++ b/src/adapters/callers_http/_chat_completion_route.ts
@@ -22,7 +22,7 @@
 export async function handleChatCompletion(exchange: CallerExchange): Promise<void> {
   const body = await exchange.http.readBody(exchange.account.accountId);
   const { model } = parseChatCompletionBody(body);
-  const serviceId = exchange.gateway.findServiceOfModel(model);
+  const serviceId = exchange.gateway.findServiceIdByModel(model);
   if (serviceId === undefined) {
     throw new SchedulerError(ErrorKind.UnknownModel, {
       message: `Cannot find the model ${JSON.stringify(model.slice(0, MAX_ECHOED_CHARACTERS))}`,
--- a/src/adapters/callers_http/_test_fixture.ts
+++ b/src/adapters/callers_http/_test_fixture.ts
@@ -111,7 +111,7 @@
     return ['monsoon-draft'];
   }
 
-  override findServiceOfModel(model: string): string | undefined {
+  override findServiceIdByModel(model: string): string | undefined {
     return model === 'monsoon-draft' ? 'monsoon-llm' : undefined;
   }
 }
--- a/src/application/allowances/_allowance_lender.ts
+++ b/src/application/allowances/_allowance_lender.ts
@@ -44,7 +44,7 @@
   /** @param options - the lender's dependencies and settings */
   constructor(options: AllowanceLenderOptions) {
     this.#options = options;
-    this.#knownIds = options.membership.listListedIds();
+    this.#knownIds = options.membership.listKnownIds();
     this.#knownIdsChangedAtMs = options.clock.nowMs();
   }
 
--- a/src/application/allowances/allowance_keeper.ts
+++ b/src/application/allowances/allowance_keeper.ts
@@ -67,7 +67,7 @@
     super();
     this.#options = options;
     this.#leaseDurationMs = options.leaseDurationMs ?? LEASE_DURATION_MS;
-    this.#knownIds = options.membership.listListedIds();
+    this.#knownIds = options.membership.listKnownIds();
     this.#lender = new AllowanceLender({
       ...options,
       leaseDurationMs: this.#leaseDurationMs,
@@ -144,7 +144,7 @@
   }
 
   #updateKnownIds(): void {
-    const knownIds = this.#options.membership.listListedIds();
+    const knownIds = this.#options.membership.listKnownIds();
     if (knownIds.join() === this.#knownIds.join()) return;
     this.#knownIds = knownIds;
     const nowMs = this.#options.clock.nowMs();
--- a/src/application/dispatcher/_acquire_slot.ts
+++ b/src/application/dispatcher/_acquire_slot.ts
@@ -12,7 +12,7 @@
 import type { SlotRequestMessage, Timer } from '../../ports/mod.js';
 import { CLOSED } from '../channels/mod.js';
 import type { Step } from '../channels/mod.js';
-import type { Slot, SlotWish } from '../views/mod.js';
+import type { Slot, SlotRequest } from '../views/mod.js';
 import type { PendingRequest, RequestEvent } from './_pending_request.js';
 import { RequestEventKind } from './_pending_request.js';
 import type { SlotClient } from './slot_client.js';
@@ -48,7 +48,7 @@
 /** State of one acquisition. */
 interface SlotAcquisition {
   readonly client: SlotClient;
-  readonly request: SlotWish;
+  readonly request: SlotRequest;
   readonly startedAtMs: number;
   /**
    * Backend servers that must not be used: those that the request excludes, and
@@ -68,7 +68,7 @@
  * @returns the slot
  * @throws SchedulerError with run outcome `not_run`
  */
-export function* acquireSlot(client: SlotClient, request: SlotWish): Step<Slot> {
+export function* acquireSlot(client: SlotClient, request: SlotRequest): Step<Slot> {
   const { clock, configuration, random } = client.options;
   const startedAtMs = clock.nowMs();
   const service = configuration.findService(request.serviceId);
@@ -106,7 +106,7 @@
  */
 function checkTierOpen(
   client: SlotClient,
-  request: SlotWish,
+  request: SlotRequest,
   groups: readonly DispatchGroup[],
 ): void {
   const { clock, dispatcher, strategy } = client.options;
--- a/src/application/dispatcher/_group_load_cache.ts
+++ b/src/application/dispatcher/_group_load_cache.ts
@@ -7,7 +7,7 @@
 import { pickByRendezvous } from '../../domain/membership/mod.js';
 import type { DispatchGroup, Tier } from '../../domain/scheduling/mod.js';
 import type { GroupLoad } from '../../ports/mod.js';
-import type { SlotWish } from '../views/mod.js';
+import type { SlotRequest } from '../views/mod.js';
 import { GROUP_LOAD_TTL_MS } from './_sibling_tiers.js';
 
 /**
@@ -70,7 +70,7 @@
    */
   pickGroup(
     groups: readonly DispatchGroup[],
-    request: SlotWish,
+    request: SlotRequest,
     nowMs: number,
     randomFraction: number,
   ): DispatchGroup | undefined {
--- a/src/application/dispatcher/_hosted_group.ts
+++ b/src/application/dispatcher/_hosted_group.ts
@@ -98,7 +98,7 @@
     if (group) this.#group = group;
     const specs = group ? group.backendServers.map((server) => this.#buildSpec(server)) : [];
     this.scheduler.updateServers(specs, clock.nowMs());
-    const hostCount = membership.listListedIds().length;
+    const hostCount = membership.listKnownIds().length;
     this.scheduler.pool.setShare(strategy.computeShare(hostCount, this.isResponsible));
     return group !== undefined;
   }
--- a/src/application/dispatcher/_server_poller.ts
+++ b/src/application/dispatcher/_server_poller.ts
@@ -68,7 +68,7 @@
     const load = await this.#options.backend.readLoad(server);
     const serverState = group.scheduler.pool.findServer(server.id);
     serverState?.recordLoadReport(load.running + load.waiting, load.leaving, this.#options.clock.nowMs());
-    this.#options.noteBackendServerLoad?.(server.id, load.leaving);
+    this.#options.onBackendServerLoad?.(server.id, load.leaving);
   }
 
   async #readCacheEvents(group: HostedGroup, server: BackendServer): Promise<void> {
--- a/src/application/dispatcher/dispatcher_options.ts
+++ b/src/application/dispatcher/dispatcher_options.ts
@@ -32,7 +32,7 @@
    * Called with each load report, so that peers can be informed of a backend server
    * that reports itself as draining. Default: nothing is called.
    */
-  readonly noteBackendServerLoad?: (backendServerId: string, saysLeaving: boolean) => void;
+  readonly onBackendServerLoad?: (backendServerId: string, saysLeaving: boolean) => void;
 }
 
 /** Options of a slot client. */
--- a/src/application/dispatcher/slot_client.ts
+++ b/src/application/dispatcher/slot_client.ts
@@ -15,7 +15,7 @@
 } from '../../ports/mod.js';
 import { startProcess } from '../channels/mod.js';
 import { SlotSource } from '../views/mod.js';
-import type { Slot, SlotUse, SlotWish } from '../views/mod.js';
+import type { Slot, SlotUse, SlotRequest } from '../views/mod.js';
 import type { SlotClientOptions } from './dispatcher_options.js';
 import { acquireSlot } from './_acquire_slot.js';
 import { GroupLoadCache } from './_group_load_cache.js';
@@ -68,7 +68,7 @@
     membership.onChange(() => this.#handleMembershipChange());
   }
 
-  override async acquire(request: SlotWish): Promise<Slot> {
+  override async acquire(request: SlotRequest): Promise<Slot> {
     const { clock, metrics, tracer } = this.options;
     const tier = TIER_NAMES[request.tier];
     const startedAtMs = clock.nowMs();
--- a/src/application/entry_host/_call_resolver.ts
+++ b/src/application/entry_host/_call_resolver.ts
@@ -43,7 +43,7 @@
     headers: call.headers,
     body: call.body,
     deadlineMs: resolveDeadline(call.account, work, call.deadlineMs),
-    canComeBack: call.canComeBack,
+    mayReconnect: call.canComeBack,
     traceparent: call.traceparent,
   };
 }
--- a/src/application/entry_host/caller_gateway.ts
+++ b/src/application/entry_host/caller_gateway.ts
@@ -143,7 +143,7 @@
       .flatMap((service) => service.models);
   }
 
-  override findServiceOfModel(model: string): string | undefined {
+  override findServiceIdByModel(model: string): string | undefined {
     return this.#options.configuration.findServiceByModel(model)?.id;
   }
 
--- a/src/application/entry_host/planned_stop.ts
+++ b/src/application/entry_host/planned_stop.ts
@@ -47,7 +47,7 @@
   await Promise.race([waitFor(clock, options.keepAddressMs + STOP_NOTICE_MS), forced]);
   await Promise.race([owner.waitUntilIdle(), forced]);
   const isClean = !isForced.value || owner.runningCount === 0;
-  if (!isClean) owner.refuseAll(new SchedulerError(ErrorKind.EntryHostStopping));
+  if (!isClean) owner.failAll(new SchedulerError(ErrorKind.EntryHostStopping));
   log.write(isClean ? LogLevel.Info : LogLevel.Warn, 'stop_ended', { clean: isClean });
   return isClean;
 }
--- a/src/application/membership/membership_keeper.ts
+++ b/src/application/membership/membership_keeper.ts
@@ -146,7 +146,7 @@
     return this.#directory.listViews(this.#options.clock.nowMs());
   }
 
-  override listListedIds(): readonly string[] {
+  override listKnownIds(): readonly string[] {
     return this.#directory.listKnownIds();
   }
 
--- a/src/application/membership/membership_keeper_test.ts
+++ b/src/application/membership/membership_keeper_test.ts
@@ -25,7 +25,7 @@
   const [a, b, c] = hosts;
   hosts.forEach((host) => {
     t.same(host.listStates(), { a: 'live', b: 'live', c: 'live' });
-    t.same(host.membership.listListedIds(), ['a', 'b', 'c']);
+    t.same(host.membership.listKnownIds(), ['a', 'b', 'c']);
     t.ok(host.membership.isFresh());
   });
   t.same(listResponsible(a), listResponsible(b));
@@ -83,7 +83,7 @@
   t.same(b.listStates(), { b: 'live', a: 'suspected', c: 'live' });
   t.ok(listResponsible(a).every((id) => id === 'a'));
   t.same(listResponsible(b), listResponsible(c));
-  hosts.forEach((host) => t.same(host.membership.listListedIds(), ['a', 'b', 'c']));
+  hosts.forEach((host) => t.same(host.membership.listKnownIds(), ['a', 'b', 'c']));
   t.ok(a.membership.findIncarnation('b-1'), 'a suspected peer is not removed');
   hub.healAll();
   await clock.advance(2 * HEARTBEAT_MS);
@@ -265,11 +265,11 @@
   await unlisted.stop();
   await clock.advance(DETECTION_MS);
   t.equal(a.listStates().d, 'suspected');
-  t.ok(a.membership.listListedIds().includes('d'), 'a peer that may return stays known');
+  t.ok(a.membership.listKnownIds().includes('d'), 'a peer that may return stays known');
   a.gate.freeze();
   await clock.advance(HOUR_MS);
   a.gate.thaw();
   await clock.advance(DETECTION_MS);
   t.equal(a.membership.findIncarnation('d-1'), undefined);
-  t.same(a.membership.listListedIds(), ['a', 'b', 'c']);
+  t.same(a.membership.listKnownIds(), ['a', 'b', 'c']);
 });
--- a/src/application/owner/_run_request.ts
+++ b/src/application/owner/_run_request.ts
@@ -11,7 +11,7 @@
 import type { Step } from '../channels/mod.js';
 import { formatAddress, PassKind } from '../crashes/mod.js';
 import type { CrashKeeper, Pass } from '../crashes/mod.js';
-import type { Admission, AllowanceSource, Slot, SlotSource, SlotWish } from '../views/mod.js';
+import type { Admission, AllowanceSource, Slot, SlotSource, SlotRequest } from '../views/mod.js';
 import { Attempt } from './_attempt.js';
 import type { AttemptContext, AttemptResult } from './_attempt.js';
 import { waitForSlot } from './_slot_wait.js';
@@ -121,7 +121,7 @@
 function* acquirePermit(
   context: RunContext,
   request: OwnedRequest,
-  slotRequest: SlotWish,
+  slotRequest: SlotRequest,
 ): Step<DispatchPermit> {
   for (;;) {
     const slot: Slot = yield* settle(waitForSlot(context, slotRequest));
--- a/src/application/owner/_slot_wait.ts
+++ b/src/application/owner/_slot_wait.ts
@@ -5,7 +5,7 @@
  */
 import { ErrorKind, SchedulerError } from '../../domain/errors/mod.js';
 import type { Clock, Timer } from '../../ports/mod.js';
-import type { MembershipView, Slot, SlotSource, SlotWish } from '../views/mod.js';
+import type { MembershipView, Slot, SlotSource, SlotRequest } from '../views/mod.js';
 
 /**
  * Time without a fresh membership view after which waiting requests are refused, in
@@ -32,7 +32,7 @@
  * @returns the slot
  * @throws SchedulerError with run outcome `not_run`
  */
-export async function waitForSlot(context: SlotWaitContext, slotRequest: SlotWish): Promise<Slot> {
+export async function waitForSlot(context: SlotWaitContext, slotRequest: SlotRequest): Promise<Slot> {
   const isolation = new AbortController();
   const freshnessCheck = startFreshnessCheck(context, isolation);
   const signal = AbortSignal.any([slotRequest.signal, isolation.signal]);
--- a/src/application/owner/_slot_wait_test.ts
+++ b/src/application/owner/_slot_wait_test.ts
@@ -2,10 +2,10 @@
 import { ErrorKind, RunOutcome, SchedulerError } from '../../domain/errors/mod.js';
 import { Tier } from '../../domain/scheduling/mod.js';
 import { VirtualClock } from '../../../test/support/virtual_clock.js';
-import type { MembershipView, Slot, SlotWish } from '../views/mod.js';
+import type { MembershipView, Slot, SlotRequest } from '../views/mod.js';
 import { waitForSlot } from './_slot_wait.js';
 
-const SLOT_REQUEST: SlotWish = {
+const SLOT_REQUEST: SlotRequest = {
   requestId: 'request-1',
   serviceId: 'desk',
   accountId: 'franchise-a',
@@ -21,7 +21,7 @@
 };
 
 /** Never grants a slot, and rejects when the request's signal aborts. */
-function neverGrant({ signal }: SlotWish): Promise<Slot> {
+function neverGrant({ signal }: SlotRequest): Promise<Slot> {
   return new Promise((_, reject) => {
     signal.addEventListener('abort', () => reject(new SchedulerError(ErrorKind.Cancelled)));
   });
--- a/src/application/owner/owned_call.ts
+++ b/src/application/owner/owned_call.ts
@@ -19,7 +19,7 @@
   /** Time within which the caller expects the answer, in milliseconds. */
   readonly deadlineMs: number;
   /** Whether the caller has known the request ID from the start, and so can reconnect. */
-  readonly canComeBack: boolean;
+  readonly mayReconnect: boolean;
   readonly traceparent: string | undefined;
 }
 
--- a/src/application/owner/owner_service.ts
+++ b/src/application/owner/owner_service.ts
@@ -185,7 +185,7 @@
   }
 
   /** Fails all unfinished requests with their true run outcome. @param error - the reason */
-  refuseAll(error: SchedulerError): void {
+  failAll(error: SchedulerError): void {
     this.#ledger.listOpen().forEach((record) => this.#requests.get(record.id.nonce)?.fail(error));
   }
 
@@ -207,7 +207,7 @@
       answer: new AnswerBuffer(MAX_BUFFERED_BYTES),
       contentId: call ? formatContentId(hashCall(call)) : '',
       clock: this.#options.clock,
-      reconnectGraceMs: call?.canComeBack ? RECONNECT_GRACE_MS : 0,
+      reconnectGraceMs: call?.mayReconnect ? RECONNECT_GRACE_MS : 0,
       mustRunToCompletion: call !== undefined && !call.work.repeatable,
     });
     if (record.error) request.answer.close(record.error);
--- a/src/application/views/membership_view.ts
+++ b/src/application/views/membership_view.ts
@@ -17,7 +17,7 @@
    * @returns IDs of the entry hosts that are in the host list or known from peers, whether
    *   reachable or not, the own ID included
    */
-  abstract listListedIds(): readonly string[];
+  abstract listKnownIds(): readonly string[];
 
   /** @param incarnation - an incarnation. @returns its view; undefined if unknown or replaced */
   abstract findIncarnation(incarnation: string): EntryHostView | undefined;
--- a/src/application/views/mod.ts
+++ b/src/application/views/mod.ts
@@ -8,7 +8,7 @@
 export type { ConfigurationStatus, RejectedDocument } from './configuration_view.js';
 export { MembershipView } from './membership_view.js';
 export { SlotSource } from './slot_source.js';
-export type { Slot, SlotUse, SlotWish } from './slot_source.js';
+export type { Slot, SlotUse, SlotRequest } from './slot_source.js';
 export { AllowanceSource } from './allowance_source.js';
 export type { Admission } from './allowance_source.js';
 export { RequestGateway } from './request_gateway.js';
--- a/src/application/views/request_gateway.ts
+++ b/src/application/views/request_gateway.ts
@@ -127,5 +127,5 @@
   abstract listModels(account: AccountContract): readonly string[];
 
   /** @param model - a model's name. @returns the service that serves it, if any */
-  abstract findServiceOfModel(model: string): string | undefined;
+  abstract findServiceIdByModel(model: string): string | undefined;
 }
--- a/src/application/views/slot_source.ts
+++ b/src/application/views/slot_source.ts
@@ -8,7 +8,7 @@
 import type { SlotOutcome } from '../../ports/mod.js';
 
 /** The request for which an owner needs a slot. */
-export interface SlotWish {
+export interface SlotRequest {
   readonly requestId: string;
   readonly serviceId: string;
   readonly accountId: string;
@@ -54,5 +54,5 @@
    * @returns the slot; it must be released
    * @throws SchedulerError with run outcome `not_run`; at once if no slot is expected in time
    */
-  abstract acquire(request: SlotWish): Promise<Slot>;
+  abstract acquire(request: SlotRequest): Promise<Slot>;
 }
--- a/src/commands/_entry_parts.ts
+++ b/src/commands/_entry_parts.ts
@@ -153,7 +153,7 @@
     ...clusterViews,
     backend,
     strategy,
-    noteBackendServerLoad: (id: string, isLeaving: boolean) => {
+    onBackendServerLoad: (id: string, isLeaving: boolean) => {
       if (isLeaving) membership.noteBackendServerLeaving(id);
     },
   } satisfies DispatcherOptions;
--- a/test/support/allowance_fakes.ts
+++ b/test/support/allowance_fakes.ts
@@ -69,7 +69,7 @@
 
   override listEntryHosts = (): readonly EntryHostView[] => this.source.listEntryHosts();
 
-  override listListedIds = (): readonly string[] => this.source.listListedIds();
+  override listKnownIds = (): readonly string[] => this.source.listListedIds();
 
   override findEntryHost = (id: string): EntryHostView | undefined =>
     this.listEntryHosts().find(({ identity }) => identity.id === id);
--- a/test/support/fake_views.ts
+++ b/test/support/fake_views.ts
@@ -110,7 +110,7 @@
   override listEntryHosts = (): readonly EntryHostView[] =>
     this.identities.flatMap((identity) => this.findIncarnation(identity.incarnation) ?? []);
 
-  override listListedIds = (): readonly string[] => this.identities.map(({ id }) => id);
+  override listKnownIds = (): readonly string[] => this.identities.map(({ id }) => id);
 
   override findIncarnation = (incarnation: string): EntryHostView | undefined => {
     const identity = this.identities.find((other) => other.incarnation === incarnation);
--- a/test/support/fleet_fixture.ts
+++ b/test/support/fleet_fixture.ts
@@ -13,7 +13,7 @@
 import { FakeLog, FakeMetrics, FakeTracer, SeededRandom } from './fakes.js';
 import { buildIdentity, FakePeerHub, FakePeerNetwork } from './fake_peer_network.js';
 import { VirtualClock } from './virtual_clock.js';
-import type { SlotWish } from '../../src/application/views/mod.js';
+import type { SlotRequest } from '../../src/application/views/mod.js';
 import { buildService, FakeConfiguration, FakeMembership, SERVICE_ID } from './fake_views.js';
 import { DispatcherService, SlotClient } from '../../src/application/dispatcher/mod.js';
 
@@ -144,7 +144,7 @@
   }
 
   /** Builds a slot request with a deadline one minute ahead. */
-  buildWish(changes: Partial<SlotWish> = {}): SlotWish {
+  buildWish(changes: Partial<SlotRequest> = {}): SlotRequest {
     return {
       requestId: 'request-1',
       serviceId: SERVICE_ID,
--- a/test/support/owner_hosts.ts
+++ b/test/support/owner_hosts.ts
@@ -14,7 +14,7 @@
 } from '../../src/application/entry_host/mod.js';
 import { ForwardClient, ForwardServer } from '../../src/application/forwarding/mod.js';
 import { ConfigurationView, MembershipView } from '../../src/application/views/mod.js';
-import type { ConfigurationStatus, Slot, SlotWish } from '../../src/application/views/mod.js';
+import type { ConfigurationStatus, Slot, SlotRequest } from '../../src/application/views/mod.js';
 import { ServiceKind } from '../../src/domain/contracts/types.js';
 import type {
   AccountContract,
@@ -136,7 +136,7 @@
     }));
   }
 
-  override listListedIds = (): readonly string[] =>
+  override listKnownIds = (): readonly string[] =>
     this.listEntryHosts().map((view) => view.identity.id);
 
   override findIncarnation = (incarnation: string): EntryHostView | undefined =>
@@ -200,7 +200,7 @@
       membership: new FixedMembership(identity, world.hosts, world.clock, this.gate),
       backend: new FakeBackendClient(world.backend, this.gate),
       allowances: { admit: () => ({ release: () => undefined }) },
-      slots: { acquire: (slotRequest: SlotWish) => grantSlot(clock, slotRequest) },
+      slots: { acquire: (slotRequest: SlotRequest) => grantSlot(clock, slotRequest) },
     };
     this.crashes = new CrashKeeper({
       ...shared,
@@ -268,7 +268,7 @@
   readonly hosts: OwnerHost[];
 }
 
-async function grantSlot(clock: GatedClock, slotRequest: SlotWish): Promise<Slot> {
+async function grantSlot(clock: GatedClock, slotRequest: SlotRequest): Promise<Slot> {
   await new Promise<void>((resolve) => {
     clock.setTimer(1, resolve);
   });
