--- a/src/adapters/direct_http/_backend_call.ts
+++ b/src/adapters/direct_http/_backend_call.ts
@@ -64,7 +64,7 @@
       path: request.request.target,
       headers: this.#buildHeaders(),
       setHost: false,
-      incarnationId: request.lifeId,
+      incarnationId: request.incarnationId,
     };
     this.#request = openRequest(target);
     this.#request.on('socket', (socket) => this.#watchSocket(socket));
@@ -74,7 +74,7 @@
     this.#request.end(request.request.body);
   }
 
-  get mayHaveLeft(): boolean {
+  get mayHaveBeenSent(): boolean {
     return this.#isConnected;
   }
 
@@ -197,7 +197,7 @@
     this.#isSettled = true;
     // A server that answers before it has read the whole request still waits for the rest.
     if (!this.#request.writableFinished) this.#request.destroy();
-    this.#options.listener.onWhole();
+    this.#options.listener.onComplete();
   }
 
   #finishUnframed(wasReset: boolean): void {
@@ -210,7 +210,7 @@
       return;
     }
     this.#isSettled = true;
-    this.#options.listener.onWhole();
+    this.#options.listener.onComplete();
   }
 
   #handleError(error: NodeJS.ErrnoException): void {
--- a/src/adapters/direct_http/_node_reply.ts
+++ b/src/adapters/direct_http/_node_reply.ts
@@ -44,15 +44,15 @@
     options.response.on('error', () => undefined);
   }
 
-  override get isGone(): boolean {
+  override get isDisconnected(): boolean {
     return this.#isDisconnected;
   }
 
-  override get hasBegun(): boolean {
+  override get hasStarted(): boolean {
     return this.#options.response.headersSent;
   }
 
-  override onGone(handler: () => void): void {
+  override onDisconnect(handler: () => void): void {
     this.#disconnectHandler = handler;
     if (this.#isDisconnected) handler();
   }
@@ -79,7 +79,7 @@
     this.#options.response.end();
   }
 
-  override sendWhole({ status, headers }: DirectHead, body: Buffer): void {
+  override sendAnswer({ status, headers }: DirectHead, body: Buffer): void {
     const { response } = this.#options;
     if (this.#isDisconnected) return;
     this.#hasEnded = true;
@@ -94,11 +94,11 @@
     this.#options.response.destroy();
   }
 
-  override refuse(error: SchedulerError): void {
+  override sendError(error: SchedulerError): void {
     const { dialect, requestId } = this.#options;
     const headers = dialect.buildRefusalHeaders(error, requestId);
     const body = Buffer.from(JSON.stringify(buildErrorBody(error)));
-    this.sendWhole(
+    this.sendAnswer(
       { status: error.status, headers: ['Content-Type', 'application/json', ...headers] },
       body,
     );
--- a/src/adapters/direct_http/_test_servers.ts
+++ b/src/adapters/direct_http/_test_servers.ts
@@ -122,7 +122,7 @@
       onBody: (bytes) => {
         body += bytes.toString('latin1');
       },
-      onWhole: () => resolve({ head, body, failure: undefined }),
+      onComplete: () => resolve({ head, body, failure: undefined }),
       onFailure: (failure) => resolve({ head, body, failure }),
     });
   });
--- a/src/adapters/direct_http/direct_backend_http_test.ts
+++ b/src/adapters/direct_http/direct_backend_http_test.ts
@@ -18,7 +18,7 @@
         request: buildRequest(requestId),
         address: server.address,
         serverId: 'engine-1',
-        lifeId,
+        incarnationId: lifeId,
         accountId: 'firm-a',
         deadlineMs: 900,
         lastEventId: undefined,
@@ -171,10 +171,10 @@
   let mayHaveLeftAtFirst: boolean | undefined;
   await collectResult((listener) => {
     exchange = send(backend, server)(listener) as BackendExchange;
-    mayHaveLeftAtFirst = exchange.mayHaveLeft;
+    mayHaveLeftAtFirst = exchange.mayHaveBeenSent;
   });
   t.equal(mayHaveLeftAtFirst, false);
-  t.equal(exchange?.mayHaveLeft, true);
+  t.equal(exchange?.mayHaveBeenSent, true);
   backend.close();
   server.close();
 });
--- a/src/adapters/direct_http/direct_listener.ts
+++ b/src/adapters/direct_http/direct_listener.ts
@@ -93,7 +93,7 @@
     message.on('error', () => undefined);
     this.#readBody(message, reply, (body) => {
       if (requestId === undefined) {
-        reply.refuse(new SchedulerError(ErrorKind.RequestIdRequired));
+        reply.sendError(new SchedulerError(ErrorKind.RequestIdRequired));
         return;
       }
       this.#options.handle({ ...info, requestId, ...this.#readTarget(message), body }, reply);
@@ -126,11 +126,11 @@
       length += chunk.length;
       if (length <= maxBodyBytes) chunks.push(chunk);
       else if (length - chunk.length <= maxBodyBytes) {
-        reply.refuse(new SchedulerError(ErrorKind.BodyTooLarge));
+        reply.sendError(new SchedulerError(ErrorKind.BodyTooLarge));
       }
     });
     message.on('end', () => {
-      if (length > maxBodyBytes || reply.isGone) return;
+      if (length > maxBodyBytes || reply.isDisconnected) return;
       onComplete(chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks));
     });
   }
--- a/src/adapters/peers_ws/_test_peers.ts
+++ b/src/adapters/peers_ws/_test_peers.ts
@@ -83,7 +83,7 @@
 export function areLinked(one: TestPeer, other: TestPeer): boolean {
   const hasLinkTo = (from: TestPeer, to: TestPeer): boolean =>
     from.network
-      .listLinked()
+      .listLinkedPeers()
       .some(({ incarnation }) => incarnation === to.network.identity.incarnation);
   return hasLinkTo(one, other) && hasLinkTo(other, one);
 }
--- a/src/adapters/peers_ws/peer_network_contract_test.ts
+++ b/src/adapters/peers_ws/peer_network_contract_test.ts
@@ -17,7 +17,7 @@
 async function startWsNetworks(t: Test, ids: readonly string[]): Promise<readonly PeerNetwork[]> {
   const peers = await Promise.all(ids.map((id) => startPeer(buildPeerIdentity(id))));
   t.teardown(() => Promise.all(peers.map(({ network }) => network.close())));
-  peers.forEach(({ network }) => network.setAddresses(peers.map(({ url }) => url)));
+  peers.forEach(({ network }) => network.setPeerUrls(peers.map(({ url }) => url)));
   return peers.map(({ network }) => network);
 }
 
@@ -40,7 +40,7 @@
   ids: readonly string[],
 ): Promise<PeerNetwork[]> {
   const networks = await startNetworks(t, ids);
-  await waitUntil(() => networks.every((one) => one.listLinked().length === ids.length - 1));
+  await waitUntil(() => networks.every((one) => one.listLinkedPeers().length === ids.length - 1));
   return [...networks];
 }
 
@@ -106,7 +106,7 @@
   t.test(`${name} reports once that the last link to a peer is down`, async (t) => {
     const [a, b] = (await startLinked(t, startNetworks, ['a', 'b'])) as [PeerNetwork, PeerNetwork];
     const events: string[] = [];
-    a.onLink(({ peer, up }) => events.push(`${peer.incarnation} ${up ? 'up' : 'down'}`));
+    a.onLinkChange(({ peer, up }) => events.push(`${peer.incarnation} ${up ? 'up' : 'down'}`));
     await b.close();
     await waitUntil(() => events.includes('b-1 down'));
     t.same(
@@ -114,6 +114,6 @@
       ['b-1 down'],
     );
     t.equal(a.send('b-1', buildNumberedMessage(1)), false);
-    t.same(a.listLinked(), []);
+    t.same(a.listLinkedPeers(), []);
   });
 });
--- a/src/adapters/peers_ws/ws_peer_network.ts
+++ b/src/adapters/peers_ws/ws_peer_network.ts
@@ -105,7 +105,7 @@
     return { port };
   }
 
-  override setAddresses(peerUrls: readonly string[]): void {
+  override setPeerUrls(peerUrls: readonly string[]): void {
     if (this.#isClosed) return;
     this.#dialer.setAddresses(peerUrls.filter((url) => url !== this.#identity.peerUrl));
   }
@@ -124,11 +124,11 @@
     this.#handlers.set(type, handler as AnyHandler);
   }
 
-  override onLink(handler: (event: LinkEvent) => void): void {
+  override onLinkChange(handler: (event: LinkEvent) => void): void {
     this.#linkHandlers.push(handler);
   }
 
-  override listLinked(): readonly EntryHostIdentity[] {
+  override listLinkedPeers(): readonly EntryHostIdentity[] {
     return this.#linkTable.listIdentities();
   }
 
--- a/src/adapters/peers_ws/ws_peer_network_faults_test.ts
+++ b/src/adapters/peers_ws/ws_peer_network_faults_test.ts
@@ -23,7 +23,7 @@
   const a = await startPeer(buildPeerIdentity('a'), { maxMessageBytes: 65_536 });
   const b = await startPeer(buildPeerIdentity('b'));
   t.teardown(() => Promise.all([a.network.close(), b.network.close()]));
-  a.network.setAddresses([b.url]);
+  a.network.setPeerUrls([b.url]);
   await waitUntil(() => areLinked(a, b));
   return [a, b];
 }
@@ -38,7 +38,7 @@
   await waitUntil(() => raw.isClosed && listRefusalReasons(a).length > 0);
   t.match(listRefusalReasons(a), [reason]);
   t.same(
-    a.network.listLinked().map(({ id }) => id),
+    a.network.listLinkedPeers().map(({ id }) => id),
     ['b'],
   );
   b.network.send('a-1', buildNumberedMessage(1));
@@ -101,7 +101,7 @@
     const peers = await startLinked(t);
     const raw = new RawPeer(peers[0].url);
     await raw.authenticate(UNKNOWN_PEER);
-    await waitUntil(() => peers[0].network.listLinked().length === 2);
+    await waitUntil(() => peers[0].network.listLinkedPeers().length === 2);
     act(raw);
     await assertRefused(t, peers, raw, reason);
   });
@@ -111,12 +111,12 @@
   const [a, b] = await startLinked(t);
   const other = await startPeer(buildPeerIdentity('c'), { clusterKey: Buffer.alloc(32, 8) });
   t.teardown(() => other.network.close());
-  other.network.setAddresses([a.url]);
+  other.network.setPeerUrls([a.url]);
   await waitUntil(() => listRefusalReasons(other).length > 0);
-  b.network.setAddresses([other.url]);
+  b.network.setPeerUrls([other.url]);
   await waitUntil(() => listRefusalReasons(b).length > 0);
   t.match([...listRefusalReasons(other), ...listRefusalReasons(b)].join(), /MAC does not match/);
-  t.same(other.network.listLinked(), []);
+  t.same(other.network.listLinkedPeers(), []);
   t.ok(areLinked(a, b));
 });
 
@@ -131,12 +131,12 @@
   const [a, b] = await startLinked(t);
   const dialer = await startPeer(buildPeerIdentity('c'));
   const relay = new TestProxy(a.port);
-  dialer.network.setAddresses([await relay.start()]);
+  dialer.network.setPeerUrls([await relay.start()]);
   await waitUntil(() => areLinked(a, dialer));
   await dialer.network.close();
   await relay.close();
   const raw = new RawPeer(a.url);
-  await waitUntil(() => raw.frames.length > 0 && a.network.listLinked().length === 1);
+  await waitUntil(() => raw.frames.length > 0 && a.network.listLinkedPeers().length === 1);
   // The recorded bytes start with the upgrade request, followed by complete frames.
   const recorded = Buffer.concat(relay.chunksFromDialer);
   const socket = (raw.webSocket as unknown as { _socket: { write(bytes: Buffer): void } })._socket;
@@ -166,7 +166,7 @@
   await waitUntil(() => silent.isClosed);
   const third = new RawPeer(a.url);
   await third.authenticate(UNKNOWN_PEER, CLUSTER_KEY);
-  await waitUntil(() => a.network.listLinked().length === 1);
+  await waitUntil(() => a.network.listLinkedPeers().length === 1);
   third.webSocket.terminate();
   t.pass('the limit of unauthenticated links has capacity again');
 });
--- a/src/adapters/peers_ws/ws_peer_network_test.ts
+++ b/src/adapters/peers_ws/ws_peer_network_test.ts
@@ -27,14 +27,14 @@
   const a = await startPeer(buildPeerIdentity('a'), options);
   const b = await startPeer(buildPeerIdentity('b'));
   t.teardown(() => Promise.all([a.network.close(), b.network.close()]));
-  a.network.setAddresses([b.url]);
+  a.network.setPeerUrls([b.url]);
   await waitUntil(() => areLinked(a, b));
   return [a, b];
 }
 
 function recordLinkEvents(peer: TestPeer): string[] {
   const events: string[] = [];
-  peer.network.onLink(({ peer: { incarnation }, up }: LinkEvent) => {
+  peer.network.onLinkChange(({ peer: { incarnation }, up }: LinkEvent) => {
     events.push(`${incarnation} ${up ? 'up' : 'down'}`);
   });
   return events;
@@ -47,7 +47,7 @@
 t.test('send() delivers in order in both directions over a single link', async (t) => {
   const [a, b] = await startLinked(t);
   const events = recordLinkEvents(b);
-  b.network.setAddresses([a.url]);
+  b.network.setPeerUrls([a.url]);
   const expected = Array.from({ length: MESSAGE_COUNT }, (_item, index) => index + 1);
   const sent = expected.map(
     (number) =>
@@ -74,10 +74,10 @@
   const a = await startPeer(buildPeerIdentity('a'), { maxBufferedBytes });
   const b = await startPeer(buildPeerIdentity('b'));
   t.teardown(() => Promise.all([a.network.close(), b.network.close()]));
-  b.network.setAddresses([a.url]);
+  b.network.setPeerUrls([a.url]);
   const stalled = new RawPeer(a.url);
   await stalled.authenticate(buildPeerIdentity('c'));
-  await waitUntil(() => a.network.listLinked().length === 2);
+  await waitUntil(() => a.network.listLinkedPeers().length === 2);
   stalled.webSocket.pause();
   const chunk: ForwardChunkMessage = {
     type: PeerMessageType.ForwardChunk,
@@ -145,7 +145,7 @@
     await relay.close();
     await Promise.all([a.network.close(), b.network.close()]);
   });
-  a.network.setAddresses([await relay.start()]);
+  a.network.setPeerUrls([await relay.start()]);
   await waitUntil(() => areLinked(a, b));
   const events = recordLinkEvents(a);
   relay.silence();
@@ -220,14 +220,14 @@
 t.test('WsPeerNetwork stops dialling its own address after the first attempt', async (t) => {
   const a = await startPeer({ ...buildPeerIdentity('a'), peerUrl: 'ws://a.test' });
   t.teardown(() => a.network.close());
-  a.network.setAddresses([a.url]);
+  a.network.setPeerUrls([a.url]);
   const countOwn = (): number =>
     a.log.lines.filter(({ fields }) => fields.end === 'own_incarnation' && fields.peerUrl === a.url)
       .length;
   await waitUntil(() => countOwn() > 0);
   await a.clock.advance(60_000);
   t.equal(countOwn(), 1);
-  t.same(a.network.listLinked(), []);
+  t.same(a.network.listLinkedPeers(), []);
 });
 
 t.test('close() delivers all messages sent before', async (t) => {
@@ -236,6 +236,6 @@
     a.network.send('b-1', buildNumberedMessage(number) satisfies PeerMessage);
   }
   await a.network.close();
-  await waitUntil(() => b.network.listLinked().length === 0);
+  await waitUntil(() => b.network.listLinkedPeers().length === 0);
   t.equal(b.received.length, MESSAGE_COUNT);
 });
--- a/src/application/configuration/_peer_exchange.ts
+++ b/src/application/configuration/_peer_exchange.ts
@@ -79,7 +79,7 @@
     peers.handle(PeerMessageType.ConfigurationEntries, (from, { entries }) => {
       this.#handleEntries(from, entries);
     });
-    peers.onLink(({ peer, up }) => {
+    peers.onLinkChange(({ peer, up }) => {
       if (!up) this.#removePeer(peer.incarnation);
       else if (!this.#options.hasLoaded()) this.sendDigest(peer.incarnation);
     });
@@ -133,7 +133,7 @@
    */
   notifyPeers(entries: readonly AcceptedEntry[], excludedIncarnation?: string): void {
     const linked = this.#options.peers
-      .listLinked()
+      .listLinkedPeers()
       .filter(({ incarnation }) => incarnation !== excludedIncarnation);
     const count = Math.min(linked.length, MAX_NOTIFIED_PEERS);
     const recipients = Array.from(
@@ -149,7 +149,7 @@
   #sendNextDigest(): void {
     const { clock, hasLoaded, peers } = this.#options;
     if (hasLoaded()) return;
-    const linked = peers.listLinked();
+    const linked = peers.listLinkedPeers();
     const peer = linked[this.#nextPeerIndex % Math.max(1, linked.length)];
     this.#nextPeerIndex += 1;
     if (peer) this.sendDigest(peer.incarnation);
--- a/src/application/configuration/configuration_keeper.ts
+++ b/src/application/configuration/configuration_keeper.ts
@@ -40,7 +40,7 @@
 import { StartGate } from './_start_gate.js';
 
 /** Dependencies and times of the configuration of one entry host. */
-export interface ConfigurationKeeperOptions {
+export interface ConfigurationReplicaOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
@@ -53,7 +53,7 @@
    * How long a starting entry host waits for both the service and a peer before it
    * relies on either of them alone, in milliseconds.
    */
-  readonly restartPatienceMs: number;
+  readonly startTimeoutMs: number;
 }
 
 /** Rounds to whole milliseconds; operators compare this age with seconds. */
@@ -68,8 +68,8 @@
  * Reads and watches the configuration service, exchanges accepted entries with
  * peers, and answers lookups in the configuration that is in effect.
  */
-export class ConfigurationKeeper extends ConfigurationView {
-  readonly #options: ConfigurationKeeperOptions;
+export class ConfigurationReplica extends ConfigurationView {
+  readonly #options: ConfigurationReplicaOptions;
 
   readonly #watch: ConfigurationWatch;
 
@@ -97,7 +97,7 @@
   #startTimer: Timer | undefined;
 
   /** @param options - dependencies and times */
-  constructor(options: ConfigurationKeeperOptions) {
+  constructor(options: ConfigurationReplicaOptions) {
     super();
     this.#options = options;
     this.#recorder = new ChangeRecorder(options);
@@ -124,7 +124,7 @@
   start(): void {
     this.#exchange.start();
     this.#watch.start();
-    this.#startTimer = this.#options.clock.setTimer(this.#options.restartPatienceMs, () => {
+    this.#startTimer = this.#options.clock.setTimer(this.#options.startTimeoutMs, () => {
       this.#startGate.recordTimeout();
       this.#loadIfReady();
     });
--- a/src/application/configuration/mod.ts
+++ b/src/application/configuration/mod.ts
@@ -5,5 +5,5 @@
  *
  * @module
  */
-export { ConfigurationKeeper } from './configuration_keeper.js';
-export type { ConfigurationKeeperOptions } from './configuration_keeper.js';
+export { ConfigurationReplica } from './configuration_keeper.js';
+export type { ConfigurationReplicaOptions } from './configuration_keeper.js';
--- a/src/application/crashes/mesh_crash_paths.ts
+++ b/src/application/crashes/mesh_crash_paths.ts
@@ -41,11 +41,11 @@
   }
 
   override listHostIds(): readonly string[] {
-    return this.#options.peers.listLinked().map(({ id }) => id);
+    return this.#options.peers.listLinkedPeers().map(({ id }) => id);
   }
 
   override listTargets(): readonly EntryHostIdentity[] {
-    return this.#options.peers.listLinked();
+    return this.#options.peers.listLinkedPeers();
   }
 
   override listFurther(): readonly EntryHostIdentity[] {
--- a/src/application/direct/_answer_relay.ts
+++ b/src/application/direct/_answer_relay.ts
@@ -66,7 +66,7 @@
 
   override end(): void {
     if (this.#hasBegun) this.#reply.end();
-    else this.#reply.sendWhole(this.#head, Buffer.concat(this.#chunks));
+    else this.#reply.sendAnswer(this.#head, Buffer.concat(this.#chunks));
     this.#hasBegun = true;
   }
 }
--- a/src/application/direct/_backend_request.ts
+++ b/src/application/direct/_backend_request.ts
@@ -33,7 +33,7 @@
     request,
     address,
     serverId,
-    lifeId: id,
+    incarnationId: id,
     accountId: account?.id,
     deadlineMs: Math.max(1, Math.floor(timeLeftMs)),
     lastEventId: stream?.lastEventId ?? request.lastEventId,
--- a/src/application/direct/_direct_attempt.ts
+++ b/src/application/direct/_direct_attempt.ts
@@ -125,7 +125,7 @@
 
   /** Whether the backend server may have received any part of the request. */
   get mayHaveBeenSent(): boolean {
-    return this.#exchange?.mayHaveLeft !== false;
+    return this.#exchange?.mayHaveBeenSent !== false;
   }
 
   /**
@@ -141,7 +141,7 @@
 
   /** Incarnation ID of the backend server that the request was sent to. */
   get incarnationId(): string {
-    return this.#options.request.lifeId;
+    return this.#options.request.incarnationId;
   }
 
   /**
@@ -158,7 +158,7 @@
     this.#isFramed = head.isFramed;
     const { reply, clock, route } = this.#options;
     if (!head.isEventStream || head.status !== 200) {
-      if (reply.hasBegun) this.#abandon(`status ${head.status} cannot continue the stream`);
+      if (reply.hasStarted) this.#abandon(`status ${head.status} cannot continue the stream`);
       else this.#relay = new BufferedRelay(head, reply);
       return;
     }
@@ -178,7 +178,7 @@
     }
   }
 
-  onWhole(): void {
+  onComplete(): void {
     if (this.#hasEnded) return;
     this.#recordFirstByte();
     const isServerError = this.#status >= 500 || NOT_RUN_STATUSES.has(this.#status);
--- a/src/application/direct/_peer_links.ts
+++ b/src/application/direct/_peer_links.ts
@@ -52,7 +52,7 @@
   constructor(options: PeerLinksOptions) {
     this.#options = options;
     this.#seedUrls = options.seeds;
-    options.peers.onLink(({ peer, up }) => this.#handleLink(peer, up));
+    options.peers.onLinkChange(({ peer, up }) => this.#handleLink(peer, up));
   }
 
   /** @param peerUrls - URLs of the seed peers from now on */
@@ -67,7 +67,7 @@
     const urls = new Set([...wantedUrls, ...this.#seedUrls.filter((url) => !isHeard(url))]);
     urls.delete(this.#options.selfUrl);
     const addresses = [...urls].sort().join();
-    if (addresses !== this.#lastAddresses) this.#options.peers.setAddresses([...urls]);
+    if (addresses !== this.#lastAddresses) this.#options.peers.setPeerUrls([...urls]);
     this.#lastAddresses = addresses;
     this.#dropUnused(urls, isUsed);
   }
@@ -76,7 +76,7 @@
     const { peers, clock } = this.#options;
     const linkedBeforeMs = clock.nowMs() - UNUSED_LINK_TIMEOUT_MS;
     peers
-      .listLinked()
+      .listLinkedPeers()
       .filter(({ peerUrl }) => !keptUrls.has(peerUrl))
       .filter((peer) => (this.#linkedAtMs.get(peer.incarnation) ?? Infinity) < linkedBeforeMs)
       .filter((peer) => !isUsed(peer))
--- a/src/application/direct/direct_call.ts
+++ b/src/application/direct/direct_call.ts
@@ -89,7 +89,7 @@
     this.#recorder = new CallRecorder({ ...options, arrivedAtMs: this.arrivedAtMs });
     this.#crashEvidence = new CrashEvidence(services, options.contentId);
     this.#timer = services.clock.setTimer(timeoutMs, () => this.#handleTimeout());
-    reply.onGone(() => this.#handleDisconnect());
+    reply.onDisconnect(() => this.#handleDisconnect());
   }
 
   /** Whether any backend server may have run the request. */
@@ -202,9 +202,9 @@
       this.mayHaveRun && error.status === 503
         ? new SchedulerError(ErrorKind.BackendServerLost)
         : error;
-    const { hasBegun } = this.#options.reply;
+    const { hasStarted: hasBegun } = this.#options.reply;
     if (hasBegun) this.#options.reply.abort();
-    else this.#options.reply.refuse(reportedError);
+    else this.#options.reply.sendError(reportedError);
     this.#end(hasBegun ? 'call_broken_off' : 'call_refused', {
       kind: reportedError.kind,
       run: reportedError.run,
@@ -254,12 +254,12 @@
     if (!mayHaveRun) this.#attempts.recordNotRun();
     if (failure === BackendFailure.Misdirected) services.servers.recordEnded(serverId);
     const isAllowed = mayHaveRun ? this.#attempts.mayRunAgain() : this.#attempts.maySendAgain();
-    const canResume = !this.#options.reply.hasBegun || this.#stream?.lastEventId !== undefined;
+    const canResume = !this.#options.reply.hasStarted || this.#stream?.lastEventId !== undefined;
     // A request that was never written costs the service nothing; all other retries are counted.
     const isUncountedRetry = failure === BackendFailure.NotSent;
     if (isAllowed && canResume && (isUncountedRetry || services.takeRetry(serviceId))) {
       this.#resubmit();
-    } else if (sendFallback && !this.#options.reply.hasBegun) {
+    } else if (sendFallback && !this.#options.reply.hasStarted) {
       sendFallback();
       this.#end('call_answered', { backendServer: serverId, failure });
     } else if (mayHaveRun) this.fail(new SchedulerError(ErrorKind.BackendServerLost));
--- a/src/application/direct/direct_call_test.ts
+++ b/src/application/direct/direct_call_test.ts
@@ -100,7 +100,7 @@
   t.equal(host.sent(1).request.lastEventId, '3');
   host.sent(1).head({ isEventStream: true });
   host.sent(1).events(4, 5);
-  host.sent(1).listener.onWhole();
+  host.sent(1).listener.onComplete();
   t.equal(reply.body, [1, 2, 3, 4, 5].map((id) => `id: ${id}\ndata: ${id}\n\n`).join(''));
   t.same(reply.head?.headers, ['X-Mark', host.sent(0).request.serverId]);
   t.ok(reply.hasEnded);
@@ -157,7 +157,7 @@
   // Guards against forbidding callers to repeat a request that reached no server.
   const host = await startDirectHost(t, {}, ['s-1']);
   const reply = host.call();
-  host.sent(0).mayHaveLeft = false;
+  host.sent(0).mayHaveBeenSent = false;
   await host.clock.advance(2_000);
   t.equal(reply.error?.kind, ErrorKind.DeadlineUnreachable);
   t.equal(reply.error?.run, 'not_run');
--- a/src/application/direct/direct_gateway.ts
+++ b/src/application/direct/direct_gateway.ts
@@ -159,7 +159,7 @@
           ? error
           : new SchedulerError(ErrorKind.Internal, { cause: error });
       this.#logRefusal(request, refusal);
-      reply.refuse(refusal);
+      reply.sendError(refusal);
     }
   }
 
--- a/src/application/direct/host_reports.ts
+++ b/src/application/direct/host_reports.ts
@@ -167,7 +167,7 @@
 
   /** @returns linked peers that this entry host reports to */
   listTargets(): readonly EntryHostIdentity[] {
-    const linked = this.#options.peers.listLinked();
+    const linked = this.#options.peers.listLinkedPeers();
     return linked.filter((peer) => this.#role.pickScope(peer) !== undefined);
   }
 
--- a/src/application/direct/report_relays_test.ts
+++ b/src/application/direct/report_relays_test.ts
@@ -99,7 +99,7 @@
     .forEach(({ from }) => counts.set(from, (counts.get(from) ?? 0) + 1));
   members.forEach(({ identity, network }) => {
     t.equal(counts.get(identity.id), 20, identity.id);
-    t.equal(network.listLinked().length, 1, identity.id);
+    t.equal(network.listLinkedPeers().length, 1, identity.id);
   });
 });
 
@@ -197,7 +197,7 @@
   const { clock, members, relays } = await startFleet(t, 20);
   await clock.advance(6_000);
   const [member] = members as [ReportHost];
-  const links = member.network.listLinked();
+  const links = member.network.listLinkedPeers();
   t.equal(links.length, 1);
   t.ok(relays.some(({ identity }) => identity.incarnation === links[0]?.incarnation));
 });
--- a/src/application/direct/waiting_notices.ts
+++ b/src/application/direct/waiting_notices.ts
@@ -66,7 +66,7 @@
   /** @param serviceId - ID of the service that a call waits for. @param queue - its queue */
   notifyPeers(serviceId: string, { size, firstUrgency }: QueueSummary): void {
     const { clock, peers, metrics } = this.#options;
-    const linked = peers.listLinked();
+    const linked = peers.listLinkedPeers();
     const nowMs = clock.nowMs();
     const lastSent = this.#lastSent.get(serviceId) ?? NEVER_SENT;
     const sinceMs = nowMs - lastSent.sentAtMs;
--- a/src/application/dispatcher/_message_outbox.ts
+++ b/src/application/dispatcher/_message_outbox.ts
@@ -27,7 +27,7 @@
   constructor(peers: PeerNetwork, membership: MembershipView) {
     this.#peers = peers;
     this.#membership = membership;
-    peers.onLink(({ peer, up }) => up && this.#flush(peer.incarnation));
+    peers.onLinkChange(({ peer, up }) => up && this.#flush(peer.incarnation));
   }
 
   /** Number of messages that wait for a link. */
--- a/src/application/dispatcher/dispatcher_service.ts
+++ b/src/application/dispatcher/dispatcher_service.ts
@@ -75,7 +75,7 @@
     peers.handle(PeerMessageType.SlotRelease, ({ incarnation }, message) =>
       this.handleRelease(incarnation, message),
     );
-    peers.onLink(({ peer, up }) => up || this.#cancelRequestsOf(peer.incarnation));
+    peers.onLinkChange(({ peer, up }) => up || this.#cancelRequestsOf(peer.incarnation));
     membership.onChange(() => this.#dispatchAll());
     configuration.onChange(() => this.#dispatchAll());
   }
--- a/src/application/dispatcher/slot_client.ts
+++ b/src/application/dispatcher/slot_client.ts
@@ -64,7 +64,7 @@
     peers.handle(PeerMessageType.SlotRefusal, ({ incarnation }, message) =>
       this.#handleRefusal(incarnation, message),
     );
-    peers.onLink(({ peer, up }) => up || this.#notifyDispatcherLost(peer.incarnation));
+    peers.onLinkChange(({ peer, up }) => up || this.#notifyDispatcherLost(peer.incarnation));
     membership.onChange(() => this.#handleMembershipChange());
   }
 
--- a/src/application/entry_host/identity_issuer.ts
+++ b/src/application/entry_host/identity_issuer.ts
@@ -130,7 +130,7 @@
    */
   #listReachable(): readonly EntryHostView[] {
     const { membership, peers } = this.#options;
-    const linked = new Set(peers.listLinked().map((peer) => peer.incarnation));
+    const linked = new Set(peers.listLinkedPeers().map((peer) => peer.incarnation));
     linked.add(membership.self.incarnation);
     return membership
       .listEntryHosts()
--- a/src/application/forwarding/forward_client.ts
+++ b/src/application/forwarding/forward_client.ts
@@ -59,7 +59,7 @@
     peers.handle(PeerMessageType.ForwardChunk, handleReply);
     peers.handle(PeerMessageType.ForwardEnd, handleReply);
     peers.handle(PeerMessageType.ForwardError, handleReply);
-    peers.onLink((event) => {
+    peers.onLinkChange((event) => {
       if (!event.up) this.#failCalls((pending) => pending.incarnation === event.peer.incarnation);
     });
     membership.onChange(() => this.#failUnreachableCalls());
--- a/src/application/forwarding/forward_server.ts
+++ b/src/application/forwarding/forward_server.ts
@@ -64,7 +64,7 @@
     peers.handle(PeerMessageType.ForwardCancel, (from, message) => {
       this.#cancelCall(formatCallKey(from, message.callId));
     });
-    peers.onLink((event) => {
+    peers.onLinkChange((event) => {
       if (event.up) return;
       this.#servedCalls.forEach((serving, key) => {
         if (serving.peer.incarnation === event.peer.incarnation) this.#cancelCall(key);
--- a/src/application/membership/_heartbeat_exchange.ts
+++ b/src/application/membership/_heartbeat_exchange.ts
@@ -43,7 +43,7 @@
     const { peers } = this.#options;
     this.#expireSentTimes();
     const message = this.#buildHeartbeat(content);
-    peers.listLinked().forEach(({ incarnation }) => peers.send(incarnation, message));
+    peers.listLinkedPeers().forEach(({ incarnation }) => peers.send(incarnation, message));
   }
 
   /** Sends a heartbeat to one peer. @param incarnation - the peer. @param content - its content */
--- a/src/application/membership/_silent_links.ts
+++ b/src/application/membership/_silent_links.ts
@@ -39,7 +39,7 @@
     const nowMs = clock.nowMs();
     this.#expireReplacements(nowMs);
     peers
-      .listLinked()
+      .listLinkedPeers()
       .filter(({ incarnation }) => this.#mustReplace(incarnation))
       .forEach(({ id, incarnation }) => {
         this.#replacedAtMs.set(incarnation, nowMs);
--- a/src/application/membership/_test_hosts.ts
+++ b/src/application/membership/_test_hosts.ts
@@ -23,7 +23,7 @@
 import type { FakePlatformReader } from '../../../test/support/fake_platform.js';
 import { GatedClock, ProcessGate } from '../../../test/support/frozen_host.js';
 import { VirtualClock } from '../../../test/support/virtual_clock.js';
-import { MembershipKeeper } from './mod.js';
+import { MembershipTracker } from './mod.js';
 
 /** Time between two heartbeats of a simulated entry host, in milliseconds. */
 export const HEARTBEAT_MS = 500;
@@ -75,7 +75,7 @@
 
   readonly reader: SilenceableReader;
 
-  readonly membership: MembershipKeeper;
+  readonly membership: MembershipTracker;
 
   /** Number of changes that the membership reported. */
   changes = 0;
@@ -90,7 +90,7 @@
   ) {
     this.peers = new GatedPeerNetwork(hub, identity, this.gate);
     this.reader = new SilenceableReader(platform.createReader());
-    this.membership = new MembershipKeeper({
+    this.membership = new MembershipTracker({
       clock: new GatedClock(clock, this.gate),
       log: this.log,
       metrics: new FakeMetrics(),
--- a/src/application/membership/membership_keeper.ts
+++ b/src/application/membership/membership_keeper.ts
@@ -17,7 +17,7 @@
 import { SilentLinkReplacer } from './_silent_links.js';
 import type {
   GroupLoadsHandler,
-  MembershipKeeperOptions,
+  MembershipTrackerOptions,
   PeerConfigurationHandler,
 } from './membership_keeper_options.js';
 
@@ -28,10 +28,10 @@
 const FORGET_AFTER_MS = 3_600_000;
 
 /** Maintains the view from the host list and from heartbeats; either of them suffices alone. */
-export class MembershipKeeper extends MembershipView {
+export class MembershipTracker extends MembershipView {
   override readonly self: EntryHostIdentity;
 
-  readonly #options: MembershipKeeperOptions;
+  readonly #options: MembershipTrackerOptions;
 
   readonly #directory: PeerDirectory;
 
@@ -58,7 +58,7 @@
   #isRunning = false;
 
   /** @param options - dependencies and times */
-  constructor(options: MembershipKeeperOptions) {
+  constructor(options: MembershipTrackerOptions) {
     super();
     this.#options = options;
     this.self = options.self;
@@ -76,7 +76,7 @@
       ...options,
       isSilent: (incarnation) => this.#directory.getState(incarnation) === PeerState.Suspected,
     });
-    options.peers.onLink((event) => this.#handleLink(event));
+    options.peers.onLinkChange((event) => this.#handleLink(event));
     options.peers.handle(PeerMessageType.Heartbeat, (from, message) =>
       this.#handleHeartbeat(from, message),
     );
@@ -89,7 +89,7 @@
   start(): void {
     this.#isRunning = true;
     this.#freshness.start();
-    this.#options.peers.listLinked().forEach((peer) => this.#addPeer(peer));
+    this.#options.peers.listLinkedPeers().forEach((peer) => this.#addPeer(peer));
     this.#updateAddresses();
     this.#hostListWatch.run().catch((error: unknown) => {
       this.#options.log.write(LogLevel.Error, 'host_list_watch_failed', { reason: String(error) });
@@ -119,7 +119,7 @@
    *
    * @param backendServerId - ID of the backend server
    */
-  noteBackendServerLeaving(backendServerId: string): void {
+  recordBackendServerLeaving(backendServerId: string): void {
     if (!this.#leavingServers.recordOwn(backendServerId, this.#options.clock.nowMs())) return;
     this.#options.log.write(LogLevel.Info, 'backend_server_leaving', {
       backendServer: backendServerId,
@@ -283,7 +283,7 @@
   }
 
   #updateAddresses(): void {
-    this.#options.peers.setAddresses(this.#directory.listPeerUrls());
+    this.#options.peers.setPeerUrls(this.#directory.listPeerUrls());
   }
 
   #updateStates(): void {
--- a/src/application/membership/membership_keeper_options.ts
+++ b/src/application/membership/membership_keeper_options.ts
@@ -21,7 +21,7 @@
 }
 
 /** Dependencies and times of the membership of one entry host. */
-export interface MembershipKeeperOptions {
+export interface MembershipTrackerOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
--- a/src/application/membership/membership_keeper_test.ts
+++ b/src/application/membership/membership_keeper_test.ts
@@ -174,7 +174,7 @@
   const [a, b, c] = hosts;
   hub.cut('a', 'c');
   const changesBefore = b.changes;
-  a.membership.noteBackendServerLeaving('engine-1');
+  a.membership.recordBackendServerLeaving('engine-1');
   await clock.advance(0);
   t.ok(b.membership.isBackendServerLeaving('engine-1'));
   t.equal(b.changes, changesBefore + 1);
--- a/src/application/membership/mod.ts
+++ b/src/application/membership/mod.ts
@@ -6,10 +6,10 @@
  *
  * @module
  */
-export { MembershipKeeper } from './membership_keeper.js';
+export { MembershipTracker } from './membership_keeper.js';
 export type {
   ConfigurationVersion,
   GroupLoadsHandler,
-  MembershipKeeperOptions,
+  MembershipTrackerOptions,
   PeerConfigurationHandler,
 } from './membership_keeper_options.js';
--- a/src/commands/_entry_parts.ts
+++ b/src/commands/_entry_parts.ts
@@ -17,7 +17,7 @@
 import { TcpServerProbe } from '../adapters/server_probe/mod.js';
 import { OtelTracer } from '../adapters/tracing/mod.js';
 import { AllowanceKeeper } from '../application/allowances/mod.js';
-import { ConfigurationKeeper } from '../application/configuration/mod.js';
+import { ConfigurationReplica } from '../application/configuration/mod.js';
 import { CrashKeeper, formatAddress, MeshCrashPaths } from '../application/crashes/mod.js';
 import { DispatcherService, SlotClient } from '../application/dispatcher/mod.js';
 import type { DispatcherOptions } from '../application/dispatcher/mod.js';
@@ -28,7 +28,7 @@
   OwnedCalls,
 } from '../application/entry_host/mod.js';
 import { ForwardClient, ForwardServer } from '../application/forwarding/mod.js';
-import { MembershipKeeper } from '../application/membership/mod.js';
+import { MembershipTracker } from '../application/membership/mod.js';
 import type { MembershipView } from '../application/views/mod.js';
 import { OwnerService } from '../application/owner/mod.js';
 import type { EntryHostIdentity } from '../domain/membership/types.js';
@@ -91,17 +91,17 @@
     listenPort: settings.peerListen.port,
     clusterKey: settings.clusterKey,
   });
-  const configuration = new ConfigurationKeeper({
+  const configuration = new ConfigurationReplica({
     ...base,
     platform: createPlatformReader(settings.configurationUrl, clock),
     peers,
     waitMs: settings.platformWaitMs,
-    restartPatienceMs: START_TIMEOUT_MS,
+    startTimeoutMs: START_TIMEOUT_MS,
   });
   // Heartbeats report the dispatcher's load and the listener's state, but both components depend
   // on the membership and are created after it. Until then, this object holds initial values.
   const late = { listLoads: (): readonly GroupLoad[] => [], isListening: false };
-  const membership: MembershipKeeper = new MembershipKeeper({
+  const membership: MembershipTracker = new MembershipTracker({
     ...base,
     platform: createPlatformReader(settings.hostListUrl, clock),
     peers,
@@ -129,7 +129,7 @@
  * @returns one line for each reason; empty if nothing is missing
  */
 export function listUnreadyReasons(
-  configuration: ConfigurationKeeper,
+  configuration: ConfigurationReplica,
   membership: MembershipView,
 ): readonly string[] {
   const reasons: string[] = [];
@@ -154,7 +154,7 @@
     backend,
     strategy,
     onBackendServerLoad: (id: string, isLeaving: boolean) => {
-      if (isLeaving) membership.noteBackendServerLeaving(id);
+      if (isLeaving) membership.recordBackendServerLeaving(id);
     },
   } satisfies DispatcherOptions;
   const dispatcher = new DispatcherService(options);
--- a/src/ports/direct_calls.ts
+++ b/src/ports/direct_calls.ts
@@ -43,13 +43,13 @@
 /** Sends the answer of one request to its caller. */
 export abstract class DirectReply {
   /** Whether the caller has closed its connection. */
-  abstract readonly isGone: boolean;
+  abstract readonly isDisconnected: boolean;
 
   /** Whether the head of the answer was written. */
-  abstract readonly hasBegun: boolean;
+  abstract readonly hasStarted: boolean;
 
   /** @param handler - called once if the caller disconnects before the end of the answer */
-  abstract onGone(handler: () => void): void;
+  abstract onDisconnect(handler: () => void): void;
 
   /** @param head - head of the answer; {@link DirectReply.write} sends the body */
   abstract writeHead(head: DirectHead): void;
@@ -61,13 +61,13 @@
   abstract end(): void;
 
   /** Sends a complete answer. @param head - head of the answer. @param body - its body */
-  abstract sendWhole(head: DirectHead, body: Buffer): void;
+  abstract sendAnswer(head: DirectHead, body: Buffer): void;
 
   /** Aborts the answer in a way that the caller can't mistake for a complete one. */
   abstract abort(): void;
 
   /** Sends an error; nothing may be written before. @param error - why the request failed */
-  abstract refuse(error: SchedulerError): void;
+  abstract sendError(error: SchedulerError): void;
 }
 
 /** A request to send to one backend server. */
@@ -81,7 +81,7 @@
    * Incarnation of the intended backend server. Connections to another incarnation are
    * not used, since its requests ended with it.
    */
-  readonly lifeId: string;
+  readonly incarnationId: string;
   readonly accountId: string | undefined;
   /** Time left until the deadline, in milliseconds. */
   readonly deadlineMs: number;
@@ -136,7 +136,7 @@
   /** @param bytes - next bytes of the body */
   onBody(bytes: Buffer): void;
   /** The answer is complete. */
-  onWhole(): void;
+  onComplete(): void;
   /** @param failure - why there is no complete answer. @param reason - details for the log */
   onFailure(failure: BackendFailure, reason: string): void;
 }
@@ -144,7 +144,7 @@
 /** A request that is in flight. */
 export interface BackendExchange {
   /** Whether any byte may have been sent; false while the connection is still being opened. */
-  readonly mayHaveLeft: boolean;
+  readonly mayHaveBeenSent: boolean;
   /**
    * Cancels the request. Closes the connection, so that the server stops its work, and
    * calls no handler afterwards.
--- a/src/ports/peer_network.ts
+++ b/src/ports/peer_network.ts
@@ -33,7 +33,7 @@
    *
    * @param peerUrls - peer URLs from the host list and from peers
    */
-  abstract setAddresses(peerUrls: readonly string[]): void;
+  abstract setPeerUrls(peerUrls: readonly string[]): void;
 
   /**
    * Sends one message.
@@ -53,10 +53,10 @@
   abstract handle<T extends PeerMessageType>(type: T, handler: PeerMessageHandler<T>): void;
 
   /** @param handler - called when the first link to an incarnation opens or its last closes */
-  abstract onLink(handler: (event: LinkEvent) => void): void;
+  abstract onLinkChange(handler: (event: LinkEvent) => void): void;
 
   /** @returns the identities of peers that a link is open to */
-  abstract listLinked(): readonly EntryHostIdentity[];
+  abstract listLinkedPeers(): readonly EntryHostIdentity[];
 
   /** Replaces a silent link. @param incarnation - the peer at its other end */
   abstract replaceLink(incarnation: string): void;
--- a/test/support/allowance_fakes.ts
+++ b/test/support/allowance_fakes.ts
@@ -114,11 +114,11 @@
     this.handlers.set(type, handler);
   }
 
-  override setAddresses = (): void => undefined;
+  override setPeerUrls = (): void => undefined;
 
-  override onLink = (): void => undefined;
+  override onLinkChange = (): void => undefined;
 
-  override listLinked = (): readonly EntryHostIdentity[] => [];
+  override listLinkedPeers = (): readonly EntryHostIdentity[] => [];
 
   override replaceLink = (): void => undefined;
 
--- a/test/support/configuration_hosts.ts
+++ b/test/support/configuration_hosts.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { ConfigurationKeeper } from '../../src/application/configuration/mod.js';
+import { ConfigurationReplica } from '../../src/application/configuration/mod.js';
 import { CONTRACT_KEY_PREFIX, FLEET_KEY } from '../../src/domain/configuration/mod.js';
 import { buildIdentity, FakePeerHub, FakePeerNetwork } from './fake_peer_network.js';
 import { FakeLog, FakeMetrics } from './fakes.js';
@@ -43,7 +43,7 @@
 
 /** The configuration replica of one entry host and its collaborators. */
 export interface ConfigurationHost {
-  readonly keeper: ConfigurationKeeper;
+  readonly keeper: ConfigurationReplica;
   readonly network: FakePeerNetwork;
   readonly reader: FakePlatformReader;
   readonly log: FakeLog;
@@ -72,14 +72,14 @@
     reader.setCut(isCut);
     const log = new FakeLog();
     const metrics = new FakeMetrics();
-    const keeper = new ConfigurationKeeper({
+    const keeper = new ConfigurationReplica({
       clock: this.clock,
       log,
       metrics,
       platform: reader,
       peers: network,
       waitMs: WAIT_MS,
-      restartPatienceMs: PATIENCE_MS,
+      startTimeoutMs: PATIENCE_MS,
     });
     const host = { keeper, network, reader, log, metrics, weights: [] as number[] };
     keeper.onChange(() => {
--- a/test/support/crash_fleet.ts
+++ b/test/support/crash_fleet.ts
@@ -183,7 +183,7 @@
   }
 
   #serve(exchange: FakeExchange): void {
-    const { address, lifeId: incarnationId, request } = exchange.request;
+    const { address, incarnationId: incarnationId, request } = exchange.request;
     const serverId = address.split(':')[0] as string;
     const isUp = this.#incarnations.get(serverId) === incarnationId;
     if (!isUp) {
--- a/test/support/crash_line.ts
+++ b/test/support/crash_line.ts
@@ -33,7 +33,7 @@
   }
 
   override listTargets(): readonly EntryHostIdentity[] {
-    return this.peers.listLinked();
+    return this.peers.listLinkedPeers();
   }
 
   override listFurther(from: EntryHostIdentity): readonly EntryHostIdentity[] {
--- a/test/support/direct_ends.ts
+++ b/test/support/direct_ends.ts
@@ -24,7 +24,7 @@
 export class FakeExchange implements BackendExchange {
   isCancelled = false;
 
-  mayHaveLeft = true;
+  mayHaveBeenSent = true;
 
   constructor(
     readonly request: BackendRequest,
@@ -59,7 +59,7 @@
   answer(status = 200, body = 'ok', isFramed = true): void {
     this.head({ status, isFramed });
     this.listener.onBody(Buffer.from(body));
-    this.listener.onWhole();
+    this.listener.onComplete();
   }
 
   fail(failure = BackendFailure.Broken): void {
@@ -115,15 +115,15 @@
   isAborted = false;
 
   /** Whether the caller has disconnected. */
-  isGone = false;
+  isDisconnected = false;
 
   #handler: (() => void) | undefined;
 
-  override get hasBegun(): boolean {
+  override get hasStarted(): boolean {
     return this.head !== undefined;
   }
 
-  override onGone(handler: () => void): void {
+  override onDisconnect(handler: () => void): void {
     this.#handler = handler;
   }
 
@@ -140,7 +140,7 @@
     this.hasEnded = true;
   }
 
-  override sendWhole(head: DirectHead, body: Buffer): void {
+  override sendAnswer(head: DirectHead, body: Buffer): void {
     this.writeHead(head);
     this.write(body);
     this.end();
@@ -150,14 +150,14 @@
     this.isAborted = true;
   }
 
-  override refuse(error: SchedulerError): void {
+  override sendError(error: SchedulerError): void {
     if (this.head || this.error) throw new Error('Cannot send two responses');
     this.error = error;
   }
 
   /** Simulates that the caller disconnects. */
   leave(): void {
-    this.isGone = true;
+    this.isDisconnected = true;
     this.#handler?.();
   }
 }
--- a/test/support/fake_peer_network.ts
+++ b/test/support/fake_peer_network.ts
@@ -168,7 +168,7 @@
     hub.networks.add(this);
   }
 
-  override setAddresses(peerUrls: readonly string[]): void {
+  override setPeerUrls(peerUrls: readonly string[]): void {
     this.addresses = peerUrls;
     this.hub.networks.forEach((other) => {
       if (other !== this && peerUrls.includes(other.identity.peerUrl)) this.hub.link(this, other);
@@ -190,11 +190,11 @@
     this.#handlers.set(type, handler);
   }
 
-  override onLink(handler: (event: LinkEvent) => void): void {
+  override onLinkChange(handler: (event: LinkEvent) => void): void {
     this.#linkHandlers.push(handler);
   }
 
-  override listLinked(): readonly EntryHostIdentity[] {
+  override listLinkedPeers(): readonly EntryHostIdentity[] {
     return this.#listLinkedNetworks().map(({ identity }) => identity);
   }
 
@@ -209,7 +209,7 @@
   }
 
   override close(): Promise<void> {
-    const linked = this.listLinked();
+    const linked = this.listLinkedPeers();
     this.hub.networks.delete(this);
     this.hub.networks.forEach((other) => {
       if (linked.some((peer) => peer.incarnation === other.identity.incarnation))
