--- a/src/application/allowances/allowance_keeper.ts
+++ b/src/application/allowances/allowance_keeper.ts
@@ -34,8 +34,8 @@
 /** Fraction of the lease duration between ticks, and between lease requests after new refusals. */
 const URGENT_FRACTION = 1 / 8;
 
-/** Options of {@link AllowanceKeeper}. */
-export interface AllowanceKeeperOptions {
+/** Options of {@link AllowanceManager}. */
+export interface AllowanceManagerOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
@@ -47,8 +47,8 @@
 }
 
 /** Admits requests by local token buckets whose rates follow the leases of the allowance lender. */
-export class AllowanceKeeper extends AllowanceSource {
-  readonly #options: AllowanceKeeperOptions;
+export class AllowanceManager extends AllowanceSource {
+  readonly #options: AllowanceManagerOptions;
 
   readonly #leaseDurationMs: number;
 
@@ -63,7 +63,7 @@
   #lastRequestNumber = ACK_REQUEST_NUMBER;
 
   /** @param options - dependencies and settings */
-  constructor(options: AllowanceKeeperOptions) {
+  constructor(options: AllowanceManagerOptions) {
     super();
     this.#options = options;
     this.#leaseDurationMs = options.leaseDurationMs ?? LEASE_DURATION_MS;
--- a/src/application/allowances/mod.ts
+++ b/src/application/allowances/mod.ts
@@ -6,5 +6,5 @@
  *
  * @module
  */
-export { AllowanceKeeper } from './allowance_keeper.js';
-export type { AllowanceKeeperOptions } from './allowance_keeper.js';
+export { AllowanceManager } from './allowance_keeper.js';
+export type { AllowanceManagerOptions } from './allowance_keeper.js';
--- a/src/application/crashes/_crash_note_exchange.ts
+++ b/src/application/crashes/_crash_note_exchange.ts
@@ -88,7 +88,7 @@
   #handleUpdate(from: EntryHostIdentity, { kind, digest, notes }: CrashUpdateMessage): void {
     const { applyNotes: apply, paths } = this.#options;
     const news = apply(notes);
-    this.#sendNews(paths.listFurther(from), news);
+    this.#sendNews(paths.listForwardTargets(from), news);
     if (kind === CrashUpdateKind.News || kind === CrashUpdateKind.Answer) return;
     const ownDigest = this.#computeDigest();
     if (ownDigest === digest) return;
--- a/src/application/crashes/_trial_queue.ts
+++ b/src/application/crashes/_trial_queue.ts
@@ -32,7 +32,7 @@
 const TRIAL_ID_BYTES = 6;
 
 /** How a request may be sent. */
-export enum PassKind {
+export enum PermitKind {
   Free = 'free',
   /** The request is sent as a trial, the only one of its content at this time. */
   Trial = 'trial',
@@ -41,14 +41,14 @@
 }
 
 /** Permit to send a request. */
-export interface Pass {
-  readonly kind: PassKind;
+export interface Permit {
+  readonly kind: PermitKind;
   /** Returns an unused permit when the request never ran; the trial is then void. */
-  readonly handBack: () => void;
+  readonly returnUnused: () => void;
 }
 
-const FREE_PERMIT: Pass = { kind: PassKind.Free, handBack: () => undefined };
-const WAIT_PERMIT: Pass = { kind: PassKind.Wait, handBack: () => undefined };
+const FREE_PERMIT: Permit = { kind: PermitKind.Free, returnUnused: () => undefined };
+const WAIT_PERMIT: Permit = { kind: PermitKind.Wait, returnUnused: () => undefined };
 
 /** Options of {@link TrialQueue}. */
 export interface TrialQueueOptions {
@@ -112,7 +112,7 @@
    * @param hasTime - whether the caller's deadline leaves enough time for a trial
    * @returns the permit, which tells whether and how the request may be sent
    */
-  acquirePermit(contentId: string, hasTime: boolean): Pass {
+  acquirePermit(contentId: string, hasTime: boolean): Permit {
     const { ledger, clock, log, metrics } = this.#options;
     const doubt = ledger.probationList.findProgress(contentId);
     if (!doubt) return FREE_PERMIT;
@@ -125,8 +125,8 @@
     const trial = { id, startedAtMs: nowMs, isVoid: false };
     this.#options.notifyPeers(ledger.recordTrial(contentId, trial, nowMs));
     return {
-      kind: PassKind.Trial,
-      handBack: () => {
+      kind: PermitKind.Trial,
+      returnUnused: () => {
         const voidTrial = { ...trial, isVoid: true };
         this.#options.notifyPeers(ledger.recordTrial(contentId, voidTrial, clock.nowMs()));
       },
--- a/src/application/crashes/_trial_queue_test.ts
+++ b/src/application/crashes/_trial_queue_test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import { CrashLine } from '../../../test/support/crash_line.js';
-import { PassKind } from './_trial_queue.js';
-import type { CrashKeeper } from './crash_keeper.js';
+import { PermitKind } from './_trial_queue.js';
+import type { CrashQuarantine } from './crash_keeper.js';
 
 /** Retry-after time for callers of a quarantined content, in milliseconds. */
 const QUARANTINE_RETRY_MS = 600_000;
@@ -14,7 +14,7 @@
   const triedAtMs: number[] = [];
   for (let look = 0; look < 400; look += 1) {
     line.keepers.forEach((keeper) => {
-      if (keeper.takePass('x').kind === PassKind.Trial) triedAtMs.push(line.clock.nowMs());
+      if (keeper.acquirePermit('x').kind === PermitKind.Trial) triedAtMs.push(line.clock.nowMs());
     });
     await line.clock.advance(50);
   }
@@ -33,10 +33,10 @@
   // still be answered.
   const line = new CrashLine(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await line.crash(0, ['x', 'y']);
-  const [keeper] = line.keepers as [CrashKeeper];
+  const [keeper] = line.keepers as [CrashQuarantine];
   const delaysMs: (number | undefined)[] = [];
   for (let look = 0; look < 80; look += 1) {
-    keeper.takePass('x');
+    keeper.acquirePermit('x');
     delaysMs.push(keeper.findRefusal('x')?.retryAfterMs);
     await line.clock.advance(250);
   }
@@ -49,14 +49,14 @@
 t.test('waiting calls are woken when their content is cleared or quarantined', async (t) => {
   const line = new CrashLine(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await line.crash(0, ['x', 'y']);
-  const [keeper] = line.keepers as [CrashKeeper];
+  const [keeper] = line.keepers as [CrashQuarantine];
   const woken: string[] = [];
-  keeper.waitForPass('x', () => woken.push('x'));
-  keeper.waitForPass('y', () => woken.push('y'));
-  keeper.waitForPass('y', () => woken.push('left'))();
+  keeper.waitForPermit('x', () => woken.push('x'));
+  keeper.waitForPermit('y', () => woken.push('y'));
+  keeper.waitForPermit('y', () => woken.push('left'))();
   const startedAtMs = line.clock.nowMs();
   const run = { contentId: 'y', serverId: 's-9', startedAtMs, hasSucceeded: true };
-  line.keepers[2]?.noteAnswered(run);
+  line.keepers[2]?.recordAnswer(run);
   await line.clock.advance(100);
   t.same(woken.sort(), ['x', 'y'], 'x is the only suspect left, and quarantined');
   t.ok(line.isHeld(0, 'x'));
--- a/src/application/crashes/crash_keeper.ts
+++ b/src/application/crashes/crash_keeper.ts
@@ -19,7 +19,7 @@
 import { AnsweredContents } from './_answered_contents.js';
 import { CrashNoteExchange } from './_crash_note_exchange.js';
 import { TrialQueue } from './_trial_queue.js';
-import type { Pass } from './_trial_queue.js';
+import type { Permit } from './_trial_queue.js';
 import type { CrashPaths } from './crash_paths.js';
 import { CrashDetector } from './crash_watch.js';
 import type { LostRun, ServerCrash } from './crash_watch.js';
@@ -40,8 +40,8 @@
   [SuspectState.Quarantined]: 'request_held',
 };
 
-/** Options of {@link CrashKeeper}. */
-export interface CrashKeeperOptions {
+/** Options of {@link CrashQuarantine}. */
+export interface CrashQuarantineOptions {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
@@ -67,8 +67,8 @@
  * nothing of it; without a memory that all entry hosts share, one such content takes the whole
  * service down, along with every call that runs beside it.
  */
-export class CrashKeeper {
-  readonly #options: CrashKeeperOptions;
+export class CrashQuarantine {
+  readonly #options: CrashQuarantineOptions;
 
   readonly #ledger: CrashLedger;
 
@@ -85,7 +85,7 @@
   readonly #quarantineHandlers: ((contentId: string) => void)[] = [];
 
   /** @param options - dependencies */
-  constructor(options: CrashKeeperOptions) {
+  constructor(options: CrashQuarantineOptions) {
     this.#options = options;
     const { paths } = options;
     this.#ledger = new CrashLedger({
@@ -124,12 +124,12 @@
   }
 
   /** @param handler - called with the ID of each content whose calls are refused from now on */
-  onHeld(handler: (contentId: string) => void): void {
+  onQuarantined(handler: (contentId: string) => void): void {
     this.#quarantineHandlers.push(handler);
   }
 
   /** Number of quarantined contents. */
-  get heldCount(): number {
+  get quarantinedCount(): number {
     return this.#ledger.quarantinedCount;
   }
 
@@ -157,7 +157,7 @@
    * @param hasTime - whether the caller's deadline leaves enough time for a trial
    * @returns the permit, which tells whether and how the request may be sent
    */
-  takePass(contentId: string, hasTime = true): Pass {
+  acquirePermit(contentId: string, hasTime = true): Permit {
     return this.#trials.acquirePermit(contentId, hasTime);
   }
 
@@ -168,12 +168,12 @@
    * @param resume - called once, when the request may ask again
    * @returns function that ends the wait
    */
-  waitForPass(contentId: string, resume: () => void): () => void {
+  waitForPermit(contentId: string, resume: () => void): () => void {
     return this.#trials.wait(contentId, resume);
   }
 
   /** Records a lost run. @param run - a run whose connection was closed by its server */
-  noteLost(run: LostRun): void {
+  recordLostRun(run: LostRun): void {
     this.#detector.recordLostRun(run);
   }
 
@@ -183,7 +183,7 @@
    *
    * @param run - the run that was answered
    */
-  noteAnswered({ contentId, serverId, startedAtMs, hasSucceeded }: AnsweredRun): void {
+  recordAnswer({ contentId, serverId, startedAtMs, hasSucceeded }: AnsweredRun): void {
     if (hasSucceeded) this.#clearContent(contentId);
     if (this.#ledger.isKnownBefore(serverId, startedAtMs)) this.#clearCrash(serverId);
   }
--- a/src/application/crashes/crash_keeper_test.ts
+++ b/src/application/crashes/crash_keeper_test.ts
@@ -37,7 +37,7 @@
   line.ended.clear();
   const endedAtMs = line.clock.nowMs();
   const run = { serverId: 's-1', address: 's-1:80', startedAtMs: endedAtMs - 50, endedAtMs };
-  line.keepers[2]?.noteLost({ ...run, contentId: 'y' });
+  line.keepers[2]?.recordLostRun({ ...run, contentId: 'y' });
   t.same(line.probes[2]?.asked, ['s-1:80']);
 });
 
@@ -74,7 +74,7 @@
   // crashes count as evidence for it.
   const line = new CrashLine(t, ['a', 'relay', 'b']);
   const startedAtMs = line.clock.nowMs();
-  line.keepers[2]?.noteAnswered({
+  line.keepers[2]?.recordAnswer({
     contentId: 'popular',
     serverId: 's-0',
     startedAtMs,
--- a/src/application/crashes/crash_paths.ts
+++ b/src/application/crashes/crash_paths.ts
@@ -20,7 +20,7 @@
    * @param from - a peer that sent new crash notes
    * @returns peers that receive these notes only through this entry host
    */
-  abstract listFurther(from: EntryHostIdentity): readonly EntryHostIdentity[];
+  abstract listForwardTargets(from: EntryHostIdentity): readonly EntryHostIdentity[];
 
   /** @param serverId - server that crashed. @returns ID of the crash, used by all entry hosts */
   abstract createCrashId(serverId: string): string;
--- a/src/application/crashes/mesh_crash_paths.ts
+++ b/src/application/crashes/mesh_crash_paths.ts
@@ -48,7 +48,7 @@
     return this.#options.peers.listLinkedPeers();
   }
 
-  override listFurther(): readonly EntryHostIdentity[] {
+  override listForwardTargets(): readonly EntryHostIdentity[] {
     return [];
   }
 
--- a/src/application/direct/_call_checks.ts
+++ b/src/application/direct/_call_checks.ts
@@ -7,7 +7,7 @@
 import { formatContentId, hashContent } from '../../domain/requests/mod.js';
 import type { ClientAccount, Route, RouteTable } from '../../domain/routing/mod.js';
 import type { DirectRequest } from '../../ports/mod.js';
-import type { CrashKeeper } from '../crashes/mod.js';
+import type { CrashQuarantine } from '../crashes/mod.js';
 import type { RoutingView } from './routing_keeper.js';
 
 /** Retry-after time of callers that another entry host may be able to serve, in milliseconds. */
@@ -16,7 +16,7 @@
 /** Dependencies and limits of {@link CallChecks}. */
 export interface CallChecksOptions {
   readonly routing: RoutingView;
-  readonly crashes: CrashKeeper;
+  readonly crashes: CrashQuarantine;
   /** Configuration age, in milliseconds, from which on the keys in it are no longer accepted. */
   readonly maxKeyAgeMs: number;
   /**
--- a/src/application/direct/_doubt_wait.ts
+++ b/src/application/direct/_doubt_wait.ts
@@ -40,7 +40,7 @@
       this.#cancel();
       handlers.onExpired(new SchedulerError(ErrorKind.QueueFull, { retryAfterMs: RETRY_AFTER_MS }));
     });
-    const cancelPassWait = crashes.waitForPass(contentId, () => {
+    const cancelPassWait = crashes.waitForPermit(contentId, () => {
       timer.cancel();
       handlers.onResume();
     });
--- a/src/application/direct/_run_evidence.ts
+++ b/src/application/direct/_run_evidence.ts
@@ -45,7 +45,7 @@
     if (result.isComplete) {
       const hasSucceeded =
         result.failure === undefined && result.isFramed && isSuccess(result.status);
-      crashes.noteAnswered({ contentId, serverId, startedAtMs, hasSucceeded });
+      crashes.recordAnswer({ contentId, serverId, startedAtMs, hasSucceeded });
     }
     if (result.failure === BackendFailure.Lost) this.#recordLostRun(serverId, startedAtMs);
   }
@@ -60,7 +60,7 @@
     if (address === undefined || !servers.isUsable(serverId)) return;
     const contentId = this.#contentId;
     const endedAtMs = clock.nowMs();
-    crashes.noteLost({ serverId, address, contentId, startedAtMs, endedAtMs });
+    crashes.recordLostRun({ serverId, address, contentId, startedAtMs, endedAtMs });
   }
 }
 
--- a/src/application/direct/direct_call.ts
+++ b/src/application/direct/direct_call.ts
@@ -17,8 +17,8 @@
 import type { ClientAccount } from '../../domain/routing/mod.js';
 import { BackendFailure } from '../../ports/mod.js';
 import type { DirectRequest, LogFields, Timer } from '../../ports/mod.js';
-import { PassKind } from '../crashes/mod.js';
-import type { Pass } from '../crashes/mod.js';
+import { PermitKind } from '../crashes/mod.js';
+import type { Permit } from '../crashes/mod.js';
 import { buildBackendRequest } from './_backend_request.js';
 import { findRejection } from './_call_obstacle.js';
 import { CallRecorder, buildAnswerFields } from './_call_recorder.js';
@@ -129,8 +129,8 @@
       this.shed(0);
       return;
     }
-    const pass = services.crashes.takePass(this.#options.contentId, this.#attempts.hasTimeForTrial);
-    if (pass.kind === PassKind.Wait) {
+    const pass = services.crashes.acquirePermit(this.#options.contentId, this.#attempts.hasTimeForTrial);
+    if (pass.kind === PermitKind.Wait) {
       this.#waitForPass();
       return;
     }
@@ -152,7 +152,7 @@
       stream: this.#stream,
       tokensPerEvent: this.#options.tokensPerEvent,
       // A trial stays where it is: its result is worth more than a server that may be faster.
-      mayFailOver: () => pass.kind !== PassKind.Trial && this.#attempts.mayRunAgain(),
+      mayFailOver: () => pass.kind !== PermitKind.Trial && this.#attempts.mayRunAgain(),
       request: buildBackendRequest(
         { request, account, timeLeftMs: this.#attempts.timeLeftMs, stream: this.#stream },
         server,
@@ -231,8 +231,8 @@
     this.fail(new SchedulerError(ErrorKind.EntryHostStopping));
   }
 
-  #handleAttemptResult(serverId: string, result: AttemptResult, pass: Pass): void {
-    if (!mayAttemptHaveRun(result)) pass.handBack();
+  #handleAttemptResult(serverId: string, result: AttemptResult, pass: Permit): void {
+    if (!mayAttemptHaveRun(result)) pass.returnUnused();
     this.#attempt = undefined;
     this.excluded.add(serverId);
     this.#crashEvidence.recordAttempt(serverId, result);
--- a/src/application/direct/direct_crash_paths.ts
+++ b/src/application/direct/direct_crash_paths.ts
@@ -40,7 +40,7 @@
     return this.#reports.listTargets();
   }
 
-  override listFurther(from: EntryHostIdentity): readonly EntryHostIdentity[] {
+  override listForwardTargets(from: EntryHostIdentity): readonly EntryHostIdentity[] {
     return this.#reports.listForwardTargets(from);
   }
 
--- a/src/application/direct/direct_gateway.ts
+++ b/src/application/direct/direct_gateway.ts
@@ -93,7 +93,7 @@
     options.servers.onRestart((endedId) => {
       [...this.#calls].forEach((call) => call.handleServerEnded(endedId));
     });
-    options.crashes.onHeld((contentId) => {
+    options.crashes.onQuarantined((contentId) => {
       [...this.#calls].forEach((call) => call.handleQuarantine(contentId));
     });
   }
--- a/src/application/direct/direct_services.ts
+++ b/src/application/direct/direct_services.ts
@@ -10,7 +10,7 @@
   Metrics,
   RandomSource,
 } from '../../ports/mod.js';
-import type { CrashKeeper } from '../crashes/mod.js';
+import type { CrashQuarantine } from '../crashes/mod.js';
 import type { RoutingView } from './routing_keeper.js';
 import type { ServerRegistry } from './server_keeper.js';
 
@@ -23,7 +23,7 @@
   readonly backend: DirectBackendClient;
   readonly routing: RoutingView;
   readonly servers: ServerRegistry;
-  readonly crashes: CrashKeeper;
+  readonly crashes: CrashQuarantine;
   /** @param serviceId - ID of the service to which a call is sent for the first time */
   readonly recordFirstAttempt: (serviceId: string) => void;
   /** @param serviceId - ID of the service. @returns whether the retry budget allows a retry */
--- a/src/application/entry_host/caller_gateway.ts
+++ b/src/application/entry_host/caller_gateway.ts
@@ -23,14 +23,14 @@
 } from '../views/mod.js';
 import { readJsonBody } from './_json_answer.js';
 import { relayWithFailover, resumeForCaller } from './_stream_failover.js';
-import type { IdentityIssuer } from './identity_issuer.js';
+import type { RequestIdIssuer } from './identity_issuer.js';
 import type { OwnedCalls } from './owned_calls.js';
 
 /** Options of {@link CallerGateway}. */
 export interface CallerGatewayOptions {
   readonly configuration: ConfigurationView;
   readonly membership: MembershipView;
-  readonly issuer: IdentityIssuer;
+  readonly issuer: RequestIdIssuer;
   readonly owner: OwnerService;
   readonly calls: OwnedCalls;
   readonly forwardClient: ForwardClient;
--- a/src/application/entry_host/forwarded_calls.ts
+++ b/src/application/entry_host/forwarded_calls.ts
@@ -11,13 +11,13 @@
 import type { OwnerService } from '../owner/mod.js';
 import type { CallerAnswer, ConfigurationView } from '../views/mod.js';
 import { buildJsonAnswer } from './_json_answer.js';
-import type { IdentityIssuer } from './identity_issuer.js';
+import type { RequestIdIssuer } from './identity_issuer.js';
 import type { OwnedCalls } from './owned_calls.js';
 
 /** Options of {@link ForwardedCalls}. */
 export interface ForwardedCallsOptions {
   readonly configuration: ConfigurationView;
-  readonly issuer: IdentityIssuer;
+  readonly issuer: RequestIdIssuer;
   readonly owner: OwnerService;
   readonly calls: OwnedCalls;
 }
--- a/src/application/entry_host/identity_issuer.ts
+++ b/src/application/entry_host/identity_issuer.ts
@@ -14,8 +14,8 @@
 const NONCE_BYTES = 12;
 const MAX_IDEMPOTENCY_KEYS = 20_000;
 
-/** Options of {@link IdentityIssuer}. */
-export interface IdentityIssuerOptions {
+/** Options of {@link RequestIdIssuer}. */
+export interface RequestIdIssuerOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly membership: MembershipView;
@@ -29,14 +29,14 @@
 }
 
 /** Creates and verifies request IDs, and selects the entry hosts that callers use. */
-export class IdentityIssuer {
-  readonly #options: IdentityIssuerOptions;
+export class RequestIdIssuer {
+  readonly #options: RequestIdIssuerOptions;
 
   /** Request IDs by account and idempotency key, oldest first. */
   readonly #idsByIdempotencyKey = new Map<string, RequestId>();
 
   /** @param options - dependencies and settings */
-  constructor(options: IdentityIssuerOptions) {
+  constructor(options: RequestIdIssuerOptions) {
     this.#options = options;
   }
 
--- a/src/application/entry_host/planned_stop.ts
+++ b/src/application/entry_host/planned_stop.ts
@@ -19,13 +19,13 @@
   readonly log: EventLog;
   readonly owner: OwnerService;
   /** Announces the stop to peers, which then direct callers to other entry hosts. */
-  readonly announce: () => void;
+  readonly announceStop: () => void;
   /** How long callers may use the addresses of an assignment, in milliseconds. */
   readonly keepAddressMs: number;
   /** Longest duration of the stop, in milliseconds. */
   readonly limitMs: number;
   /** Resolves to end the wait early, for instance at a second stop signal. */
-  readonly hurry: Promise<void>;
+  readonly whenForced: Promise<void>;
 }
 
 /**
@@ -39,9 +39,9 @@
 export async function runPlannedStop(options: PlannedStopOptions): Promise<boolean> {
   const { clock, log, owner } = options;
   log.write(LogLevel.Info, 'stop_started', { running: owner.runningCount });
-  options.announce();
+  options.announceStop();
   const isForced = { value: false };
-  const forced = Promise.race([waitFor(clock, options.limitMs), options.hurry]).then(() => {
+  const forced = Promise.race([waitFor(clock, options.limitMs), options.whenForced]).then(() => {
     isForced.value = true;
   });
   await Promise.race([waitFor(clock, options.keepAddressMs + STOP_NOTICE_MS), forced]);
--- a/src/application/owner/_run_request.ts
+++ b/src/application/owner/_run_request.ts
@@ -9,8 +9,8 @@
 import { SlotOutcome } from '../../ports/mod.js';
 import { settle } from '../channels/mod.js';
 import type { Step } from '../channels/mod.js';
-import { formatAddress, PassKind } from '../crashes/mod.js';
-import type { CrashKeeper, Pass } from '../crashes/mod.js';
+import { formatAddress, PermitKind } from '../crashes/mod.js';
+import type { CrashQuarantine, Permit } from '../crashes/mod.js';
 import type { Admission, AllowanceSource, Slot, SlotSource, SlotRequest } from '../views/mod.js';
 import { Attempt } from './_attempt.js';
 import type { AttemptContext, AttemptResult } from './_attempt.js';
@@ -26,7 +26,7 @@
 /** Dependencies of running a request. */
 export interface RunContext extends AttemptContext {
   readonly allowances: AllowanceSource;
-  readonly crashes: CrashKeeper;
+  readonly crashes: CrashQuarantine;
   readonly slots: SlotSource;
   readonly outputs: OutputPredictor;
   readonly retries: RetryBudget;
@@ -100,7 +100,7 @@
       signal: request.signal,
     });
     const result = yield* useSlot(context, request, call, slot, deadlineAtMs);
-    if (!request.record.isHandedOver) pass.handBack();
+    if (!request.record.isHandedOver) pass.returnUnused();
     if (!result.mayRetry) return result;
     checkMayRetry(context, request, result, { attempt, deadlineAtMs });
     if (result.use.outcome === SlotOutcome.Refused) excluded.push(slot.backendServer.id);
@@ -111,7 +111,7 @@
 /** A granted slot, together with the crash keeper's permission to send the request. */
 interface DispatchPermit {
   readonly slot: Slot;
-  readonly pass: Pass;
+  readonly pass: Permit;
 }
 
 /**
@@ -130,8 +130,8 @@
       slot.release(UNUSED_SLOT);
       throw refusal;
     }
-    const pass = context.crashes.takePass(request.contentId);
-    if (pass.kind !== PassKind.Wait) return { slot, pass };
+    const pass = context.crashes.acquirePermit(request.contentId);
+    if (pass.kind !== PermitKind.Wait) return { slot, pass };
     slot.release(UNUSED_SLOT);
     yield* settle(waitForPass(context, request));
   }
@@ -148,7 +148,7 @@
 function waitForPass({ crashes }: RunContext, request: OwnedRequest): Promise<void> {
   const { signal, contentId } = request;
   return new Promise((resolve, reject) => {
-    const stopWaiting = crashes.waitForPass(contentId, resolve);
+    const stopWaiting = crashes.waitForPermit(contentId, resolve);
     const abort = (): void => {
       stopWaiting();
       reject(request.record.error ?? new SchedulerError(ErrorKind.Cancelled));
@@ -190,11 +190,11 @@
   const { slot, result, startedAtMs } = run;
   const { id: serverId, url } = slot.backendServer;
   const { hasSucceeded } = result;
-  if (!result.error) crashes.noteAnswered({ contentId, serverId, startedAtMs, hasSucceeded });
+  if (!result.error) crashes.recordAnswer({ contentId, serverId, startedAtMs, hasSucceeded });
   const wasLost = record.isHandedOver && result.use.outcome === SlotOutcome.Failed;
   if (!wasLost || membership.isBackendServerLeaving(serverId)) return;
   const address = formatAddress(url);
-  crashes.noteLost({ contentId, serverId, address, startedAtMs, endedAtMs: clock.nowMs() });
+  crashes.recordLostRun({ contentId, serverId, address, startedAtMs, endedAtMs: clock.nowMs() });
 }
 
 /** Throws if a request whose body was never sent must not be attempted again. */
--- a/src/application/owner/owner_service.ts
+++ b/src/application/owner/owner_service.ts
@@ -17,7 +17,7 @@
   Tracer,
 } from '../../ports/mod.js';
 import { Signal, startProcess } from '../channels/mod.js';
-import type { CrashKeeper } from '../crashes/mod.js';
+import type { CrashQuarantine } from '../crashes/mod.js';
 import type { AllowanceSource, MembershipView, RequestReport, SlotSource } from '../views/mod.js';
 import { recordRequestEnd } from './_record_request_end.js';
 import { runRequest } from './_run_request.js';
@@ -43,7 +43,7 @@
   readonly tracer: Tracer;
   readonly membership: MembershipView;
   readonly allowances: AllowanceSource;
-  readonly crashes: CrashKeeper;
+  readonly crashes: CrashQuarantine;
   readonly slots: SlotSource;
   readonly backend: BackendServerClient;
   /** Maximum total size of the finished answers that are retained, in bytes. */
@@ -93,7 +93,7 @@
       outputs: new OutputPredictor(),
       retries: new RetryBudget(options.clock.nowMs()),
     };
-    options.crashes.onHeld((contentId) => this.#refuseQuarantined(contentId));
+    options.crashes.onQuarantined((contentId) => this.#refuseQuarantined(contentId));
   }
 
   /** Number of running requests. */
--- a/src/commands/_direct_gauges.ts
+++ b/src/commands/_direct_gauges.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { HdrMetrics } from '../adapters/metrics/mod.js';
-import type { CrashKeeper } from '../application/crashes/mod.js';
+import type { CrashQuarantine } from '../application/crashes/mod.js';
 import type { DirectGateway, HostReports, StoreView } from '../application/direct/mod.js';
 
 /** Components whose current state the gauges report. */
@@ -12,7 +12,7 @@
   readonly storeView: StoreView;
   readonly gateway: DirectGateway;
   readonly reports: HostReports;
-  readonly crashes: CrashKeeper;
+  readonly crashes: CrashQuarantine;
   readonly isServing: boolean;
 }
 
@@ -35,5 +35,5 @@
   metrics.set('passes_reports_on', reports.isRelay ? 1 : 0);
   metrics.set('zones_closed', storeView.places.closedCount);
   metrics.set('backend_servers_cold', storeView.servers.coldCount);
-  metrics.set('requests_held', crashes.heldCount);
+  metrics.set('requests_held', crashes.quarantinedCount);
 }
--- a/src/commands/_entry_parts.ts
+++ b/src/commands/_entry_parts.ts
@@ -16,15 +16,15 @@
 import { SystemRandom } from '../adapters/random/mod.js';
 import { TcpServerProbe } from '../adapters/server_probe/mod.js';
 import { OtelTracer } from '../adapters/tracing/mod.js';
-import { AllowanceKeeper } from '../application/allowances/mod.js';
+import { AllowanceManager } from '../application/allowances/mod.js';
 import { ConfigurationReplica } from '../application/configuration/mod.js';
-import { CrashKeeper, formatAddress, MeshCrashPaths } from '../application/crashes/mod.js';
+import { CrashQuarantine, formatAddress, MeshCrashPaths } from '../application/crashes/mod.js';
 import { DispatcherService, SlotClient } from '../application/dispatcher/mod.js';
 import type { DispatcherOptions } from '../application/dispatcher/mod.js';
 import {
   CallerGateway,
   ForwardedCalls,
-  IdentityIssuer,
+  RequestIdIssuer,
   OwnedCalls,
 } from '../application/entry_host/mod.js';
 import { ForwardClient, ForwardServer } from '../application/forwarding/mod.js';
@@ -161,7 +161,7 @@
   late.listLoads = () => dispatcher.listGroupLoads();
   const slots = new SlotClient({ ...options, dispatcher });
   membership.onGroupLoads((incarnation, groups) => slots.handleGroupLoads(incarnation, groups));
-  const allowances = new AllowanceKeeper({ ...base, ...clusterViews });
+  const allowances = new AllowanceManager({ ...base, ...clusterViews });
   return { backend, dispatcher, slots, allowances };
 }
 
@@ -169,14 +169,14 @@
 function createCrashQuarantine(
   base: ReturnType<typeof createBaseParts>,
   { peers, configuration, membership }: ReturnType<typeof createClusterViews>,
-): CrashKeeper {
+): CrashQuarantine {
   const findAddress = (id: string): string | undefined => {
     if (membership.isBackendServerLeaving(id)) return undefined;
     const server = configuration.findBackendServer(id);
     return server && formatAddress(server.url);
   };
   const paths = new MeshCrashPaths({ ...base, peers, selfId: membership.self.id, findAddress });
-  return new CrashKeeper({ ...base, peers, probe: new TcpServerProbe(), paths });
+  return new CrashQuarantine({ ...base, peers, probe: new TcpServerProbe(), paths });
 }
 
 /** Creates the owner service, the forwarding between entry hosts and the callers' listener. */
@@ -195,7 +195,7 @@
     answerKeepMs: settings.answerKeepMs,
     maxRecords: MAX_REQUEST_RECORDS,
   });
-  const issuer = new IdentityIssuer({
+  const issuer = new RequestIdIssuer({
     ...shared,
     clusterKey: settings.clusterKey,
     requestIdLifetimeMs: settings.requestIdLifetimeMs,
--- a/src/commands/_entry_process.ts
+++ b/src/commands/_entry_process.ts
@@ -64,13 +64,13 @@
       clock,
       log,
       owner,
-      announce: () => {
+      announceStop: () => {
         membership.setStopping();
         callers.drain();
       },
       keepAddressMs: settings.keepAddressMs,
       limitMs: settings.stopLimitMs,
-      hurry: whenForced,
+      whenForced: whenForced,
     });
     // Answers that are forwarded for other owners, or that slow callers still read, get the rest
     // of the stop limit. A forced stop grants them only the close timeout.
--- a/src/commands/direct_entry.ts
+++ b/src/commands/direct_entry.ts
@@ -11,7 +11,7 @@
 import type { WsPeerNetwork } from '../adapters/peers_ws/mod.js';
 import { SystemRandom } from '../adapters/random/mod.js';
 import { TcpServerProbe } from '../adapters/server_probe/mod.js';
-import { CrashKeeper } from '../application/crashes/mod.js';
+import { CrashQuarantine } from '../application/crashes/mod.js';
 import {
   AccountSpending,
   buildReportStats,
@@ -94,7 +94,7 @@
 
   readonly #feedDistributor: FeedDistributor;
 
-  readonly #crashes: CrashKeeper;
+  readonly #crashes: CrashQuarantine;
 
   readonly #gateway: DirectGateway;
 
@@ -135,7 +135,7 @@
       reports: this.#reports,
       follower: this.#feedFollower,
     });
-    this.#crashes = new CrashKeeper({
+    this.#crashes = new CrashQuarantine({
       ...shared,
       peers: this.#peers,
       probe: new TcpServerProbe(),
--- a/test/support/allowance_hosts.ts
+++ b/test/support/allowance_hosts.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { AllowanceKeeper } from '../../src/application/allowances/mod.js';
+import { AllowanceManager } from '../../src/application/allowances/mod.js';
 import type { Admission } from '../../src/application/views/mod.js';
 import type { AccountContract, AccountLimits } from '../../src/domain/contracts/types.js';
 import { SchedulerError } from '../../src/domain/errors/mod.js';
@@ -38,7 +38,7 @@
 /** One entry host of {@link AllowanceHosts}. */
 interface Host {
   readonly identity: EntryHostIdentity;
-  readonly manager: AllowanceKeeper;
+  readonly manager: AllowanceManager;
   readonly handlers: MessageHandlers;
   readonly running: Set<Admission>;
   pausedUntilMs: number;
@@ -126,7 +126,7 @@
     this.#lastOrder += 1;
     const identity = buildIdentity(id, `${id}-${this.#lastOrder}`);
     const handlers: MessageHandlers = new Map();
-    const manager = new AllowanceKeeper({
+    const manager = new AllowanceManager({
       clock: new CallbackClock(
         () => this.nowMs,
         (delayMs, callback) => this.#setTimer(id, delayMs, callback),
--- a/test/support/crash_line.ts
+++ b/test/support/crash_line.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Test } from 'tap';
-import { CrashKeeper, CrashPaths } from '../../src/application/crashes/mod.js';
+import { CrashQuarantine, CrashPaths } from '../../src/application/crashes/mod.js';
 import { ErrorKind } from '../../src/domain/errors/mod.js';
 import type { EntryHostIdentity } from '../../src/domain/membership/mod.js';
 import { PeerMessageType, Reachability } from '../../src/ports/mod.js';
@@ -36,7 +36,7 @@
     return this.peers.listLinkedPeers();
   }
 
-  override listFurther(from: EntryHostIdentity): readonly EntryHostIdentity[] {
+  override listForwardTargets(from: EntryHostIdentity): readonly EntryHostIdentity[] {
     if (!this.isRelay) return [];
     return this.listTargets().filter(({ incarnation }) => incarnation !== from.incarnation);
   }
@@ -63,7 +63,7 @@
   /** Reachability of the crashed servers by address. */
   readonly ended = new Map<string, Reachability>();
 
-  readonly keepers: CrashKeeper[] = [];
+  readonly keepers: CrashQuarantine[] = [];
 
   readonly probes: FakeProbe[] = [];
 
@@ -84,7 +84,7 @@
     const { clock, hub, ended, t } = this;
     const peers = new FakePeerNetwork(hub, buildIdentity(name));
     const probe = new FakeProbe(ended);
-    const keeper = new CrashKeeper({
+    const keeper = new CrashQuarantine({
       clock,
       log: new FakeLog(),
       metrics: new FakeMetrics(),
@@ -108,7 +108,7 @@
     const endedAtMs = this.clock.nowMs();
     const startedAtMs = endedAtMs - 50;
     contentIds.forEach((contentId) => {
-      this.keepers[index]?.noteLost({ serverId, address, contentId, startedAtMs, endedAtMs });
+      this.keepers[index]?.recordLostRun({ serverId, address, contentId, startedAtMs, endedAtMs });
     });
     await this.clock.advance(100);
   }
--- a/test/support/direct_host.ts
+++ b/test/support/direct_host.ts
@@ -12,7 +12,7 @@
   StoreView,
 } from '../../src/application/direct/mod.js';
 import type { RoutingView, ServerRegistry, StoreLayout } from '../../src/application/direct/mod.js';
-import { CrashKeeper, MeshCrashPaths } from '../../src/application/crashes/mod.js';
+import { CrashQuarantine, MeshCrashPaths } from '../../src/application/crashes/mod.js';
 import type { BackendServerEntry } from '../../src/domain/backend_servers/mod.js';
 import type { EntryHostIdentity } from '../../src/domain/membership/mod.js';
 import type {
@@ -155,7 +155,7 @@
 
   readonly gateway: DirectGateway;
 
-  readonly crashes: CrashKeeper;
+  readonly crashes: CrashQuarantine;
 
   readonly follower: FeedFollower;
 
@@ -184,7 +184,7 @@
     });
     this.routing = this.knowledge.routing;
     this.servers = this.knowledge.servers;
-    this.crashes = new CrashKeeper({
+    this.crashes = new CrashQuarantine({
       ...shared,
       probe: this.probe,
       peers: this.peers,
--- a/test/support/owner_hosts.ts
+++ b/test/support/owner_hosts.ts
@@ -4,12 +4,12 @@
  *
  * @module
  */
-import { CrashKeeper, MeshCrashPaths } from '../../src/application/crashes/mod.js';
+import { CrashQuarantine, MeshCrashPaths } from '../../src/application/crashes/mod.js';
 import { OwnerService } from '../../src/application/owner/mod.js';
 import {
   CallerGateway,
   ForwardedCalls,
-  IdentityIssuer,
+  RequestIdIssuer,
   OwnedCalls,
 } from '../../src/application/entry_host/mod.js';
 import { ForwardClient, ForwardServer } from '../../src/application/forwarding/mod.js';
@@ -173,7 +173,7 @@
 
   readonly owner: OwnerService;
 
-  readonly crashes: CrashKeeper;
+  readonly crashes: CrashQuarantine;
 
   readonly #forwardServer: ForwardServer;
 
@@ -202,7 +202,7 @@
       allowances: { admit: () => ({ release: () => undefined }) },
       slots: { acquire: (slotRequest: SlotRequest) => grantSlot(clock, slotRequest) },
     };
-    this.crashes = new CrashKeeper({
+    this.crashes = new CrashQuarantine({
       ...shared,
       probe: world.probe ?? new FakeProbe(),
       paths: new MeshCrashPaths({
@@ -218,7 +218,7 @@
       answerKeepMs: 60_000,
       maxRecords: MAX_RECORDS,
     });
-    const issuer = new IdentityIssuer({
+    const issuer = new RequestIdIssuer({
       ...shared,
       clusterKey: CLUSTER_KEY,
       requestIdLifetimeMs: REQUEST_ID_LIFETIME_MS,
