--- a/src/adapters/logging/mod.ts
+++ b/src/adapters/logging/mod.ts
@@ -15,5 +15,5 @@
 export type { LogDestination } from './bounded_output.js';
 export { formatLogLine, formatLogValue } from './log_line.js';
 export type { LogRecord } from './log_line.js';
-export { LimitedEventLog } from './rate_limited_event_log.js';
+export { RateLimitedEventLog } from './rate_limited_event_log.js';
 export type { RateLimitedEventLogOptions } from './rate_limited_event_log.js';
--- a/src/adapters/logging/rate_limited_event_log.ts
+++ b/src/adapters/logging/rate_limited_event_log.ts
@@ -31,7 +31,7 @@
  * lines would otherwise use the CPU time that requests need. Warnings and errors are rare and
  * always written.
  */
-export class LimitedEventLog extends EventLog {
+export class RateLimitedEventLog extends EventLog {
   readonly #options: Required<RateLimitedEventLogOptions>;
 
   #windowEndsAtMs = Number.NEGATIVE_INFINITY;
--- a/src/adapters/metrics/hdr_metrics.ts
+++ b/src/adapters/metrics/hdr_metrics.ts
@@ -86,7 +86,7 @@
    * @param label - label to group by
    * @returns the sum for each value of the label
    */
-  computeSums(name: string, label: string): Readonly<Record<string, number>> {
+  sumByLabel(name: string, label: string): Readonly<Record<string, number>> {
     const sums: Record<string, number> = {};
     this.#counters
       .get(name)
--- a/src/adapters/metrics/hdr_metrics_test.ts
+++ b/src/adapters/metrics/hdr_metrics_test.ts
@@ -87,6 +87,6 @@
   metrics.count('refusals_total', { kind: 'queue_full', route: 'a' }, 2);
   metrics.count('refusals_total', { kind: 'queue_full', route: 'b' });
   metrics.count('refusals_total', { kind: 'rate_limited', route: 'a' });
-  t.same(metrics.computeSums('refusals_total', 'kind'), { queue_full: 3, rate_limited: 1 });
-  t.same(metrics.computeSums('unknown_total', 'kind'), {});
+  t.same(metrics.sumByLabel('refusals_total', 'kind'), { queue_full: 3, rate_limited: 1 });
+  t.same(metrics.sumByLabel('unknown_total', 'kind'), {});
 });
--- a/src/adapters/peers_ws/_link_monitor.ts
+++ b/src/adapters/peers_ws/_link_monitor.ts
@@ -13,7 +13,7 @@
   /** Time without received data after which a link is pinged, in ms; also the check interval. */
   readonly pingAfterMs: number;
   /** Time without received data after which a link is ended, in milliseconds. */
-  readonly silentAfterMs: number;
+  readonly linkTimeoutMs: number;
   /** Returns all links, including those in their handshake. */
   readonly listLinks: () => readonly PeerLink[];
 }
@@ -50,7 +50,7 @@
   }
 
   #checkLinks(): void {
-    const { clock, silentAfterMs: timeoutMs, listLinks } = this.#options;
+    const { clock, linkTimeoutMs: timeoutMs, listLinks } = this.#options;
     const nowMs = clock.nowMs();
     const wasPaused = nowMs - this.#lastCheckAtMs >= timeoutMs;
     this.#lastCheckAtMs = nowMs;
@@ -62,7 +62,7 @@
   }
 
   #checkLink(link: PeerLink, silentMs: number): void {
-    const { pingAfterMs, silentAfterMs: timeoutMs } = this.#options;
+    const { pingAfterMs, linkTimeoutMs: timeoutMs } = this.#options;
     if (silentMs >= timeoutMs) link.end(LinkEndCause.Silent, `silent for ${silentMs} ms`);
     else if (silentMs >= pingAfterMs) link.sendPing();
   }
--- a/src/adapters/peers_ws/ws_peer_network_options.ts
+++ b/src/adapters/peers_ws/ws_peer_network_options.ts
@@ -29,7 +29,7 @@
   /** Time without received data after which a link is pinged, in milliseconds. Default: 1000. */
   readonly pingAfterMs?: number;
   /** Time without received data after which a link is replaced, in milliseconds. Default: 3000. */
-  readonly silentAfterMs?: number;
+  readonly linkTimeoutMs?: number;
   /** Shortest backoff between attempts to dial an address, in milliseconds. Default: 100. */
   readonly minRedialMs?: number;
   /** Longest backoff between attempts to dial an address, in milliseconds. Default: 5000. */
@@ -62,7 +62,7 @@
     maxBufferedBytes: options.maxBufferedBytes ?? 16 * MEBIBYTE,
     maxUnauthenticatedLinks: options.maxUnauthenticatedLinks ?? 256,
     pingAfterMs: options.pingAfterMs ?? 1_000,
-    silentAfterMs: options.silentAfterMs ?? 3_000,
+    linkTimeoutMs: options.linkTimeoutMs ?? 3_000,
     minRedialMs: options.minRedialMs ?? 100,
     maxRedialMs: options.maxRedialMs ?? 5_000,
     closeTimeoutMs: options.closeTimeoutMs ?? 1_000,
--- a/src/adapters/platform_http/http_platform_reader.ts
+++ b/src/adapters/platform_http/http_platform_reader.ts
@@ -36,7 +36,7 @@
   /** Connect timeout in milliseconds. Default: {@link CONNECT_TIMEOUT_MS}. */
   readonly connectTimeoutMs?: number;
   /** Time in ms, beyond the wait, to receive the response. Default: {@link RESPONSE_MARGIN_MS}. */
-  readonly answerMarginMs?: number;
+  readonly responseMarginMs?: number;
   /** Maximum size of a response in bytes. Default: {@link MAX_RESPONSE_BYTES}. */
   readonly maxResponseBytes?: number;
 }
@@ -52,7 +52,7 @@
     super();
     this.#options = {
       connectTimeoutMs: CONNECT_TIMEOUT_MS,
-      answerMarginMs: RESPONSE_MARGIN_MS,
+      responseMarginMs: RESPONSE_MARGIN_MS,
       maxResponseBytes: MAX_RESPONSE_BYTES,
       ...options,
     };
@@ -72,7 +72,7 @@
    * @throws Error when the service can't be read within the time and size limits
    */
   override async read(prefix: string, options: PlatformReadOptions): Promise<PlatformSnapshot> {
-    const { clock, connectTimeoutMs, answerMarginMs: marginMs, maxResponseBytes } = this.#options;
+    const { clock, connectTimeoutMs, responseMarginMs: marginMs, maxResponseBytes } = this.#options;
     const { afterIndex, waitMs, signal } = options;
     const maxWaitMs = afterIndex > 0 ? waitMs * (1 + MAX_WAIT_JITTER_FRACTION) : 0;
     const response = readAnswer({
--- a/src/commands/_direct_peers.ts
+++ b/src/commands/_direct_peers.ts
@@ -82,7 +82,7 @@
     log,
     metrics,
     pingAfterMs: PEER_PING_AFTER_MS,
-    silentAfterMs: PEER_LINK_TIMEOUT_MS,
+    linkTimeoutMs: PEER_LINK_TIMEOUT_MS,
     maxRedialMs: MAX_PEER_REDIAL_MS,
   });
 }
--- a/src/commands/_entry_admin.ts
+++ b/src/commands/_entry_admin.ts
@@ -44,7 +44,7 @@
     listEntryHosts: () => membership.listEntryHosts(),
     listBackendServers: () => listBackendServers(parts),
     listQueues: () => dispatcher.listQueues(),
-    listRefusals: () => metrics.computeSums('caller_refusals_total', 'kind'),
+    listRefusals: () => metrics.sumByLabel('caller_refusals_total', 'kind'),
     getMetricsText: () => metrics.exportPrometheus(),
     checkContract,
   };
--- a/src/commands/_entry_parts.ts
+++ b/src/commands/_entry_parts.ts
@@ -79,7 +79,7 @@
  * a silent watch hides changes until it is abandoned.
  */
 function createPlatformReader(baseUrl: string, clock: SystemClock): HttpPlatformReader {
-  return new HttpPlatformReader({ baseUrl, clock, answerMarginMs: PLATFORM_RESPONSE_MARGIN_MS });
+  return new HttpPlatformReader({ baseUrl, clock, responseMarginMs: PLATFORM_RESPONSE_MARGIN_MS });
 }
 
 /** Creates the peer links and the views of the configuration and the membership. */
--- a/src/commands/direct_entry.ts
+++ b/src/commands/direct_entry.ts
@@ -6,7 +6,7 @@
 import { SystemClock } from '../adapters/clock/mod.js';
 import { DirectListener } from '../adapters/direct_http/mod.js';
 import type { DirectDialect } from '../adapters/direct_http/mod.js';
-import { LimitedEventLog, PinoEventLog } from '../adapters/logging/mod.js';
+import { RateLimitedEventLog, PinoEventLog } from '../adapters/logging/mod.js';
 import { HdrMetrics } from '../adapters/metrics/mod.js';
 import type { WsPeerNetwork } from '../adapters/peers_ws/mod.js';
 import { SystemRandom } from '../adapters/random/mod.js';
@@ -72,7 +72,7 @@
 export class DirectEntry {
   readonly clock = new SystemClock();
 
-  readonly log: EventLog = new LimitedEventLog({ log: new PinoEventLog(), clock: this.clock });
+  readonly log: EventLog = new RateLimitedEventLog({ log: new PinoEventLog(), clock: this.clock });
 
   readonly metrics = new HdrMetrics({ clock: this.clock });
 
