--- a/soak/soak_fleet.ts
+++ b/soak/soak_fleet.ts
@@ -211,7 +211,7 @@
     const added = Array.from({ length: this.#addedRoutes }, (_, index) => `/added-${index}/`);
     this.fleet.store.put(
       'op/config',
-      buildConfiguration(this.#version, { apiKeys, addedPrefixes: added }),
+      buildConfiguration(this.#version, { apiKeys, additionalPrefixes: added }),
     );
   }
 
@@ -222,9 +222,9 @@
       service: 'engines',
       store: this.fleet.store,
       slots: REPLICA_SLOTS,
-      firstMs: 10,
+      firstByteDelayMs: 10,
       events: STREAM_EVENTS,
-      gapMs: EVENT_GAP_MS,
+      eventIntervalMs: EVENT_GAP_MS,
     });
   }
 
--- a/src/adapters/direct_http/direct_backend_http.ts
+++ b/src/adapters/direct_http/direct_backend_http.ts
@@ -16,7 +16,7 @@
 const MAX_CONNECTIONS_PER_SERVER = 24;
 
 /** Sends requests to backend servers over pooled connections. */
-export class HttpDirectBackend extends DirectBackendClient {
+export class HttpDirectBackendClient extends DirectBackendClient {
   readonly #dialect: DirectDialect;
 
   readonly #agent = new BackendAgent(MAX_CONNECTIONS_PER_SERVER);
--- a/src/adapters/direct_http/direct_backend_http_test.ts
+++ b/src/adapters/direct_http/direct_backend_http_test.ts
@@ -2,12 +2,12 @@
 import t from 'tap';
 import { BackendFailure } from '../../ports/mod.js';
 import type { BackendExchange, BackendListener } from '../../ports/mod.js';
-import { HttpDirectBackend } from './direct_backend_http.js';
+import { HttpDirectBackendClient } from './direct_backend_http.js';
 import { buildRequest, collectResult, startRawServer, TestDialect } from './_test_servers.js';
 import type { RawServer, ExchangeResult } from './_test_servers.js';
 
 function send(
-  backend: HttpDirectBackend,
+  backend: HttpDirectBackendClient,
   server: RawServer,
   requestId = 'r-1',
   lifeId = 'engine-1@1',
@@ -31,7 +31,7 @@
   serve: (socket: Socket, request: number) => void,
 ): Promise<ExchangeResult> {
   const server = await startRawServer(serve);
-  const backend = new HttpDirectBackend(new TestDialect());
+  const backend = new HttpDirectBackendClient(new TestDialect());
   const seen = await collectResult(send(backend, server));
   backend.close();
   server.close();
@@ -111,7 +111,7 @@
 t.test('HttpDirectBackend reports NotSent when no connection can be opened', async (t) => {
   const server = await startRawServer(() => undefined);
   server.close();
-  const backend = new HttpDirectBackend(new TestDialect());
+  const backend = new HttpDirectBackendClient(new TestDialect());
   const seen = await collectResult(send(backend, server));
   t.equal(seen.failure, BackendFailure.NotSent);
   backend.close();
@@ -132,7 +132,7 @@
     socket.write(answer);
     if (request === 1) setImmediate(() => socket.write(answer));
   });
-  const backend = new HttpDirectBackend(new TestDialect());
+  const backend = new HttpDirectBackendClient(new TestDialect());
   const first = await collectResult(send(backend, server, 'r-1'));
   await server.firstClosed;
   const second = await collectResult(send(backend, server, 'r-2'));
@@ -152,7 +152,7 @@
       `HTTP/1.1 200 OK\r\nX-Id: r-${request}\r\nX-Mark: m\r\nContent-Length: 2\r\n\r\nok`,
     ),
   );
-  const backend = new HttpDirectBackend(new TestDialect());
+  const backend = new HttpDirectBackendClient(new TestDialect());
   await collectResult(send(backend, server, 'r-1'));
   await collectResult(send(backend, server, 'r-2'));
   t.equal(server.countConnections(), 1);
@@ -166,7 +166,7 @@
   const server = await startRawServer((socket) =>
     socket.end('HTTP/1.1 200 OK\r\nX-Id: r-1\r\nX-Mark: m\r\nContent-Length: 2\r\n\r\nok'),
   );
-  const backend = new HttpDirectBackend(new TestDialect());
+  const backend = new HttpDirectBackendClient(new TestDialect());
   let exchange: BackendExchange | undefined;
   let mayHaveLeftAtFirst: boolean | undefined;
   await collectResult((listener) => {
--- a/src/adapters/http_common/read_answer.ts
+++ b/src/adapters/http_common/read_answer.ts
@@ -8,21 +8,21 @@
 import type { Clock, Timer } from '../../ports/mod.js';
 
 /** The URL to read, and the limits. */
-export interface ReadAnswerOptions {
+export interface FetchOptions {
   readonly url: URL;
   readonly agent: Agent;
   readonly clock: Clock;
   /** Longest time to open a connection, in milliseconds. */
   readonly connectTimeoutMs: number;
   /** Longest time until the response is complete, in milliseconds. */
-  readonly answerTimeoutMs: number;
+  readonly responseTimeoutMs: number;
   readonly maxBytes: number;
   /** Aborts the read. */
   readonly signal?: AbortSignal;
 }
 
 /** A complete response. */
-export interface ReadAnswer {
+export interface FetchedResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: Buffer;
@@ -38,7 +38,7 @@
  * @returns the response, whatever its status
  * @throws Error when no complete response arrives within the limits
  */
-export async function readAnswer(options: ReadAnswerOptions): Promise<ReadAnswer> {
+export async function fetchResponse(options: FetchOptions): Promise<FetchedResponse> {
   const { url, agent, signal, maxBytes } = options;
   const call = request(url, { agent, headers: { accept: 'application/json' } });
   const timers = [startConnectTimer(call, options), startResponseTimer(call, options)];
@@ -57,7 +57,7 @@
   }
 }
 
-function startConnectTimer(call: ClientRequest, options: ReadAnswerOptions): Timer {
+function startConnectTimer(call: ClientRequest, options: FetchOptions): Timer {
   const { clock, connectTimeoutMs, url } = options;
   const timer = clock.setTimer(connectTimeoutMs, () => {
     call.destroy(new Error(`Cannot connect to ${url.host} in ${connectTimeoutMs} ms`));
@@ -69,8 +69,8 @@
   return timer;
 }
 
-function startResponseTimer(call: ClientRequest, options: ReadAnswerOptions): Timer {
-  const { clock, answerTimeoutMs, url } = options;
+function startResponseTimer(call: ClientRequest, options: FetchOptions): Timer {
+  const { clock, responseTimeoutMs: answerTimeoutMs, url } = options;
   return clock.setTimer(answerTimeoutMs, () => {
     call.destroy(new Error(`Cannot read ${url.host}: it has gone silent`));
   });
--- a/src/adapters/platform_http/http_platform_reader.ts
+++ b/src/adapters/platform_http/http_platform_reader.ts
@@ -8,7 +8,7 @@
 import { formatReason } from '../../domain/errors/mod.js';
 import { PlatformReader } from '../../ports/mod.js';
 import type { Clock, PlatformReadOptions, PlatformSnapshot } from '../../ports/mod.js';
-import { readAnswer } from '../http_common/mod.js';
+import { fetchResponse } from '../http_common/mod.js';
 import { decodeSnapshot } from './_snapshot.js';
 
 /** Default connect timeout in milliseconds. */
@@ -75,12 +75,12 @@
     const { clock, connectTimeoutMs, responseMarginMs: marginMs, maxResponseBytes } = this.#options;
     const { afterIndex, waitMs, signal } = options;
     const maxWaitMs = afterIndex > 0 ? waitMs * (1 + MAX_WAIT_JITTER_FRACTION) : 0;
-    const response = readAnswer({
+    const response = fetchResponse({
       url: this.#buildUrl(prefix, options),
       agent: this.#agent,
       clock,
       connectTimeoutMs,
-      answerTimeoutMs: maxWaitMs + marginMs,
+      responseTimeoutMs: maxWaitMs + marginMs,
       maxBytes: maxResponseBytes,
       signal,
     });
--- a/src/commands/_direct_gateway.ts
+++ b/src/commands/_direct_gateway.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { HttpDirectBackend } from '../adapters/direct_http/mod.js';
+import { HttpDirectBackendClient } from '../adapters/direct_http/mod.js';
 import type { DirectDialect } from '../adapters/direct_http/mod.js';
 import { DirectGateway } from '../application/direct/mod.js';
 import type { DirectGatewayOptions, HostReports } from '../application/direct/mod.js';
@@ -37,7 +37,7 @@
   const { settings, dialect, reports } = parts;
   return new DirectGateway({
     ...parts,
-    backend: new HttpDirectBackend(dialect),
+    backend: new HttpDirectBackendClient(dialect),
     retryBounds: {
       ratio: settings.retryRatio,
       slack: settings.retrySlack,
