--- a/bench/_statistics.ts
+++ b/bench/_statistics.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { createHistogram, readLatency, recordMs } from '../src/load/mod.js';
+import { createHistogram, summarizeLatency, recordMs } from '../src/load/mod.js';
 import type { LatencySummary } from '../src/load/mod.js';
 
 /** A measured point. */
@@ -56,5 +56,5 @@
 export function computeLatency(values: readonly number[]): LatencySummary {
   const histogram = createHistogram();
   values.forEach((value) => recordMs(histogram, value));
-  return readLatency(histogram);
+  return summarizeLatency(histogram);
 }
--- a/src/caller/caller_client.ts
+++ b/src/caller/caller_client.ts
@@ -41,7 +41,7 @@
    * Time without data, in milliseconds, after which the client asks an entry host for the state of
    * the request. Default: 10,000.
    */
-  readonly silenceMs?: number;
+  readonly silenceTimeoutMs?: number;
   /** Default: the system clock. */
   readonly clock?: Clock;
 }
@@ -61,7 +61,7 @@
       },
       addresses: new AddressBook(options.urls, clock),
       apiKey: options.apiKey,
-      silenceTimeoutMs: options.silenceMs ?? DEFAULT_SILENCE_TIMEOUT_MS,
+      silenceTimeoutMs: options.silenceTimeoutMs ?? DEFAULT_SILENCE_TIMEOUT_MS,
     };
   }
 
--- a/src/commands/load.ts
+++ b/src/commands/load.ts
@@ -8,7 +8,7 @@
 import {
   buildDefaultPlan,
   buildLoadReport,
-  computePlanMs,
+  computePlanDurationMs,
   parseLoadPlan,
   readRunRecords,
   runLoad,
@@ -110,7 +110,7 @@
       });
     }
     const plan = parseLoadPlan(JSON.parse(await readFile(this.planFile, 'utf8')));
-    const timeScale = seconds ? (seconds * MS_PER_SECOND) / computePlanMs(plan) : 1;
+    const timeScale = seconds ? (seconds * MS_PER_SECOND) / computePlanDurationMs(plan) : 1;
     return {
       ...plan,
       phases: plan.phases.map((phase) => ({ ...phase, seconds: phase.seconds * timeScale })),
--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -58,7 +58,7 @@
  * @param plan - the plan
  * @returns the duration in milliseconds
  */
-export function computePlanMs(plan: LoadPlan): number {
+export function computePlanDurationMs(plan: LoadPlan): number {
   return plan.phases.reduce((sum, phase) => sum + phase.seconds * MS_PER_SECOND, 0);
 }
 
--- a/src/load/arrivals_test.ts
+++ b/src/load/arrivals_test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import t from 'tap';
-import { buildDefaultPlan, computePlanMs, listArrivals, LoadRandom, parseLoadPlan } from './mod.js';
+import { buildDefaultPlan, computePlanDurationMs, listArrivals, LoadRandom, parseLoadPlan } from './mod.js';
 import type { LoadPlan } from './mod.js';
 
 function buildPlan(requestsPerSecond: number): LoadPlan {
@@ -34,7 +34,7 @@
         (seed, rate) => {
           const plan = buildPlan(rate);
           const arrivals = listArrivals(plan, new LoadRandom(seed));
-          const expected = (rate * computePlanMs(plan)) / 1000;
+          const expected = (rate * computePlanDurationMs(plan)) / 1000;
           const isNearRate = Math.abs(arrivals.length - expected) < 6 * Math.sqrt(expected);
           const isOrdered = arrivals.every(
             (arrival, index) => index === 0 || arrival.atMs >= (arrivals[index - 1]?.atMs ?? 0),
--- a/src/load/mod.ts
+++ b/src/load/mod.ts
@@ -6,7 +6,7 @@
  *
  * @module
  */
-export { computePlanMs, listArrivals } from './arrivals.js';
+export { computePlanDurationMs, listArrivals } from './arrivals.js';
 export type { Arrival } from './arrivals.js';
 export { ASSUMED_CACHE_LIFETIME_MS, compareRuns, computeWastedPrefill } from './compare_runs.js';
 export type { RunComparison, WastedPrefill } from './compare_runs.js';
@@ -25,5 +25,5 @@
 export type { LoadRun, RunLoadOptions } from './run_load.js';
 export { parseRunRecords, readRunRecords } from './run_record.js';
 export type { RunRecord } from './run_record.js';
-export { createHistogram, LoadTally, readLatency, recordMs } from './tally.js';
+export { createHistogram, LoadTally, summarizeLatency, recordMs } from './tally.js';
 export type { LatencySummary, TierSummary, TimelinePoint } from './tally.js';
--- a/src/load/tally.ts
+++ b/src/load/tally.ts
@@ -146,7 +146,7 @@
  * @param histogram - from {@link createHistogram}
  * @returns count, percentiles and maximum, in milliseconds
  */
-export function readLatency(histogram: Histogram): LatencySummary {
+export function summarizeLatency(histogram: Histogram): LatencySummary {
   const read = (percentile: number): number =>
     histogram.totalCount === 0 ? 0 : histogram.getValueAtPercentile(percentile) / MS_PER_SECOND;
   return {
@@ -194,8 +194,8 @@
     tier: TIER_NAMES[tier],
     ...plain,
     refused: Object.values(counts.refusedByCode).reduce((sum, value) => sum + value, 0),
-    firstByteMs: readLatency(firstByte),
-    totalMs: readLatency(total),
+    firstByteMs: summarizeLatency(firstByte),
+    totalMs: summarizeLatency(total),
     timeline: timeline.map((point, second) => ({ second, ...point })),
   };
 }
--- a/test/faults/silent_link_test.ts
+++ b/test/faults/silent_link_test.ts
@@ -99,7 +99,7 @@
     const client = new CallerClient({
       urls: [callersProxy.url],
       apiKey: caller.apiKey,
-      silenceMs: CALLER_TIMEOUT_MS,
+      silenceTimeoutMs: CALLER_TIMEOUT_MS,
     });
     t.teardown(() => client.close());
     const { path, body, workKind } = buildReport('', 'A long report.', LONG_REPORT_TOKENS);
--- a/test/support/caller_hosts.ts
+++ b/test/support/caller_hosts.ts
@@ -82,7 +82,7 @@
     urls: [owner.url],
     apiKey: 'secret-key',
     clock: new ImmediateBackoffClock(),
-    silenceMs,
+    silenceTimeoutMs: silenceMs,
   });
   t.teardown(() => {
     client.close();
