--- a/bench/_many_backends.ts
+++ b/bench/_many_backends.ts
@@ -110,6 +110,6 @@
   };
   await waitUntil(isInEffect, {
     subject: `${urls.length} backend servers`,
-    limitMs: APPLY_TIMEOUT_MS,
+    timeoutMs: APPLY_TIMEOUT_MS,
   });
 }
--- a/bench/configuration_spread.ts
+++ b/bench/configuration_spread.ts
@@ -48,7 +48,7 @@
     return buildResult({ entryHostCount, changes }, all, cut, cutIds);
   } finally {
     proxiedHosts.forEach((host) => host.kill('SIGKILL'));
-    await Promise.all(proxiedHosts.map((host) => host.waitExit()));
+    await Promise.all(proxiedHosts.map((host) => host.waitForExit()));
     await fleet.stop();
     await proxy.close();
   }
@@ -65,7 +65,7 @@
   hosts: readonly EntryHost[],
 ): Promise<readonly EntryHost[]> {
   hosts.forEach((host) => host.kill('SIGKILL'));
-  await Promise.all(hosts.map((host) => host.waitExit()));
+  await Promise.all(hosts.map((host) => host.waitForExit()));
   const restarted = hosts.map((host) => {
     const { spec } = host.facts;
     const urlIndex = spec.args.indexOf('--configuration-url') + 1;
@@ -104,7 +104,7 @@
     );
     return states.every((state) => state.revision >= revision);
   };
-  await waitUntil(isInEffect, { subject: `revision ${revision}`, limitMs: APPLY_TIMEOUT_MS });
+  await waitUntil(isInEffect, { subject: `revision ${revision}`, timeoutMs: APPLY_TIMEOUT_MS });
   const delays = await Promise.all(
     hosts.map(async (host) => {
       const atMs = await readMetricSum(host, 'configuration_in_force_at_ms');
--- a/bench/dead_peer.ts
+++ b/bench/dead_peer.ts
@@ -72,7 +72,7 @@
     others.map(async (host) => {
       await waitUntil(async () => !(await isSeenLive(host)), {
         subject: `${host.id} to notice`,
-        limitMs: DETECTION_TIMEOUT_MS,
+        timeoutMs: DETECTION_TIMEOUT_MS,
       });
       return performance.now() - startMs;
     }),
@@ -85,7 +85,7 @@
     others.map((host) =>
       waitUntil(() => isSeenLive(host), {
         subject: `${VICTIM} live`,
-        limitMs: DETECTION_TIMEOUT_MS,
+        timeoutMs: DETECTION_TIMEOUT_MS,
       }),
     ),
   );
--- a/bench/leaving_notice.ts
+++ b/bench/leaving_notice.ts
@@ -88,7 +88,7 @@
     await fleet.setHostState(VICTIM, 'leaving');
     await waitUntil(() => isKnownEverywhere(fleet), {
       subject: `${VICTIM} leaving`,
-      limitMs: PROPAGATION_TIMEOUT_MS,
+      timeoutMs: PROPAGATION_TIMEOUT_MS,
     });
     const everybodyKnowsMs = Date.now() - orderedAtMs;
     await sleep(ROUND_MS - everybodyKnowsMs);
--- a/bench/silent_link.ts
+++ b/bench/silent_link.ts
@@ -109,7 +109,7 @@
   silencePeerLinks(fleet);
   await waitUntil(async () => (await sumReplacedLinks(fleet)) > before, {
     subject: 'a replaced link',
-    limitMs: DETECTION_TIMEOUT_MS,
+    timeoutMs: DETECTION_TIMEOUT_MS,
   });
   return { noticedMs: performance.now() - startMs, work: 'replaced' };
 }
@@ -152,7 +152,7 @@
     );
     return states.every((state) => state.revision >= revision);
   };
-  await waitUntil(isInEffect, { subject: `revision ${revision}`, limitMs: DETECTION_TIMEOUT_MS });
+  await waitUntil(isInEffect, { subject: `revision ${revision}`, timeoutMs: DETECTION_TIMEOUT_MS });
   return { noticedMs: performance.now() - startMs, work: 'in force' };
 }
 
--- a/demo/main_test.ts
+++ b/demo/main_test.ts
@@ -70,6 +70,6 @@
   await once(child, 'exit');
   await waitUntil(async () => !pids.some(hasProcess), {
     subject: 'the end of all processes',
-    limitMs: WAIT_LIMIT_MS,
+    timeoutMs: WAIT_LIMIT_MS,
   });
 });
--- a/src/application/allowances/allowance_bound_test.ts
+++ b/src/application/allowances/allowance_bound_test.ts
@@ -156,11 +156,11 @@
       const seen = computeObservedBursts(hosts);
       worst.requests = Math.max(worst.requests, seen.requests / stated.requests);
       worst.tokens = Math.max(worst.tokens, seen.tokens / stated.tokens);
-      worst.running = Math.max(worst.running, hosts.mostRunning);
+      worst.running = Math.max(worst.running, hosts.maxRunning);
       return (
         seen.requests <= stated.requests &&
         seen.tokens <= stated.tokens &&
-        hosts.mostRunning <= maxInFlight
+        hosts.maxRunning <= maxInFlight
       );
     }),
     { seed: 42, numRuns: NUM_RUNS },
--- a/src/application/allowances/allowance_keeper_test.ts
+++ b/src/application/allowances/allowance_keeper_test.ts
@@ -55,8 +55,8 @@
 t.test('AllowanceManager lends the in-flight limit to a single busy entry host', async (t) => {
   const hosts = startHosts();
   runDemand(hosts, pickBorrower(hosts), 50, 5, 30_000);
-  t.comment(`in flight of 64: ${hosts.mostRunning}`);
-  t.equal(hosts.mostRunning, LIMITS.inFlight - (IDS.length - 1));
+  t.comment(`in flight of 64: ${hosts.maxRunning}`);
+  t.equal(hosts.maxRunning, LIMITS.inFlight - (IDS.length - 1));
 });
 
 t.test('AllowanceManager admits the first request of an idle account at once', async (t) => {
@@ -152,7 +152,7 @@
   const admitted = runDemand(hosts, id, 10, 4, 500);
   t.comment(`admitted per second where the base share is zero: ${admitted.join(' ')}`);
   t.ok(admitted.slice(1).every((count) => count >= 2));
-  t.equal(hosts.mostRunning, 2);
+  t.equal(hosts.maxRunning, 2);
 });
 
 t.test(
--- a/src/application/configuration/configuration_convergence_test.ts
+++ b/src/application/configuration/configuration_convergence_test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import {
   buildContract,
-  FIRM_A,
+  FIRM_A_KEY,
   startDeployment,
 } from '../../../test/support/configuration_hosts.js';
 import type { Deployment } from '../../../test/support/configuration_hosts.js';
@@ -35,8 +35,8 @@
   const hostId = IDS[action.hostIndex] ?? 'a';
   const peerId = IDS[action.peerIndex] ?? 'a';
   const effects: Readonly<Record<string, () => unknown>> = {
-    publish: () => service.publish(FIRM_A, buildContract(weight)),
-    spoil: () => service.publish(FIRM_A, 'spoilt'),
+    publish: () => service.publish(FIRM_A_KEY, buildContract(weight)),
+    spoil: () => service.publish(FIRM_A_KEY, 'spoilt'),
     freeze: () => service.freeze(),
     thaw: () => service.thaw(),
     down: () => service.setDown(true),
@@ -70,7 +70,7 @@
       deployment.service.setDown(false);
       deployment.hosts.forEach(({ reader }) => reader.setCut(false));
       deployment.hub.healAll();
-      deployment.service.publish(FIRM_A, buildContract(weight + 1));
+      deployment.service.publish(FIRM_A_KEY, buildContract(weight + 1));
       await deployment.advance(6000);
       const weights = deployment.listWeights();
       await deployment.close();
--- a/src/application/crashes/_trial_queue_test.ts
+++ b/src/application/crashes/_trial_queue_test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { CrashLine } from '../../../test/support/crash_line.js';
+import { CrashChain } from '../../../test/support/crash_line.js';
 import { PermitKind } from './_trial_queue.js';
 import type { CrashQuarantine } from './crash_keeper.js';
 
@@ -9,7 +9,7 @@
 t.test('entry hosts behind relays run three trials of a content in total', async (t) => {
   // Guards against entry hosts that each run their own trials because notes of a trial have not
   // reached them.
-  const line = new CrashLine(t, ['a', 'relay-1', 'relay-2', 'b']);
+  const line = new CrashChain(t, ['a', 'relay-1', 'relay-2', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await line.crash(crash % 2, ['x', 'y']);
   const triedAtMs: number[] = [];
   for (let look = 0; look < 400; look += 1) {
@@ -31,7 +31,7 @@
 t.test('callers between trials get a retry-after time', async (t) => {
   // Guards against a refusal without a retry-after time, or with ten minutes, while a trial may
   // still be answered.
-  const line = new CrashLine(t, ['a', 'relay', 'b']);
+  const line = new CrashChain(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await line.crash(0, ['x', 'y']);
   const [keeper] = line.keepers as [CrashQuarantine];
   const delaysMs: (number | undefined)[] = [];
@@ -47,7 +47,7 @@
 });
 
 t.test('waiting calls are woken when their content is cleared or quarantined', async (t) => {
-  const line = new CrashLine(t, ['a', 'relay', 'b']);
+  const line = new CrashChain(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await line.crash(0, ['x', 'y']);
   const [keeper] = line.keepers as [CrashQuarantine];
   const woken: string[] = [];
--- a/src/application/crashes/crash_keeper_test.ts
+++ b/src/application/crashes/crash_keeper_test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { CrashLine } from '../../../test/support/crash_line.js';
+import { CrashChain } from '../../../test/support/crash_line.js';
 import type { FakeProbe } from '../../../test/support/direct_ends.js';
 import { CrashUpdateKind } from '../../ports/mod.js';
 
@@ -7,7 +7,7 @@
   // Guards against one half of the fleet sending a content that the other half refuses. Servers
   // crash under calls of a host that is linked to its relay only, and the relay does not forward
   // the notes.
-  const line = new CrashLine(t, ['a', 'relay-1', 'relay-2', 'b']);
+  const line = new CrashChain(t, ['a', 'relay-1', 'relay-2', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await line.crash(0, ['x']);
   t.same(
     [0, 1, 2, 3].map((index) => line.isHeld(index, 'x')),
@@ -16,7 +16,7 @@
 });
 
 t.test('lost crash notes are repaired by the next digests', async (t) => {
-  const line = new CrashLine(t, ['a', 'relay', 'b']);
+  const line = new CrashChain(t, ['a', 'relay', 'b']);
   line.hub.silence('relay', 'b');
   for (let crash = 0; crash < 3; crash += 1) await line.crash(0, ['x']);
   t.notOk(line.isHeld(2, 'x'));
@@ -29,7 +29,7 @@
   // Guards against attributing a run that broke at a live server to that server's earlier crash.
   // The crash note arrives seconds late, the run breaks right after it, and the arrival time is
   // taken for the time of the crash.
-  const line = new CrashLine(t, ['a', 'relay', 'b']);
+  const line = new CrashChain(t, ['a', 'relay', 'b']);
   line.hub.silence('relay', 'b');
   await line.crash(0, ['x']);
   line.hub.heal('relay', 'b');
@@ -38,11 +38,11 @@
   const endedAtMs = line.clock.nowMs();
   const run = { serverId: 's-1', address: 's-1:80', startedAtMs: endedAtMs - 50, endedAtMs };
   line.keepers[2]?.recordLostRun({ ...run, contentId: 'y' });
-  t.same(line.probes[2]?.asked, ['s-1:80']);
+  t.same(line.probes[2]?.checkedAddresses, ['s-1:80']);
 });
 
 t.test('crashes observed by several hosts are combined', async (t) => {
-  const line = new CrashLine(t, ['a', 'relay', 'b']);
+  const line = new CrashChain(t, ['a', 'relay', 'b']);
   for (const index of [0, 1, 2]) await line.crash(index, ['x', `beside ${index}`]);
   await line.crash(0, ['x']);
   t.ok(line.isHeld(2, 'x'));
@@ -52,7 +52,7 @@
 t.test(
   'a relay that reaches the server clears the suspects of a host that is cut off',
   async (t) => {
-    const line = new CrashLine(t, ['a', 'relay', 'b']);
+    const line = new CrashChain(t, ['a', 'relay', 'b']);
     const [probe] = line.probes as [FakeProbe];
     probe.isCut = true;
     for (let crash = 0; crash < 4; crash += 1) {
@@ -72,7 +72,7 @@
   // Guards against refusing a popular content while servers fail for other reasons. The content
   // runs everywhere at all times, so also at each server that crashes, and only answers after the
   // crashes count as evidence for it.
-  const line = new CrashLine(t, ['a', 'relay', 'b']);
+  const line = new CrashChain(t, ['a', 'relay', 'b']);
   const startedAtMs = line.clock.nowMs();
   line.keepers[2]?.recordAnswer({
     contentId: 'popular',
@@ -88,17 +88,17 @@
 });
 
 t.test('no message is sent while no server has crashed', async (t) => {
-  const line = new CrashLine(t, ['a', 'relay', 'b']);
+  const line = new CrashChain(t, ['a', 'relay', 'b']);
   await line.clock.advance(10_000);
   t.same(line.listMessages(), []);
-  t.same(line.probes[0]?.asked, []);
+  t.same(line.probes[0]?.checkedAddresses, []);
 });
 
 t.test('messages stay bounded while callers invent new contents', async (t) => {
   // Guards against crash notes that saturate the links between entry hosts. A caller sends new
   // contents all the time, servers crash under hundreds of them, and every note ever seen is sent
   // again and again.
-  const line = new CrashLine(t, ['a', 'relay', 'b']);
+  const line = new CrashChain(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 20; crash += 1) {
     const contentIds = Array.from({ length: 200 }, (_, index) => `${crash} ${index}`);
     await line.crash(crash % 3, contentIds);
@@ -112,7 +112,7 @@
 });
 
 t.test('hosts with the same knowledge send only digests', async (t) => {
-  const line = new CrashLine(t, ['a', 'relay', 'b']);
+  const line = new CrashChain(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await line.crash(0, ['x']);
   const before = line.listMessages().length;
   await line.clock.advance(5_000);
--- a/src/application/crashes/crash_watch_test.ts
+++ b/src/application/crashes/crash_watch_test.ts
@@ -39,7 +39,7 @@
   const runs = [watched.loseRun('a'), watched.loseRun('b')];
   await settle();
   t.same(watched.crashes, [{ serverId: 's-1', crashId: 'end of s-1', runs }]);
-  t.same(watched.probe.asked, ['s-1:80']);
+  t.same(watched.probe.checkedAddresses, ['s-1:80']);
   const event = 'backend_server_probed';
   t.match(watched.log.lines, [{ event, fields: { reachability: 'refused', contentIds: 'a,b' } }]);
 });
@@ -64,7 +64,7 @@
   await settle();
   const late = watched.loseRun('b');
   t.same(watched.crashes.at(-1), { serverId: 's-1', crashId: 'end of s-1', runs: [late] });
-  t.equal(watched.probe.asked.length, 1);
+  t.equal(watched.probe.checkedAddresses.length, 1);
 });
 
 t.test('a reported crash takes the runs that still wait for a probe', async (t) => {
--- a/src/application/direct/direct_call_test.ts
+++ b/src/application/direct/direct_call_test.ts
@@ -11,16 +11,16 @@
 t.test('a request that was never written is sent to another backend server', async (t) => {
   const host = await startDirectHost(t);
   const reply = host.call();
-  host.sent(0).fail(BackendFailure.NotSent);
-  t.not(host.sent(1).request.serverId, host.sent(0).request.serverId);
-  host.sent(1).answer();
+  host.getSent(0).fail(BackendFailure.NotSent);
+  t.not(host.getSent(1).request.serverId, host.getSent(0).request.serverId);
+  host.getSent(1).sendResponse();
   t.equal(reply.body, 'ok');
 });
 
 t.test('a non-repeatable call is not sent again once it may have run', async (t) => {
   const host = await startDirectHost(t);
   const reply = host.call();
-  host.sent(0).fail(BackendFailure.Broken);
+  host.getSent(0).fail(BackendFailure.Broken);
   t.equal(host.backend.sent.length, 1);
   t.equal(reply.error?.status, 502);
   t.equal(reply.error?.run, RunOutcome.MayHaveRun);
@@ -29,8 +29,8 @@
 t.test('a repeatable call is retried at another backend server', async (t) => {
   const host = await startDirectHost(t, { route: { isRepeatable: true } });
   const reply = host.call();
-  host.sent(0).fail(BackendFailure.Broken);
-  host.sent(1).answer(200, 'second');
+  host.getSent(0).fail(BackendFailure.Broken);
+  host.getSent(1).sendResponse(200, 'second');
   t.equal(reply.body, 'second');
 });
 
@@ -44,27 +44,27 @@
   host.feed.put('servers/s-1', buildServer(formatIncarnationId('s-1', 5), changes));
   await settle();
   t.equal(reply.error?.run, RunOutcome.MayHaveRun);
-  t.ok(host.sent(0).isCancelled);
+  t.ok(host.getSent(0).isCancelled);
   t.equal(host.backend.sent.length, 1);
 });
 
 t.test('a resumable stream fails over at once when its server restarts', async (t) => {
   const host = await startDirectHost(t, STREAM, ['s-1']);
   const reply = host.call();
-  host.sent(0).head({ isEventStream: true });
-  host.sent(0).events(1, 2);
+  host.getSent(0).sendHead({ isEventStream: true });
+  host.getSent(0).events(1, 2);
   const changes = { serverId: 's-1', bornAtMs: 5 };
   host.feed.put('servers/s-1', buildServer(formatIncarnationId('s-1', 5), changes));
   host.feed.put('servers/s-2', buildServer('s-2'));
   await settle();
-  t.match(host.sent(1).request, { lastEventId: '2', serverId: /s-1|s-2/ });
+  t.match(host.getSent(1).request, { lastEventId: '2', serverId: /s-1|s-2/ });
   t.notOk(reply.isAborted);
 });
 
 t.test("a server's own error is relayed when no other server can take over", async (t) => {
   const host = await startDirectHost(t);
   const reply = host.call();
-  host.sent(0).answer(500, 'failed');
+  host.getSent(0).sendResponse(500, 'failed');
   t.match(reply, { head: { status: 500 }, body: 'failed' });
 });
 
@@ -74,14 +74,14 @@
   // whoever wrote it.
   const host = await startDirectHost(t);
   const reply = host.call();
-  host.sent(0).answer(503, 'busy');
+  host.getSent(0).sendResponse(503, 'busy');
   t.equal(reply.error?.status, 502);
 });
 
 t.test('a declined call is refused as not run, with a retry-after time', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1']);
   const reply = host.call();
-  host.sent(0).fail(BackendFailure.Declined);
+  host.getSent(0).fail(BackendFailure.Declined);
   await host.clock.advance(1_500);
   t.equal(reply.error?.run, RunOutcome.NotRun);
   t.ok((reply.error?.retryAfterMs ?? 0) > 0);
@@ -93,36 +93,36 @@
   // next server must be asked for the right event.
   const host = await startDirectHost(t, STREAM);
   const reply = host.call();
-  host.sent(0).head({ isEventStream: true });
-  host.sent(0).events(1, 3);
-  host.sent(0).listener.onBody(Buffer.from('id: 4\ndata: ha'));
-  host.sent(0).fail(BackendFailure.Broken);
-  t.equal(host.sent(1).request.lastEventId, '3');
-  host.sent(1).head({ isEventStream: true });
-  host.sent(1).events(4, 5);
-  host.sent(1).listener.onComplete();
+  host.getSent(0).sendHead({ isEventStream: true });
+  host.getSent(0).events(1, 3);
+  host.getSent(0).listener.onBody(Buffer.from('id: 4\ndata: ha'));
+  host.getSent(0).fail(BackendFailure.Broken);
+  t.equal(host.getSent(1).request.lastEventId, '3');
+  host.getSent(1).sendHead({ isEventStream: true });
+  host.getSent(1).events(4, 5);
+  host.getSent(1).listener.onComplete();
   t.equal(reply.body, [1, 2, 3, 4, 5].map((id) => `id: ${id}\ndata: ${id}\n\n`).join(''));
-  t.same(reply.head?.headers, ['X-Mark', host.sent(0).request.serverId]);
+  t.same(reply.head?.headers, ['X-Mark', host.getSent(0).request.serverId]);
   t.ok(reply.hasEnded);
 });
 
 t.test('a stream that may not be resumed is aborted, not ended', async (t) => {
   const host = await startDirectHost(t, { route: { isStream: true, isResumable: false } });
   const reply = host.call();
-  host.sent(0).head({ isEventStream: true });
-  host.sent(0).events(1, 1);
-  host.sent(0).fail(BackendFailure.Broken);
+  host.getSent(0).sendHead({ isEventStream: true });
+  host.getSent(0).events(1, 1);
+  host.getSent(0).fail(BackendFailure.Broken);
   t.match(reply, { isAborted: true, hasEnded: false });
 });
 
 t.test('a silent stream is cancelled before another server continues it', async (t) => {
   const host = await startDirectHost(t, STREAM);
   host.call();
-  host.sent(0).head({ isEventStream: true });
-  host.sent(0).events(1, 1);
+  host.getSent(0).sendHead({ isEventStream: true });
+  host.getSent(0).events(1, 1);
   await host.clock.advance(1_000);
-  t.ok(host.sent(0).isCancelled);
-  t.equal(host.sent(1).request.lastEventId, '1');
+  t.ok(host.getSent(0).isCancelled);
+  t.equal(host.getSent(1).request.lastEventId, '1');
 });
 
 t.test('a stream is checked for pauses once it has begun', async (t) => {
@@ -131,17 +131,17 @@
   // that the first byte might have taken.
   const host = await startDirectHost(t, { route: { ...STREAM.route, timeoutMs: 30_000 } });
   host.call({ work: { promptTokens: 300_000, outputTokens: 100 }, deadlineMs: 20_000 });
-  host.sent(0).head({ isEventStream: true });
-  host.sent(0).events(1, 1);
+  host.getSent(0).sendHead({ isEventStream: true });
+  host.getSent(0).events(1, 1);
   await host.clock.advance(1_000);
-  t.ok(host.sent(0).isCancelled);
+  t.ok(host.getSent(0).isCancelled);
 });
 
 t.test('a disconnected caller ends the run', async (t) => {
   const host = await startDirectHost(t);
   const reply = host.call();
-  reply.leave();
-  t.ok(host.sent(0).isCancelled);
+  reply.disconnect();
+  t.ok(host.getSent(0).isCancelled);
   t.equal(host.gateway.callCount, 0);
 });
 
@@ -150,24 +150,24 @@
   const sent = host.call();
   await host.clock.advance(2_000);
   t.equal(sent.error?.kind, ErrorKind.AnswerTimeout);
-  t.ok(host.sent(0).isCancelled);
+  t.ok(host.getSent(0).isCancelled);
 });
 
 t.test('a call that times out before its connection opens has not run', async (t) => {
   // Guards against forbidding callers to repeat a request that reached no server.
   const host = await startDirectHost(t, {}, ['s-1']);
   const reply = host.call();
-  host.sent(0).mayHaveBeenSent = false;
+  host.getSent(0).mayHaveBeenSent = false;
   await host.clock.advance(2_000);
   t.equal(reply.error?.kind, ErrorKind.DeadlineUnreachable);
   t.equal(reply.error?.run, 'not_run');
-  t.ok(host.sent(0).isCancelled);
+  t.ok(host.getSent(0).isCancelled);
 });
 
 t.test("the route's timeout ends a call whose deadline is later", async (t) => {
   const host = await startDirectHost(t, { route: { timeoutMs: 500 } });
   const reply = host.call({ deadlineMs: 9_000 });
-  t.equal(host.sent(0).request.deadlineMs, 500);
+  t.equal(host.getSent(0).request.deadlineMs, 500);
   await host.clock.advance(500);
   t.equal(reply.error?.status, 504);
 });
@@ -180,12 +180,12 @@
     // first head must be discarded because nothing was relayed.
     const host = await startDirectHost(t, STREAM);
     const reply = host.call();
-    host.sent(0).head({ isEventStream: true });
-    host.sent(0).fail(BackendFailure.Broken);
-    t.equal(host.sent(1).request.lastEventId, undefined);
-    host.sent(1).head({ isEventStream: true });
-    host.sent(1).events(1, 1);
-    t.same(reply.head?.headers, ['X-Mark', host.sent(1).request.serverId]);
+    host.getSent(0).sendHead({ isEventStream: true });
+    host.getSent(0).fail(BackendFailure.Broken);
+    t.equal(host.getSent(1).request.lastEventId, undefined);
+    host.getSent(1).sendHead({ isEventStream: true });
+    host.getSent(1).events(1, 1);
+    t.same(reply.head?.headers, ['X-Mark', host.getSent(1).request.serverId]);
   },
 );
 
@@ -195,16 +195,16 @@
   // no IDs. In both cases a retry has no position to continue from.
   const long = await startDirectHost(t, { route: { isRepeatable: true } });
   const plain = long.call();
-  long.sent(0).head();
-  long.sent(0).listener.onBody(Buffer.alloc(300_000));
-  long.sent(0).fail(BackendFailure.Broken);
+  long.getSent(0).sendHead();
+  long.getSent(0).listener.onBody(Buffer.alloc(300_000));
+  long.getSent(0).fail(BackendFailure.Broken);
   t.equal(long.backend.sent.length, 1);
   t.ok(plain.isAborted);
   const nameless = await startDirectHost(t, STREAM);
   const stream = nameless.call();
-  nameless.sent(0).head({ isEventStream: true });
-  nameless.sent(0).listener.onBody(Buffer.from('data: a\n\n'));
-  nameless.sent(0).fail(BackendFailure.Broken);
+  nameless.getSent(0).sendHead({ isEventStream: true });
+  nameless.getSent(0).listener.onBody(Buffer.from('data: a\n\n'));
+  nameless.getSent(0).fail(BackendFailure.Broken);
   t.equal(nameless.backend.sent.length, 1);
   t.ok(stream.isAborted);
 });
@@ -216,10 +216,10 @@
   for (const status of [500, 200, 404]) {
     const host = await startDirectHost(t, STREAM);
     const reply = host.call();
-    host.sent(0).head({ isEventStream: true });
-    host.sent(0).events(1, 2);
-    host.sent(0).fail(BackendFailure.Broken);
-    host.sent(1).answer(status, 'other');
+    host.getSent(0).sendHead({ isEventStream: true });
+    host.getSent(0).events(1, 2);
+    host.getSent(0).fail(BackendFailure.Broken);
+    host.getSent(1).sendResponse(status, 'other');
     t.match(reply, { isAborted: true, hasEnded: false }, String(status));
     t.notMatch(reply.body, 'other');
     t.equal(host.gateway.callCount, 0);
--- a/src/application/direct/direct_gateway_test.ts
+++ b/src/application/direct/direct_gateway_test.ts
@@ -14,8 +14,8 @@
 t.test('a call is sent with its remaining time and answered', async (t) => {
   const host = await startDirectHost(t);
   const reply = host.call();
-  t.match(host.sent(0).request, { accountId: 'firm-a', deadlineMs: 2_000 });
-  host.sent(0).answer();
+  t.match(host.getSent(0).request, { accountId: 'firm-a', deadlineMs: 2_000 });
+  host.getSent(0).sendResponse();
   t.match(reply, { body: 'ok', hasEnded: true });
   t.equal(host.gateway.callCount, 0);
 });
@@ -57,7 +57,7 @@
   const waiting = host.call();
   host.feed.put('configuration', buildDocument(2, { keys: [] }));
   await settle();
-  host.sent(0).answer();
+  host.getSent(0).sendResponse();
   t.equal(waiting.error?.kind, ErrorKind.Unauthenticated);
   t.equal(host.backend.sent.length, 2);
 });
@@ -71,7 +71,7 @@
   host.call();
   const waiting = host.call({ deadlineMs: 60_000 });
   host.clock.jump(MAX_KEY_AGE_MS + 2_000);
-  host.sent(0).answer();
+  host.getSent(0).sendResponse();
   t.equal(waiting.error?.kind, ErrorKind.EntryHostCutOff);
   t.equal(host.backend.sent.length, 2);
 });
@@ -81,8 +81,8 @@
   const host = await startDirectHost(t, { limit });
   const work = { promptTokens: 150, outputTokens: 10 };
   const first = host.call({ work });
-  host.sent(0).fail(BackendFailure.NotSent);
-  host.sent(1).fail(BackendFailure.NotSent);
+  host.getSent(0).fail(BackendFailure.NotSent);
+  host.getSent(1).fail(BackendFailure.NotSent);
   await host.clock.advance(1_500);
   t.equal(first.error?.run, RunOutcome.NotRun);
   t.equal(host.call({ work }).error, undefined);
@@ -93,11 +93,11 @@
 t.test('an address at which another incarnation answers is not used again', async (t) => {
   const host = await startDirectHost(t);
   host.call();
-  const gone = host.sent(0).request.serverId;
-  host.sent(0).fail(BackendFailure.Misdirected);
+  const gone = host.getSent(0).request.serverId;
+  host.getSent(0).fail(BackendFailure.Misdirected);
   host.call();
   t.notOk(host.servers.isUsable(gone));
-  t.not(host.sent(2).request.serverId, gone);
+  t.not(host.getSent(2).request.serverId, gone);
 });
 
 t.test('a draining server gets no new work', async (t) => {
@@ -115,14 +115,14 @@
   const running = host.call();
   host.gateway.refuseNewCalls();
   t.equal(host.call().error?.kind, ErrorKind.EntryHostStopping);
-  host.sent(0).answer();
+  host.getSent(0).sendResponse();
   t.equal(running.body, 'ok');
 });
 
 t.test('each decision on a call is logged with its request ID', async (t) => {
   const host = await startDirectHost(t);
   host.call();
-  host.sent(0).answer();
+  host.getSent(0).sendResponse();
   host.call({ key: 'other' });
   const events = host.log.lines
     .filter(({ fields }) => fields.requestId !== undefined)
--- a/src/application/direct/feed_follower_test.ts
+++ b/src/application/direct/feed_follower_test.ts
@@ -87,7 +87,7 @@
   harness.feed.isDown = true;
   await harness.clock.advance(1_000);
   harness.feed.remove('p/a');
-  harness.feed.forgetHistory();
+  harness.feed.discardHistory();
   harness.feed.isDown = false;
   await harness.clock.advance(1_000);
   t.match(
@@ -105,8 +105,8 @@
   harness.feed.put('p/a', 1);
   harness.follower.start();
   await settle();
-  harness.feed.forgetHistory();
-  const heldRead = harness.feed.holdAll();
+  harness.feed.discardHistory();
+  const heldRead = harness.feed.holdSnapshots();
   harness.feed.put('p/b', 1);
   await harness.clock.advance(1_000);
   harness.follower.applyUpdate(
--- a/src/application/direct/feed_sharing_test.ts
+++ b/src/application/direct/feed_sharing_test.ts
@@ -146,7 +146,7 @@
   await clock.advance(900);
   feed.put('b', 1);
   feed.remove('a');
-  feed.forgetHistory();
+  feed.discardHistory();
   feed.put('c', 1);
   feed.isDown = false;
   const before = feed.readCount;
--- a/src/application/direct/freed_slots_test.ts
+++ b/src/application/direct/freed_slots_test.ts
@@ -3,9 +3,9 @@
 import { FakeMetrics } from '../../../test/support/fakes.js';
 import { buildServer } from '../../../test/support/direct_host.js';
 import {
-  CALM_CONTEXT,
-  createServerKeeper,
-  NO_FIGURES,
+  NORMAL_READ_CONTEXT,
+  createServerRegistry,
+  NO_STATS,
 } from '../../../test/support/server_keepers.js';
 import { settle, VirtualClock } from '../../../test/support/virtual_clock.js';
 import { ServerOutcome } from '../../domain/backend_servers/mod.js';
@@ -39,9 +39,9 @@
       peerUrl: `ws://${id}.test`,
       availabilityZone: 'hall-a',
     });
-    this.servers = createServerKeeper(clock);
+    this.servers = createServerRegistry(clock);
     const value = Buffer.from(JSON.stringify(buildServer('s-1', { slots: 1 })));
-    this.servers.applySnapshot([{ key: 'servers/s-1', value, revision: 1 }], CALM_CONTEXT);
+    this.servers.applySnapshot([{ key: 'servers/s-1', value, revision: 1 }], NORMAL_READ_CONTEXT);
     this.servers.listCandidates('engines');
     this.slots = new FreedSlotForwarder({
       clock,
@@ -70,7 +70,7 @@
   /** Receives a peer's report of waiting calls. */
   receiveWaitingReport(peer: SlotHost, urgency: number, inFlight = 0): void {
     this.servers.applyPeerStats(peer.incarnation, {
-      ...NO_FIGURES,
+      ...NO_STATS,
       inFlight: { 's-1': inFlight },
       waitingCalls: { engines: 1 },
       firstWaiting: { engines: urgency },
--- a/src/application/direct/host_reports_test.ts
+++ b/src/application/direct/host_reports_test.ts
@@ -48,12 +48,12 @@
   hub.silence('a', 'b');
   await clock.advance(1_200);
   t.same(a.listServing(), ['c', 'd']);
-  t.same(a.silent, [b.identity.incarnation]);
-  t.equal(a.reach, 0.75);
+  t.same(a.silentIncarnations, [b.identity.incarnation]);
+  t.equal(a.reachableFraction, 0.75);
   hub.heal('a', 'b');
   await clock.advance(300);
   t.same(a.listServing(), ['b', 'c', 'd']);
-  t.equal(a.reach, 1);
+  t.equal(a.reachableFraction, 1);
 });
 
 t.test('HostReports treat a restarted peer as the same host with nothing in flight', async (t) => {
@@ -65,7 +65,7 @@
   t.teardown(() => restarted.reports.stop());
   restarted.reports.start();
   await clock.advance(500);
-  t.same(a.silent, ['b-1']);
+  t.same(a.silentIncarnations, ['b-1']);
   t.equal(a.reports.knownCount, 2);
   t.same(a.listServing(), ['b']);
 });
--- a/src/application/direct/place_keeper_test.ts
+++ b/src/application/direct/place_keeper_test.ts
@@ -37,7 +37,7 @@
   t.same(listIds(host), ['s-2']);
   t.notOk(host.servers.isUsable('s-1'));
   host.call();
-  t.equal(host.sent(0).request.serverId, 's-2');
+  t.equal(host.getSent(0).request.serverId, 's-2');
   await openZone(host, 'hall-a');
   t.same(listIds(host), ['s-1', 's-2']);
   t.ok(host.log.lines.some(({ event }) => event === 'zone_closed'));
@@ -49,7 +49,7 @@
   await closeZone(host, 'hall-a');
   await closeZone(host, 'hall-b');
   t.same(listIds(host), []);
-  t.equal(host.knowledge.places.closedCount, 2);
+  t.equal(host.storeView.places.closedCount, 2);
   await openZone(host, 'hall-b');
   await closeZone(host, 'hall-b');
   await openZone(host, 'hall-a');
@@ -83,7 +83,7 @@
 t.test('a zone that was reopened in a gap of the change history is open', async (t) => {
   const host = await startInTwoZones(t);
   await closeZone(host, 'hall-a');
-  host.knowledge.applySnapshot(
+  host.storeView.applySnapshot(
     [{ key: 'servers/s-1', value: Buffer.from(JSON.stringify(buildServer('s-1'))), revision: 9 }],
     { askedAt: { steadyMs: 0, wallMs: 0 }, ageMs: 0, wasAway: false },
   );
@@ -120,7 +120,7 @@
   host.call();
   const waiting = host.call();
   await closeZone(host, 'hall-a');
-  host.sent(0).answer();
+  host.getSent(0).sendResponse();
   await host.clock.advance(3_000);
   t.equal(host.backend.sent.length, 2);
   t.equal(waiting.error?.run, 'not_run');
@@ -133,7 +133,7 @@
   host.feed.put('servers/s-2', buildServer('s-2', { availabilityZone: 'unknown' }));
   await settle();
   host.call();
-  t.equal(host.sent(0).request.serverId, 's-1');
+  t.equal(host.getSent(0).request.serverId, 's-1');
 });
 
 t.test('a call whose regions have no server is refused at once', async (t) => {
--- a/src/application/direct/report_relays_test.ts
+++ b/src/application/direct/report_relays_test.ts
@@ -57,10 +57,10 @@
   hosts.forEach((host) => {
     const { id } = host.identity;
     t.equal(host.inFlight, 60, id);
-    t.equal(host.reach, 1, id);
+    t.equal(host.reachableFraction, 1, id);
     t.equal(host.listServing().length, 59, id);
     t.same(
-      host.silent.filter((incarnation) => incarnation === `${id}-1`),
+      host.silentIncarnations.filter((incarnation) => incarnation === `${id}-1`),
       [],
       id,
     );
@@ -142,18 +142,18 @@
     const [isolatedMember] = members as [ReportHost];
     isolateSilently(hub, isolatedMember, hosts);
     await clock.advance(900);
-    t.ok(isolatedMember.reach <= 1 / 60, String(isolatedMember.reach));
+    t.ok(isolatedMember.reachableFraction <= 1 / 60, String(isolatedMember.reachableFraction));
     await clock.advance(500);
     hosts
       .filter((host) => host !== isolatedMember)
       .forEach((host) => {
         t.notOk(host.listServing().includes(isolatedMember.identity.id), host.identity.id);
-        t.equal(host.reach, 59 / 60, host.identity.id);
+        t.equal(host.reachableFraction, 59 / 60, host.identity.id);
       });
     hub.healAll();
     await clock.advance(1_500);
     hosts.forEach((host) => {
-      t.equal(host.reach, 1, host.identity.id);
+      t.equal(host.reachableFraction, 1, host.identity.id);
       t.equal(host.inFlight, 60, host.identity.id);
     });
   },
@@ -168,7 +168,7 @@
   relays.slice(1).forEach((relay) => hub.silence(isolatedRelay.identity.id, relay.identity.id));
   await clock.advance(4_000);
   members.forEach((member) => {
-    t.ok(member.reach > 0.9, `${member.identity.id}: ${member.reach}`);
+    t.ok(member.reachableFraction > 0.9, `${member.identity.id}: ${member.reachableFraction}`);
   });
   t.equal(hosts.length, 60);
 });
--- a/src/application/direct/requests_in_doubt_test.ts
+++ b/src/application/direct/requests_in_doubt_test.ts
@@ -20,7 +20,7 @@
 }
 
 function countLateArrivals(fleet: CrashFleet, body: string): number {
-  return fleet.countArrivals(body, fleet.findEndMs(body, 3) + PROPAGATION_MS);
+  return fleet.countArrivals(body, fleet.findCrashMs(body, 3) + PROPAGATION_MS);
 }
 
 /** Calls two contents that always arrive together, one of which crashes servers. */
@@ -53,7 +53,7 @@
     fleet.call(round, 'turns');
     await fleet.clock.advance(100);
   }
-  t.ok(fleet.findEndMs('turns', 3) < Infinity);
+  t.ok(fleet.findCrashMs('turns', 3) < Infinity);
   t.ok(countLateArrivals(fleet, 'turns') <= MAX_LATE_ARRIVALS);
   t.equal(fleet.call(0, 'turns').error?.kind, ErrorKind.RequestHeld);
 });
@@ -96,7 +96,7 @@
     const first = fleet.call(host, 'sound');
     for (let end = 0; end < 3; end += 1) {
       await fleet.clock.advance(20);
-      fleet.endServers(fleet.listServersOf('sound'));
+      fleet.crashServers(fleet.listServersOf('sound'));
       await fleet.clock.advance(20);
       if (first.error) break;
     }
--- a/src/application/direct/server_ending_requests_test.ts
+++ b/src/application/direct/server_ending_requests_test.ts
@@ -36,7 +36,7 @@
     fleet.call(round + 3, `sound ${round}`);
     await fleet.clock.advance(200);
   }
-  const thirdEndMs = fleet.findEndMs(CRASHING, 3);
+  const thirdEndMs = fleet.findCrashMs(CRASHING, 3);
   t.ok(thirdEndMs < Infinity);
   t.ok(fleet.countArrivals(CRASHING, thirdEndMs + PROPAGATION_MS) <= MAX_LATE_ARRIVALS);
 });
@@ -45,14 +45,14 @@
   // Guards against a request that keeps crashing servers because some answer it with an error.
   for (const seed of [1, 2, 3, 4, 5, 6]) {
     const route = { isRepeatable: seed % 2 === 0 };
-    const fleet = new CrashFleet(t, { hosts: 6, servers: 14, errorShare: 1 / 3, seed, route });
+    const fleet = new CrashFleet(t, { hosts: 6, servers: 14, errorFraction: 1 / 3, seed, route });
     await fleet.start();
     for (let round = 0; round < 100; round += 1) {
       fleet.call(round, CRASHING);
       fleet.call(round + 3, `sound ${round}`);
       await fleet.clock.advance(150);
     }
-    const thirdEndMs = fleet.findEndMs(CRASHING, 3);
+    const thirdEndMs = fleet.findCrashMs(CRASHING, 3);
     t.ok(thirdEndMs < Infinity);
     t.ok(
       fleet.countArrivals(CRASHING, thirdEndMs + PROPAGATION_MS) <= MAX_LATE_ARRIVALS,
@@ -64,13 +64,13 @@
 t.test('an answer that a crash cuts off does not clear its content', async (t) => {
   // Guards against a crash that looks like the end of an answer without a length.
   for (const seed of [1, 2, 3, 4, 5, 6]) {
-    const fleet = new CrashFleet(t, { hosts: 6, servers: 14, unframedShare: 1 / 3, seed });
+    const fleet = new CrashFleet(t, { hosts: 6, servers: 14, unframedFraction: 1 / 3, seed });
     await fleet.start();
     for (let round = 0; round < 100; round += 1) {
       fleet.call(round, CRASHING);
       await fleet.clock.advance(150);
     }
-    const thirdEndMs = fleet.findEndMs(CRASHING, 3);
+    const thirdEndMs = fleet.findCrashMs(CRASHING, 3);
     t.ok(
       fleet.countArrivals(CRASHING, thirdEndMs + PROPAGATION_MS) <= MAX_LATE_ARRIVALS,
       `seed ${seed}`,
@@ -102,7 +102,7 @@
         fleet.call(round, CRASHING, call);
         await fleet.clock.advance(300);
       }
-      const thirdEndMs = fleet.findEndMs(CRASHING, 3);
+      const thirdEndMs = fleet.findCrashMs(CRASHING, 3);
       t.ok(fleet.countArrivals(CRASHING, thirdEndMs + PROPAGATION_MS) <= MAX_LATE_ARRIVALS, name);
       const reply = fleet.call(0, CRASHING, call);
       t.match(
@@ -135,7 +135,7 @@
     const kinds = replies.map(({ error }) => error?.kind);
     t.notOk(kinds.includes(ErrorKind.RequestHeld), `seed ${seed}`);
     for (const body of ['ends 0', 'ends 1', 'ends 2']) {
-      const laterMs = fleet.findEndMs(body, 3) + PROPAGATION_MS;
+      const laterMs = fleet.findCrashMs(body, 3) + PROPAGATION_MS;
       t.ok(fleet.countArrivals(body, laterMs) <= MAX_LATE_ARRIVALS, `seed ${seed}: ${body}`);
     }
   }
@@ -157,7 +157,7 @@
   const rack = [...new Set(fleet.listServersOf('popular'))].slice(0, 4);
   t.equal(rack.length, 4);
   await fleet.clock.advance(50);
-  fleet.endServers(rack);
+  fleet.crashServers(rack);
   for (let round = 0; round < 20; round += 1) {
     replies.push(fleet.call(round, 'popular'));
     await fleet.clock.advance(100);
@@ -182,7 +182,7 @@
     const serverIds = fleet.listServersOf('long');
     fleet.drainServers(serverIds);
     await fleet.clock.advance(1_000);
-    fleet.endServers(serverIds);
+    fleet.crashServers(serverIds);
     await fleet.clock.advance(200);
   }
   t.equal(fleet.countArrivals('long'), 6);
--- a/src/application/direct/server_keeper_test.ts
+++ b/src/application/direct/server_keeper_test.ts
@@ -1,6 +1,6 @@
 import t from 'tap';
 import { buildServer, startDirectHost } from '../../../test/support/direct_host.js';
-import { NO_FIGURES } from '../../../test/support/server_keepers.js';
+import { NO_STATS } from '../../../test/support/server_keepers.js';
 import type { DirectHost } from '../../../test/support/direct_host.js';
 import { formatIncarnationId, EXPIRED_ENTRY_GRACE_MS, ServerOutcome } from '../../domain/backend_servers/mod.js';
 import { settle } from '../../../test/support/virtual_clock.js';
@@ -54,14 +54,14 @@
   formerCandidate?.load.recordStart({ promptTokens: 1, outputTokens: 1 });
   formerCandidate?.load.recordEnd(ServerOutcome.Failed, host.clock.nowMs());
   formerCandidate?.load.recordStart({ promptTokens: 1, outputTokens: 1 });
-  host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, inFlight: { 's-1@1': 5 } });
+  host.servers.applyPeerStats('peer-1', { ...NO_STATS, inFlight: { 's-1@1': 5 } });
   await putIncarnation(2);
   const [newCandidate] = host.servers.listCandidates('engines');
   t.equal(newCandidate?.id, 's-1@2');
   t.equal(newCandidate?.load.inFlight, 0);
   t.notOk(newCandidate?.load.mustAvoid(host.clock.nowMs()));
   // A peer that doesn't know of the restart yet still counts requests that have ended with it.
-  host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, inFlight: { 's-1@1': 5 } });
+  host.servers.applyPeerStats('peer-1', { ...NO_STATS, inFlight: { 's-1@1': 5 } });
   t.equal(newCandidate?.load.inFlight, 0);
   t.same(host.servers.listEndedIds(), ['s-1@1']);
   await putIncarnation(1);
@@ -73,8 +73,8 @@
   async (t) => {
     const host = await startDirectHost(t, {}, ['s-1']);
     const [candidate] = host.servers.listCandidates('engines');
-    host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, inFlight: { 's-1': 2 } });
-    host.servers.applyPeerStats('peer-2', { ...NO_FIGURES, inFlight: { 's-1': 1 } });
+    host.servers.applyPeerStats('peer-1', { ...NO_STATS, inFlight: { 's-1': 2 } });
+    host.servers.applyPeerStats('peer-2', { ...NO_STATS, inFlight: { 's-1': 1 } });
     t.equal(candidate?.load.inFlight, 3);
     host.servers.applyPeerStats('peer-1', undefined);
     t.equal(candidate?.load.inFlight, 1);
@@ -83,7 +83,7 @@
 
 t.test('the server registry trusts peers that report an ended server', async (t) => {
   const host = await startDirectHost(t, {}, ['s-1', 's-2']);
-  host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, endedServers: ['s-1'] });
+  host.servers.applyPeerStats('peer-1', { ...NO_STATS, endedServers: ['s-1'] });
   t.same(listIds(host), ['s-2']);
   // The ended server is reported on, since not all hosts report to each other, and is forgotten
   // together with its entry.
@@ -91,7 +91,7 @@
   host.feed.remove('servers/s-1');
   await settle();
   t.same(host.servers.listEndedIds(), []);
-  host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, endedServers: ['s-1'] });
+  host.servers.applyPeerStats('peer-1', { ...NO_STATS, endedServers: ['s-1'] });
   t.same(host.servers.listEndedIds(), []);
 });
 
@@ -101,13 +101,13 @@
   // others need not find out for themselves.
   const host = await startDirectHost(t, {}, ['s-1', 's-2']);
   const [candidate] = host.servers.listCandidates('engines');
-  host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, avoidedBy: { 's-1': 1 } });
+  host.servers.applyPeerStats('peer-1', { ...NO_STATS, avoidedBy: { 's-1': 1 } });
   t.notOk(candidate?.load.mustAvoid(host.clock.nowMs()));
-  host.servers.applyPeerStats('peer-2', { ...NO_FIGURES, avoidedBy: { 's-1': 1 } });
+  host.servers.applyPeerStats('peer-2', { ...NO_STATS, avoidedBy: { 's-1': 1 } });
   t.ok(candidate?.load.mustAvoid(host.clock.nowMs()));
   t.same(host.servers.countAvoiding(['peer-1', 'peer-2']), { 's-1': 2 });
   t.same(host.servers.countAvoiding(), {});
-  host.servers.applyPeerStats('peer-1', NO_FIGURES);
+  host.servers.applyPeerStats('peer-1', NO_STATS);
   t.notOk(candidate?.load.mustAvoid(host.clock.nowMs()));
 });
 
@@ -119,6 +119,6 @@
   const work = { promptTokens: 1, outputTokens: 1 };
   candidate?.load.recordStart(work);
   candidate?.load.recordEnd(ServerOutcome.Answered, host.clock.nowMs());
-  host.servers.applyPeerStats('peer-1', { ...NO_FIGURES, avoidedBy: { 's-1': 2 } });
+  host.servers.applyPeerStats('peer-1', { ...NO_STATS, avoidedBy: { 's-1': 2 } });
   t.notOk(candidate?.load.mustAvoid(host.clock.nowMs()));
 });
--- a/src/application/direct/server_lives_test.ts
+++ b/src/application/direct/server_lives_test.ts
@@ -3,9 +3,9 @@
 import t from 'tap';
 import { buildServer } from '../../../test/support/direct_host.js';
 import {
-  CALM_CONTEXT,
-  createServerKeeper,
-  NO_FIGURES,
+  NORMAL_READ_CONTEXT,
+  createServerRegistry,
+  NO_STATS,
 } from '../../../test/support/server_keepers.js';
 import { VirtualClock } from '../../../test/support/virtual_clock.js';
 import { formatIncarnationId, EXPIRED_ENTRY_GRACE_MS } from '../../domain/backend_servers/mod.js';
@@ -56,7 +56,7 @@
   /** Has a host read the changes since its last read. */
   readChanges(index: number): void {
     const host = this.#getHost(index);
-    host.registry.applyChanges(this.#changes.slice(host.read), CALM_CONTEXT);
+    host.registry.applyChanges(this.#changes.slice(host.read), NORMAL_READ_CONTEXT);
     host.read = this.#changes.length;
   }
 
@@ -68,14 +68,14 @@
     const items = [...standing.values()].flatMap(({ key, value, revision }) =>
       value === undefined ? [] : [{ key, value, revision }],
     );
-    registry.applySnapshot(items, CALM_CONTEXT);
+    registry.applySnapshot(items, NORMAL_READ_CONTEXT);
     this.#getHost(index).read = this.#changes.length;
   }
 
   /** Delivers one host's report to another. */
   deliverReport(from: number, to: number): void {
     const endedServers = this.#getHost(from).registry.listEndedIds();
-    this.#getHost(to).registry.applyPeerStats(`peer-${from}`, { ...NO_FIGURES, endedServers });
+    this.#getHost(to).registry.applyPeerStats(`peer-${from}`, { ...NO_STATS, endedServers });
   }
 
   listUsable(index: number): string[] {
@@ -88,7 +88,7 @@
   }
 
   #startHost(): { readonly registry: ServerRegistry; read: number } {
-    const registry = createServerKeeper(this.clock, HOST_COUNT);
+    const registry = createServerRegistry(this.clock, HOST_COUNT);
     return { registry, read: 0 };
   }
 }
--- a/src/application/direct/waiting_notices_test.ts
+++ b/src/application/direct/waiting_notices_test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import { FakePeerHub, FakePeerNetwork } from '../../../test/support/fake_peer_network.js';
 import { FakeMetrics } from '../../../test/support/fakes.js';
-import { createServerKeeper, NO_FIGURES } from '../../../test/support/server_keepers.js';
+import { createServerRegistry, NO_STATS } from '../../../test/support/server_keepers.js';
 import { settle, VirtualClock } from '../../../test/support/virtual_clock.js';
 import { PeerMessageType } from '../../ports/mod.js';
 import type { ServerRegistry } from './server_keeper.js';
@@ -16,7 +16,7 @@
 function startHost(hub: FakePeerHub, clock: VirtualClock, id: string): NoticeHost {
   const incarnation = `${id}/1`;
   const identity = { id, incarnation, url: '', peerUrl: `ws://${id}.test`, availabilityZone: 'a' };
-  const servers = createServerKeeper(clock);
+  const servers = createServerRegistry(clock);
   const peers = new FakePeerNetwork(hub, identity);
   return {
     incarnation,
@@ -38,7 +38,7 @@
   const hub = new FakePeerHub();
   const a = startHost(hub, clock, 'a');
   const b = startHost(hub, clock, 'b');
-  b.servers.applyPeerStats(a.incarnation, NO_FIGURES);
+  b.servers.applyPeerStats(a.incarnation, NO_STATS);
   a.waitingNotices.notifyPeers('engines', { size: 1, firstUrgency: 2 });
   await settle();
   t.match(b.servers.peers.findFirstWaiting('engines'), { source: a.incarnation, urgency: 2 });
--- a/src/application/dispatcher/dispatcher_loss_test.ts
+++ b/src/application/dispatcher/dispatcher_loss_test.ts
@@ -7,7 +7,7 @@
 import { settle } from '../../../test/support/virtual_clock.js';
 import { buildIdentity } from '../../../test/support/fake_peer_network.js';
 import { SERVICE_ID } from '../../../test/support/fake_views.js';
-import { DispatchFleet, watch } from '../../../test/support/fleet_fixture.js';
+import { DispatchFleet, trackPromise } from '../../../test/support/fleet_fixture.js';
 import type { FixtureHost } from '../../../test/support/fleet_fixture.js';
 
 const ANSWERED = { outcome: SlotOutcome.Answered, firstByteMs: 20, totalMs: 500, outputTokens: 25 };
@@ -90,13 +90,13 @@
   t.test(`SlotClient acquires its slot when the dispatcher is lost: ${name}`, async (t) => {
     // Guards against a queued request that waits for the reply of a lost dispatcher.
     const fleet = new DispatchFleet({ hostIds: HOST_IDS, slots: 4 });
-    const hosts = fleet.sortHosts();
+    const hosts = fleet.sortByResponsibility();
     const [dispatcher] = hosts;
     const owner = hosts[3] as FixtureHost;
     const heldSlots = await Promise.all(
-      [1, 2, 3, 4].map(() => dispatcher.slots.acquire(fleet.buildWish())),
+      [1, 2, 3, 4].map(() => dispatcher.slots.acquire(fleet.buildSlotRequest())),
     );
-    const pendingSlot = watch(owner.slots.acquire(fleet.buildWish()));
+    const pendingSlot = trackPromise(owner.slots.acquire(fleet.buildSlotRequest()));
     await settle();
     t.same(pendingSlot, {}, 'queued');
     const startMs = fleet.clock.nowMs();
@@ -119,10 +119,10 @@
   // Guards against engines that get several times their window: all entry hosts are cut
   // off from the dispatcher, each dispatches alone, and each uses the whole window.
   const fleet = new DispatchFleet({ hostIds: HOST_IDS, slots: 16 });
-  const hosts = fleet.sortHosts();
+  const hosts = fleet.sortByResponsibility();
   HOST_IDS.forEach((a) => HOST_IDS.filter((b) => b > a).forEach((b) => fleet.hub.cut(a, b)));
   hosts.forEach(({ slots }) =>
-    Array.from({ length: 30 }, () => watch(slots.acquire(fleet.buildWish()))),
+    Array.from({ length: 30 }, () => trackPromise(slots.acquire(fleet.buildSlotRequest()))),
   );
   await settle();
   t.same(hosts.map(countRunning), [16, 4, 4, 4]);
@@ -132,8 +132,8 @@
   // Guards against a leaked slot: the link is down when the answer ends, and the release
   // is sent only once.
   const fleet = new DispatchFleet();
-  const [dispatcher, owner] = fleet.sortHosts();
-  const slot = await owner.slots.acquire(fleet.buildWish());
+  const [dispatcher, owner] = fleet.sortByResponsibility();
+  const slot = await owner.slots.acquire(fleet.buildSlotRequest());
   fleet.hub.cut(dispatcher.identity.id, owner.identity.id);
   slot.release(ANSWERED);
   await settle();
@@ -145,8 +145,8 @@
 
 t.test('DispatcherService reclaims the slots of an owner that stays unreachable', async (t) => {
   const fleet = new DispatchFleet();
-  const [dispatcher, owner] = fleet.sortHosts();
-  await owner.slots.acquire(fleet.buildWish());
+  const [dispatcher, owner] = fleet.sortByResponsibility();
+  await owner.slots.acquire(fleet.buildSlotRequest());
   fleet.kill(owner);
   dispatcher.membership.states.set(owner.identity.incarnation, PeerState.Suspected);
   await fleet.clock.advance(5_000);
@@ -160,8 +160,8 @@
 
 t.test('DispatcherService reclaims a slot whose release was lost on a stalled link', async (t) => {
   const fleet = new DispatchFleet();
-  const [dispatcher, owner] = fleet.sortHosts();
-  const slotRequest = fleet.buildWish({ deadlineAtMs: fleet.clock.nowMs() + 10_000 });
+  const [dispatcher, owner] = fleet.sortByResponsibility();
+  const slotRequest = fleet.buildSlotRequest({ deadlineAtMs: fleet.clock.nowMs() + 10_000 });
   const slot = await owner.slots.acquire(slotRequest);
   fleet.hub.silence(dispatcher.identity.id, owner.identity.id);
   slot.release(ANSWERED);
@@ -177,9 +177,9 @@
   // Guards against a process that was paused (SIGSTOP, SIGCONT) and, by its stale view, grants
   // slots on a backend server that began to drain during the pause.
   const fleet = new DispatchFleet();
-  const [dispatcher, owner] = fleet.sortHosts();
+  const [dispatcher, owner] = fleet.sortByResponsibility();
   dispatcher.membership.fresh = false;
-  const pendingSlot = watch(owner.slots.acquire(fleet.buildWish()));
+  const pendingSlot = trackPromise(owner.slots.acquire(fleet.buildSlotRequest()));
   await fleet.clock.advance(1_000);
   t.same(pendingSlot, {});
   dispatcher.membership.fresh = true;
@@ -192,11 +192,11 @@
   // the first host in order alternates between suspected and live every 300 ms before it
   // stays live. Queues must not be handed off at each change.
   const fleet = new DispatchFleet({ slots: 1 });
-  const [first, second, owner] = fleet.sortHosts() as unknown as FixtureHost[];
+  const [first, second, owner] = fleet.sortByResponsibility() as unknown as FixtureHost[];
   if (!first || !second || !owner) throw new Error('no hosts');
   fleet.setState(first, PeerState.Suspected);
-  const heldSlot = await owner.slots.acquire(fleet.buildWish());
-  const pendingSlots = [1, 2, 3].map(() => watch(owner.slots.acquire(fleet.buildWish())));
+  const heldSlot = await owner.slots.acquire(fleet.buildSlotRequest());
+  const pendingSlots = [1, 2, 3].map(() => trackPromise(owner.slots.acquire(fleet.buildSlotRequest())));
   await settle();
   const countSlotRequests = (): number =>
     fleet.hub.delivered.filter(({ message }) => message.type === PeerMessageType.SlotRequest)
@@ -222,10 +222,10 @@
 
 t.test('SlotClient passes the time waited to the next dispatcher', async (t) => {
   const fleet = new DispatchFleet({ slots: 1 });
-  const [dispatcher, next, owner] = fleet.sortHosts() as unknown as FixtureHost[];
+  const [dispatcher, next, owner] = fleet.sortByResponsibility() as unknown as FixtureHost[];
   if (!dispatcher || !next || !owner) throw new Error('no hosts');
-  await dispatcher.slots.acquire(fleet.buildWish({ deadlineAtMs: fleet.clock.nowMs() + 99_000 }));
-  watch(owner.slots.acquire(fleet.buildWish({ deadlineAtMs: fleet.clock.nowMs() + 99_000 })));
+  await dispatcher.slots.acquire(fleet.buildSlotRequest({ deadlineAtMs: fleet.clock.nowMs() + 99_000 }));
+  trackPromise(owner.slots.acquire(fleet.buildSlotRequest({ deadlineAtMs: fleet.clock.nowMs() + 99_000 })));
   await fleet.clock.advance(20_000);
   fleet.kill(dispatcher);
   await settle();
@@ -235,14 +235,14 @@
 
 t.test('SlotClient ends a request that nobody grants at its deadline', async (t) => {
   const fleet = new DispatchFleet({ hostIds: ['a', 'b'] });
-  const [, owner] = fleet.sortHosts();
+  const [, owner] = fleet.sortByResponsibility();
   owner.membership.fresh = false;
   fleet.hub.cut('a', 'b');
-  const slotRequest = fleet.buildWish({
+  const slotRequest = fleet.buildSlotRequest({
     deadlineAtMs: fleet.clock.nowMs() + 4_000,
     tier: Tier.Urgent,
   });
-  const pendingSlot = watch(owner.slots.acquire(slotRequest));
+  const pendingSlot = trackPromise(owner.slots.acquire(slotRequest));
   await fleet.clock.advance(4_000);
   t.equal((pendingSlot.error as SchedulerError).kind, ErrorKind.DeadlineExpired);
   t.equal(owner.dispatcher.listQueues()[0]?.groupId, `${SERVICE_ID}/0`);
--- a/src/application/dispatcher/dispatcher_service_test.ts
+++ b/src/application/dispatcher/dispatcher_service_test.ts
@@ -7,7 +7,7 @@
 import { settle } from '../../../test/support/virtual_clock.js';
 import type { Slot } from '../views/mod.js';
 import { buildService } from '../../../test/support/fake_views.js';
-import { DispatchFleet, watch } from '../../../test/support/fleet_fixture.js';
+import { DispatchFleet, trackPromise } from '../../../test/support/fleet_fixture.js';
 import type { FixtureHost } from '../../../test/support/fleet_fixture.js';
 
 const SLOT_USE = { firstByteMs: 20, totalMs: 500, outputTokens: 25 };
@@ -18,7 +18,7 @@
   count: number,
 ): Promise<Slot[]> {
   const pendingSlots = Array.from({ length: count }, () =>
-    watch(host.slots.acquire(fleet.buildWish())),
+    trackPromise(host.slots.acquire(fleet.buildSlotRequest())),
   );
   await settle();
   return pendingSlots.flatMap(({ value }) => value ?? []);
@@ -52,14 +52,14 @@
   },
   {
     name: 'removed from the configuration',
-    announceDraining: async (fleet) => fleet.configuration.put(buildService(1)),
+    announceDraining: async (fleet) => fleet.configuration.replaceService(buildService(1)),
   },
 ];
 
 DRAINING_CASES.forEach(({ name, announceDraining }) => {
   t.test(`DispatcherService grants no slot on a draining backend server: ${name}`, async (t) => {
     const fleet = new DispatchFleet({ service: buildService(2), slots: 4 });
-    const [dispatcher, owner] = fleet.sortHosts();
+    const [dispatcher, owner] = fleet.sortByResponsibility();
     const heldBefore = await acquireMany(fleet, owner, 6);
     t.ok(heldBefore.some(({ backendServer }) => backendServer.id === 'engine-2'));
     await announceDraining(fleet, [dispatcher, owner]);
@@ -75,7 +75,7 @@
   // successor knows only its own grants and starts with all slots free, while the owners'
   // requests still run. Load reports, though delayed, make up for it.
   const fleet = new DispatchFleet({ slots: 8 });
-  const [dispatcher, next, owner] = fleet.sortHosts() as unknown as FixtureHost[];
+  const [dispatcher, next, owner] = fleet.sortByResponsibility() as unknown as FixtureHost[];
   if (!dispatcher || !next || !owner) throw new Error('no hosts');
   t.equal((await acquireMany(fleet, owner, 8)).length, 8);
   fleet.backend.loads.set('engine-1', { running: 8, waiting: 0, leaving: false });
@@ -101,7 +101,7 @@
   // Guards against slots that stay unused: reports stop while the last one shows full
   // engines, and it never expires.
   const fleet = new DispatchFleet({ slots: 4 });
-  const [dispatcher] = fleet.sortHosts();
+  const [dispatcher] = fleet.sortByResponsibility();
   fleet.backend.loads.set('engine-1', { running: 50, waiting: 9, leaving: false });
   await fleet.clock.advance(1_100);
   t.equal((await acquireMany(fleet, dispatcher, 4)).length, 1);
@@ -126,7 +126,7 @@
   'DispatcherService.listGroupLoads() lists the groups that it is responsible for',
   async (t) => {
     const fleet = new DispatchFleet({ slots: 1 });
-    const [dispatcher, owner] = fleet.sortHosts();
+    const [dispatcher, owner] = fleet.sortByResponsibility();
     await acquireMany(fleet, owner, 3);
     const [load] = dispatcher.dispatcher.listGroupLoads();
     t.match(load, { groupId: 'monsoon-llm/0', openTier: TIERS[2] });
@@ -201,9 +201,9 @@
         const { hosts, hub } = fleet;
         if (step.kind === 'ask') {
           const caller = new AbortController();
-          const slotRequest = fleet.buildWish({ tier: step.tier, signal: caller.signal });
+          const slotRequest = fleet.buildSlotRequest({ tier: step.tier, signal: caller.signal });
           const host = hosts[step.host] as FixtureHost;
-          requests.push({ result: watch(host.slots.acquire(slotRequest)), caller });
+          requests.push({ result: trackPromise(host.slots.acquire(slotRequest)), caller });
         }
         const slots = requests.flatMap(({ result }) => result.value ?? []);
         if (step.kind === 'release')
@@ -244,9 +244,9 @@
 
 t.test('DispatcherService drops the queued requests of an owner whose link is down', async (t) => {
   const fleet = new DispatchFleet({ slots: 1 });
-  const [dispatcher, owner] = fleet.sortHosts();
-  await dispatcher.slots.acquire(fleet.buildWish());
-  watch(owner.slots.acquire(fleet.buildWish()));
+  const [dispatcher, owner] = fleet.sortByResponsibility();
+  await dispatcher.slots.acquire(fleet.buildSlotRequest());
+  trackPromise(owner.slots.acquire(fleet.buildSlotRequest()));
   await settle();
   t.equal(dispatcher.dispatcher.listQueues()[0]?.queued.standard, 1);
   fleet.hub.cut(dispatcher.identity.id, owner.identity.id);
--- a/src/application/dispatcher/slot_client_test.ts
+++ b/src/application/dispatcher/slot_client_test.ts
@@ -5,20 +5,20 @@
 import { PeerMessageType, SlotOutcome } from '../../ports/mod.js';
 import { settle } from '../../../test/support/virtual_clock.js';
 import { buildService } from '../../../test/support/fake_views.js';
-import { DispatchFleet, watch } from '../../../test/support/fleet_fixture.js';
+import { DispatchFleet, trackPromise } from '../../../test/support/fleet_fixture.js';
 
 const ANSWERED = { outcome: SlotOutcome.Answered, firstByteMs: 20, totalMs: 500, outputTokens: 25 };
 
 t.test('SlotClient.acquire() gets slots from a local or a remote dispatcher', async (t) => {
   const fleet = new DispatchFleet();
-  const [dispatcher, owner] = fleet.sortHosts();
-  const localSlot = await dispatcher.slots.acquire(fleet.buildWish());
-  const remoteSlot = await owner.slots.acquire(fleet.buildWish());
+  const [dispatcher, owner] = fleet.sortByResponsibility();
+  const localSlot = await dispatcher.slots.acquire(fleet.buildSlotRequest());
+  const remoteSlot = await owner.slots.acquire(fleet.buildSlotRequest());
   t.equal(localSlot.backendServer.id, 'engine-1');
   t.equal(remoteSlot.backendServer.id, 'engine-1');
   t.ok(remoteSlot.validUntilMs > fleet.clock.nowMs());
   t.equal(dispatcher.dispatcher.listQueues()[0]?.running, 2);
-  const queuedRequest = watch(owner.slots.acquire(fleet.buildWish()));
+  const queuedRequest = trackPromise(owner.slots.acquire(fleet.buildSlotRequest()));
   await settle();
   t.same(queuedRequest, {}, 'waits while both slots are held');
   remoteSlot.release(ANSWERED);
@@ -32,7 +32,7 @@
   'SlotClient.acquire() refuses at once, with the reason and a retry-after time',
   async (t) => {
     const fleet = new DispatchFleet();
-    const [, owner] = fleet.sortHosts();
+    const [, owner] = fleet.sortByResponsibility();
     const nowMs = fleet.clock.nowMs();
     const disconnect = new AbortController();
     disconnect.abort();
@@ -44,7 +44,7 @@
       { changes: { signal: disconnect.signal }, kind: ErrorKind.Cancelled },
     ];
     for (const { changes, kind } of cases) {
-      const refused = watch(owner.slots.acquire(fleet.buildWish(changes)));
+      const refused = trackPromise(owner.slots.acquire(fleet.buildSlotRequest(changes)));
       await settle();
       const error = refused.error as SchedulerError | undefined;
       t.equal(error?.kind, kind);
@@ -61,12 +61,12 @@
   'SlotClient.acquire() leaves the queue when its deadline passes or its caller disconnects',
   async (t) => {
     const fleet = new DispatchFleet({ slots: 1 });
-    const [dispatcher, owner] = fleet.sortHosts();
-    await owner.slots.acquire(fleet.buildWish());
+    const [dispatcher, owner] = fleet.sortByResponsibility();
+    await owner.slots.acquire(fleet.buildSlotRequest());
     const caller = new AbortController();
-    const abortedRequest = watch(owner.slots.acquire(fleet.buildWish({ signal: caller.signal })));
-    const lateRequest = watch(
-      owner.slots.acquire(fleet.buildWish({ deadlineAtMs: fleet.clock.nowMs() + 5_000 })),
+    const abortedRequest = trackPromise(owner.slots.acquire(fleet.buildSlotRequest({ signal: caller.signal })));
+    const lateRequest = trackPromise(
+      owner.slots.acquire(fleet.buildSlotRequest({ deadlineAtMs: fleet.clock.nowMs() + 5_000 })),
     );
     await settle();
     t.same(dispatcher.dispatcher.listQueues()[0]?.queued, { urgent: 0, standard: 2, batch: 0 });
@@ -84,10 +84,10 @@
   // Guards against a slot that idles until it is reclaimed: the caller disconnects while
   // the grant is in transit, and nobody releases it.
   const fleet = new DispatchFleet({ slots: 1 });
-  const [dispatcher, owner] = fleet.sortHosts();
-  const first = await owner.slots.acquire(fleet.buildWish());
+  const [dispatcher, owner] = fleet.sortByResponsibility();
+  const first = await owner.slots.acquire(fleet.buildSlotRequest());
   const caller = new AbortController();
-  watch(owner.slots.acquire(fleet.buildWish({ signal: caller.signal })));
+  trackPromise(owner.slots.acquire(fleet.buildSlotRequest({ signal: caller.signal })));
   await settle();
   first.release(ANSWERED);
   caller.abort();
@@ -113,10 +113,10 @@
     // sent only once.
     for (const isAnswerLost of [false, true]) {
       const fleet = new DispatchFleet();
-      const [dispatcher, owner] = fleet.sortHosts();
+      const [dispatcher, owner] = fleet.sortByResponsibility();
       const [a, b] = [dispatcher.identity.id, owner.identity.id];
       if (!isAnswerLost) fleet.hub.silence(a, b);
-      const pendingSlot = watch(owner.slots.acquire(fleet.buildWish()));
+      const pendingSlot = trackPromise(owner.slots.acquire(fleet.buildSlotRequest()));
       if (isAnswerLost) {
         await Promise.resolve();
         while (dispatcher.dispatcher.listQueues()[0]?.running !== 1) await Promise.resolve();
@@ -140,8 +140,8 @@
   const fleet = new DispatchFleet({ service: buildService(2, 1), slots: 1 });
   const slotRequest = { deadlineAtMs: fleet.clock.nowMs() + 1_500, tier: Tier.Urgent };
   const pendingSlots = Array.from({ length: 2 }, () =>
-    watch(
-      fleet.hosts[0].slots.acquire(fleet.buildWish({ ...slotRequest, expectedOutputTokens: 60 })),
+    trackPromise(
+      fleet.hosts[0].slots.acquire(fleet.buildSlotRequest({ ...slotRequest, expectedOutputTokens: 60 })),
     ),
   );
   await settle();
@@ -159,12 +159,12 @@
   const [host, other] = fleet.hosts;
   const group = { groupId: 'monsoon-llm/0', waitMs: [9_000, 9_000, 9_000], openTier: Tier.Urgent };
   host.slots.handleGroupLoads(other.identity.incarnation, [group]);
-  const refused = watch(host.slots.acquire(fleet.buildWish({ tier: Tier.Batch })));
+  const refused = trackPromise(host.slots.acquire(fleet.buildSlotRequest({ tier: Tier.Batch })));
   await settle();
   t.equal((refused.error as SchedulerError).kind, ErrorKind.TierClosed);
-  t.ok((await host.slots.acquire(fleet.buildWish({ tier: Tier.Urgent }))).backendServer);
+  t.ok((await host.slots.acquire(fleet.buildSlotRequest({ tier: Tier.Urgent }))).backendServer);
   await fleet.clock.advance(3_001);
-  t.ok((await host.slots.acquire(fleet.buildWish({ tier: Tier.Batch }))).backendServer);
+  t.ok((await host.slots.acquire(fleet.buildSlotRequest({ tier: Tier.Batch }))).backendServer);
 });
 
 t.test('SlotClient sends no message to peers under local strategies', async (t) => {
@@ -173,8 +173,8 @@
     const strategy = createStrategy(name as StrategyName, { reserveFraction: 0 });
     const hostIds = ['a', 'b', 'c', 'd'];
     const fleet = new DispatchFleet({ slots: 16, strategy, hostIds });
-    const [, owner] = fleet.sortHosts();
-    Array.from({ length: 20 }, () => watch(owner.slots.acquire(fleet.buildWish())));
+    const [, owner] = fleet.sortByResponsibility();
+    Array.from({ length: 20 }, () => trackPromise(owner.slots.acquire(fleet.buildSlotRequest())));
     await settle();
     t.equal(owner.dispatcher.listQueues()[0]?.running, expected, name);
     t.equal(owner.peers.sent.length, 0, name);
--- a/src/application/entry_host/at_most_once_test.ts
+++ b/src/application/entry_host/at_most_once_test.ts
@@ -7,7 +7,7 @@
 import t from 'tap';
 import fc from 'fast-check';
 import { RunOutcome, SchedulerError } from '../../domain/errors/mod.js';
-import { buildExpectedAnswer, CallFate, FakeBackend } from '../../../test/support/fake_backend.js';
+import { buildExpectedAnswer, CallBehaviour, FakeBackend } from '../../../test/support/fake_backend.js';
 import { buildIdentity, FakePeerHub } from '../../../test/support/fake_peer_network.js';
 import { ACCOUNT, OwnerHost } from '../../../test/support/owner_hosts.js';
 import type { OwnerWorld } from '../../../test/support/owner_hosts.js';
@@ -32,7 +32,7 @@
   | { readonly kind: 'cancel'; readonly request: number; readonly host: number }
   | { readonly kind: LinkChange; readonly pair: number }
   | { readonly kind: 'freeze' | 'thaw' | 'kill'; readonly host: number }
-  | { readonly kind: 'fate'; readonly fate: CallFate }
+  | { readonly kind: 'fate'; readonly fate: CallBehaviour }
   | { readonly kind: 'advance'; readonly ms: number };
 
 const host = fc.nat(HOST_IDS.length - 1);
@@ -70,7 +70,7 @@
     weight: 3,
     arbitrary: fc.record({
       kind: fc.constant('fate' as const),
-      fate: fc.constantFrom(...Object.values(CallFate)),
+      fate: fc.constantFrom(...Object.values(CallBehaviour)),
     }),
   },
   {
@@ -124,7 +124,7 @@
   async #applyAction(step: Action): Promise<void> {
     const { world } = this;
     if (step.kind === 'advance') await world.clock.advance(step.ms);
-    else if (step.kind === 'fate') world.backend.fates.push(step.fate);
+    else if (step.kind === 'fate') world.backend.behaviours.push(step.fate);
     else if (step.kind === 'assign') await this.#assign(step.host, step.work);
     else if (step.kind === 'submit') this.#submit(step.request, step.host);
     else if (step.kind === 'read') this.#read(step.request, step.host, step.part);
--- a/src/application/owner/crashing_requests_test.ts
+++ b/src/application/owner/crashing_requests_test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import type { Test } from 'tap';
 import { FakeProbe } from '../../../test/support/direct_ends.js';
-import { CallFate, FakeBackend } from '../../../test/support/fake_backend.js';
+import { CallBehaviour, FakeBackend } from '../../../test/support/fake_backend.js';
 import { buildIdentity, FakePeerHub } from '../../../test/support/fake_peer_network.js';
 import { ACCOUNT, OwnerHost, SERVER_ADDRESS } from '../../../test/support/owner_hosts.js';
 import type { OwnerWorld } from '../../../test/support/owner_hosts.js';
@@ -59,8 +59,8 @@
   }
 
   /** Sends a call that crashes the server; the server is back before the next call. */
-  async callCrashing(index: number, fate: CallFate, workKind: string): Promise<unknown> {
-    this.world.backend.fates.push(fate);
+  async callCrashing(index: number, fate: CallBehaviour, workKind: string): Promise<unknown> {
+    this.world.backend.behaviours.push(fate);
     this.probe.ended.set(SERVER_ADDRESS, Reachability.Refused);
     const outcome = await this.call(index, 'ends', workKind);
     this.probe.ended.delete(SERVER_ADDRESS);
@@ -78,7 +78,7 @@
   // under a new ID and to another owner each time. Owners that remember only IDs would treat
   // each repeat as a new request.
   for (const workKind of ['notice', 'lookup']) {
-    for (const fate of [CallFate.LostAfter, CallFate.DiesMidway]) {
+    for (const fate of [CallBehaviour.LostAfterBody, CallBehaviour.DiesMidway]) {
       const fleet = new OwnerFleet(t);
       for (const index of [0, 1, 2]) await fleet.callCrashing(index, fate, workKind);
       t.equal(fleet.world.backend.runs.length, 3);
@@ -95,12 +95,12 @@
 t.test('errors and answers without a marked end do not clear a crashing request', async (t) => {
   // Guards against a request that keeps crashing servers because an error answer, or an
   // answer whose end is not marked, counts as proof that the request is harmless.
-  for (const fate of [CallFate.Erred, CallFate.Unframed]) {
+  for (const fate of [CallBehaviour.ServerError, CallBehaviour.Unframed]) {
     const fleet = new OwnerFleet(t);
     for (const index of [0, 1, 2]) {
-      fleet.world.backend.fates.push(fate);
+      fleet.world.backend.behaviours.push(fate);
       await fleet.call(index, 'ends', 'lookup');
-      await fleet.callCrashing(index, CallFate.LostAfter, 'lookup');
+      await fleet.callCrashing(index, CallBehaviour.LostAfterBody, 'lookup');
     }
     const runs = fleet.world.backend.runs.length;
     t.match(await fleet.call(0, 'ends', 'lookup'), { kind: ErrorKind.RequestHeld }, fate);
@@ -113,7 +113,7 @@
   const fleet = new OwnerFleet(t);
   for (const index of [0, 1, 2]) {
     fleet.probe.ended.set(SERVER_ADDRESS, Reachability.Refused);
-    fleet.world.backend.fates.push(CallFate.LostAfter, CallFate.LostAfter);
+    fleet.world.backend.behaviours.push(CallBehaviour.LostAfterBody, CallBehaviour.LostAfterBody);
     await Promise.all(['ends', 'sound'].map((body) => fleet.call(index, body, 'lookup')));
     fleet.probe.ended.delete(SERVER_ADDRESS);
   }
@@ -129,7 +129,7 @@
 t.test('a request that fails without a server crash is run again for each caller', async (t) => {
   const fleet = new OwnerFleet(t);
   for (const index of [0, 1, 2, 0]) {
-    fleet.world.backend.fates.push(CallFate.LostAfter);
+    fleet.world.backend.behaviours.push(CallBehaviour.LostAfterBody);
     await fleet.call(index, 'fails', 'lookup');
   }
   t.equal(fleet.world.backend.runs.length, 4);
--- a/src/application/owner/owner_service_test.ts
+++ b/src/application/owner/owner_service_test.ts
@@ -6,7 +6,7 @@
  */
 import t from 'tap';
 import { ErrorKind, RunOutcome, SchedulerError } from '../../domain/errors/mod.js';
-import { buildExpectedAnswer, CallFate, FakeBackend } from '../../../test/support/fake_backend.js';
+import { buildExpectedAnswer, CallBehaviour, FakeBackend } from '../../../test/support/fake_backend.js';
 import { buildIdentity, FakePeerHub } from '../../../test/support/fake_peer_network.js';
 import {
   ACCOUNT,
@@ -32,9 +32,9 @@
     hosts: [],
   });
 
-  constructor(fates: readonly CallFate[] = []) {
+  constructor(fates: readonly CallBehaviour[] = []) {
     this.host.start();
-    this.backend.fates.push(...fates);
+    this.backend.behaviours.push(...fates);
   }
 
   async assign(): Promise<string> {
@@ -77,7 +77,7 @@
 
 interface FateCase {
   readonly name: string;
-  readonly fates: readonly CallFate[];
+  readonly fates: readonly CallBehaviour[];
   /** Expected error kind; undefined if the complete answer is expected. */
   readonly kind?: ErrorKind;
   readonly run?: RunOutcome;
@@ -87,26 +87,26 @@
 
 const FATE_CASES: readonly FateCase[] = [
   { name: 'answered', fates: [], runs: 1 },
-  { name: 'refused once', fates: [CallFate.Refused], runs: 1 },
-  { name: 'silent once before the 100', fates: [CallFate.SilentBefore], runs: 1 },
+  { name: 'refused once', fates: [CallBehaviour.Refused], runs: 1 },
+  { name: 'silent once before the 100', fates: [CallBehaviour.SilentBeforeContinue], runs: 1 },
   {
     name: 'refused by all',
-    fates: Array.from({ length: 9 }, () => CallFate.Refused),
+    fates: Array.from({ length: 9 }, () => CallBehaviour.Refused),
     kind: ErrorKind.BackendServerRefused,
     run: RunOutcome.NotRun,
     runs: 0,
   },
   {
     name: 'lost after the body',
-    fates: [CallFate.LostAfter],
+    fates: [CallBehaviour.LostAfterBody],
     kind: ErrorKind.BackendServerLost,
     run: RunOutcome.MayHaveRun,
     runs: 1,
   },
-  { name: 'cut inside the answer', fates: [CallFate.CutMidway], runs: 1 },
+  { name: 'cut inside the answer', fates: [CallBehaviour.CutMidway], runs: 1 },
   {
     name: 'dead inside the answer',
-    fates: [CallFate.DiesMidway],
+    fates: [CallBehaviour.DiesMidway],
     kind: ErrorKind.AnswerCut,
     run: RunOutcome.Ran,
     runs: 1,
@@ -128,7 +128,7 @@
 });
 
 t.test('a refusal before the body was sent is immediate and has a retry-after time', async (t) => {
-  const fixture = new OwnerFixture(Array.from({ length: 9 }, () => CallFate.Refused));
+  const fixture = new OwnerFixture(Array.from({ length: 9 }, () => CallBehaviour.Refused));
   const startedAtMs = fixture.clock.nowMs();
   const outcome = fixture.send(await fixture.assign());
   await fixture.clock.advance(DEADLINE_MS);
@@ -139,7 +139,7 @@
 t.test(
   'a backend server that stalls after the body is reported at the deadline, never as not run',
   async (t) => {
-    const fixture = new OwnerFixture([CallFate.SilentAfter, CallFate.SilentAfter]);
+    const fixture = new OwnerFixture([CallBehaviour.SilentAfterBody, CallBehaviour.SilentAfterBody]);
     const notice = fixture.send(await fixture.assign(), 'notice');
     const lookup = fixture.send(undefined, 'lookup');
     await fixture.clock.advance(DEADLINE_MS + 1);
@@ -159,9 +159,9 @@
   'a body that was not sent by the deadline is never sent, not even for a late copy',
   async (t) => {
     const fixture = new OwnerFixture([
-      CallFate.SilentBefore,
-      CallFate.SilentBefore,
-      CallFate.SilentBefore,
+      CallBehaviour.SilentBeforeContinue,
+      CallBehaviour.SilentBeforeContinue,
+      CallBehaviour.SilentBeforeContinue,
     ]);
     const id = await fixture.assign();
     const outcome = fixture.send(id);
@@ -178,7 +178,7 @@
 t.test(
   'a caller without an ID that disconnects before the body was sent cancels its request',
   async (t) => {
-    const fixture = new OwnerFixture([CallFate.SilentBefore]);
+    const fixture = new OwnerFixture([CallBehaviour.SilentBeforeContinue]);
     const disconnect = new AbortController();
     const outcome = fixture.send(undefined, 'lookup', disconnect.signal);
     await fixture.clock.advance(10);
@@ -192,7 +192,7 @@
 t.test(
   'a request with an ID stops when no caller reconnects within the grace period',
   async (t) => {
-    const fixture = new OwnerFixture([CallFate.SilentAfter]);
+    const fixture = new OwnerFixture([CallBehaviour.SilentAfterBody]);
     const disconnect = new AbortController();
     fixture.send(await fixture.assign(), 'lookup', disconnect.signal);
     await fixture.clock.advance(100);
--- a/src/caller/caller_client_test.ts
+++ b/src/caller/caller_client_test.ts
@@ -2,16 +2,16 @@
 import fc from 'fast-check';
 import t from 'tap';
 import {
-  CALL,
+  CHAT_CALL,
   waitForCallerError,
-  CHAT,
-  closeAfter,
-  EVENTS,
-  HEADERS,
+  CHAT_PATH,
+  sendThenClose,
+  STREAM_EVENTS,
+  STREAM_HEADERS,
   readAll,
-  readOn,
+  handleResume,
   startHosts,
-  WHOLE,
+  STREAM_BODY,
 } from '../../test/support/caller_hosts.js';
 import { FakeEntryHost, sendJson, sendRefusal } from '../../test/support/fake_entry_host.js';
 import type { FakeHandler } from '../../test/support/fake_entry_host.js';
@@ -21,22 +21,22 @@
 
 t.test('CallerClient sends a call under the request ID that it was assigned', async (t) => {
   const { owner, client } = await startHosts(t, {
-    owner: (request, response) => response.writeHead(200, HEADERS).end(WHOLE),
+    owner: (request, response) => response.writeHead(200, STREAM_HEADERS).end(STREAM_BODY),
     other: (request, response) => response.destroy(),
   });
   const reply = await client.send({
-    ...CALL,
+    ...CHAT_CALL,
     workKind: 'report',
     deadlineMs: 5000,
     idempotencyKey: 'key-1',
     headers: { 'x-team': 'a' },
   });
-  t.strictSame(await readAll(reply), WHOLE);
+  t.strictSame(await readAll(reply), STREAM_BODY);
   t.match(reply, { requestId: 'request-1', status: 200, resumes: 0 });
-  t.match(owner.listSeen('POST', '/v1/requests'), [{ headers: { 'idempotency-key': 'key-1' } }]);
-  t.match(owner.listSeen('POST', CHAT), [
+  t.match(owner.listReceived('POST', '/v1/requests'), [{ headers: { 'idempotency-key': 'key-1' } }]);
+  t.match(owner.listReceived('POST', CHAT_PATH), [
     {
-      body: CALL.body,
+      body: CHAT_CALL.body,
       headers: {
         authorization: 'Bearer secret-key',
         'request-id': 'request-1',
@@ -54,20 +54,20 @@
   // passed on to the caller would cause a gap.
   let cutAt = 0;
   const { other, client } = await startHosts(t, {
-    owner: (request, response) => closeAfter(response, WHOLE.subarray(0, cutAt)),
+    owner: (request, response) => sendThenClose(response, STREAM_BODY.subarray(0, cutAt)),
     other: (request, response) =>
       request.method === 'GET'
-        ? readOn(request, response)
-        : closeAfter(response, WHOLE.subarray(0, cutAt)),
+        ? handleResume(request, response)
+        : sendThenClose(response, STREAM_BODY.subarray(0, cutAt)),
   });
   await fc.assert(
-    fc.asyncProperty(fc.integer({ min: 1, max: WHOLE.length - 1 }), async (at) => {
+    fc.asyncProperty(fc.integer({ min: 1, max: STREAM_BODY.length - 1 }), async (at) => {
       cutAt = at;
-      return WHOLE.equals(await readAll(await client.send(CALL)));
+      return STREAM_BODY.equals(await readAll(await client.send(CHAT_CALL)));
     }),
     { seed: 42, numRuns: 25 },
   );
-  const resumed = other.seen.filter(({ method }) => method === 'GET');
+  const resumed = other.received.filter(({ method }) => method === 'GET');
   t.ok(resumed.length > 0);
   resumed.forEach(({ query }) => {
     t.equal(query.get('backendServer'), 'engine-1');
@@ -81,13 +81,13 @@
   const error = { message: 'x', code: 'owner_gone', run: 'may_have_run', retryAfterMs: 0 };
   const { client } = await startHosts(t, {
     owner: (request, response) => {
-      response.writeHead(200, HEADERS);
-      response.end(`${EVENTS[0]}${EVENTS[1]}data: ${JSON.stringify({ error })}\n\n`);
+      response.writeHead(200, STREAM_HEADERS);
+      response.end(`${STREAM_EVENTS[0]}${STREAM_EVENTS[1]}data: ${JSON.stringify({ error })}\n\n`);
     },
-    other: readOn,
+    other: handleResume,
   });
-  const reply = await client.send(CALL);
-  t.strictSame(await readAll(reply), WHOLE);
+  const reply = await client.send(CHAT_CALL);
+  t.strictSame(await readAll(reply), STREAM_BODY);
   t.equal(reply.resumes, 1);
 });
 
@@ -95,9 +95,9 @@
   const error = { message: 'cut', code: 'answer_cut', run: 'ran', retryAfterMs: 0 };
   const event = `data: ${JSON.stringify({ error })}\n\n`;
   const cases: readonly (readonly [FakeHandler, FakeHandler, string])[] = [
-    [(request, response) => response.writeHead(200, HEADERS).end(event), readOn, 'answer_cut'],
+    [(request, response) => response.writeHead(200, STREAM_HEADERS).end(event), handleResume, 'answer_cut'],
     [
-      (request, response) => closeAfter(response, WHOLE.subarray(0, 30)),
+      (request, response) => sendThenClose(response, STREAM_BODY.subarray(0, 30)),
       (request, response) =>
         sendRefusal(response, 410, { code: 'answer_no_longer_kept', run: 'ran' }),
       'answer_no_longer_kept',
@@ -105,7 +105,7 @@
     [
       (request, response) =>
         request.method === 'POST'
-          ? closeAfter(response, WHOLE.subarray(0, 30))
+          ? sendThenClose(response, STREAM_BODY.subarray(0, 30))
           : sendRefusal(response, 502, { code: 'owner_gone', run: 'may_have_run' }),
       (request, response) =>
         sendRefusal(response, 502, { code: 'owner_gone', run: 'may_have_run' }),
@@ -114,7 +114,7 @@
   ];
   for (const [owner, other, code] of cases) {
     const { client } = await startHosts(t, { owner, other });
-    const reply = await client.send(CALL);
+    const reply = await client.send(CHAT_CALL);
     t.match(await waitForCallerError(readAll(reply)), { code, run: RunOutcome.Ran });
   }
 });
@@ -124,15 +124,15 @@
   // before the head arrived; a call repeated under a new ID would run a second time.
   const { owner, other, client } = await startHosts(t, {
     owner: (request, response) => response.destroy(),
-    other: (request, response) => response.writeHead(200, HEADERS).end(WHOLE),
+    other: (request, response) => response.writeHead(200, STREAM_HEADERS).end(STREAM_BODY),
   });
-  t.strictSame(await readAll(await client.send(CALL)), WHOLE);
-  const calls = [...owner.listSeen('POST', CHAT), ...other.listSeen('POST', CHAT)];
+  t.strictSame(await readAll(await client.send(CHAT_CALL)), STREAM_BODY);
+  const calls = [...owner.listReceived('POST', CHAT_PATH), ...other.listReceived('POST', CHAT_PATH)];
   t.strictSame(
     calls.map(({ headers, body }) => [headers['request-id'], body]),
     [
-      ['request-1', CALL.body],
-      ['request-1', CALL.body],
+      ['request-1', CHAT_CALL.body],
+      ['request-1', CHAT_CALL.body],
     ],
   );
 });
@@ -142,7 +142,7 @@
   // be replaced without the risk that the call runs twice.
   const hosts = await startHosts(t, {
     owner: (request, response) => response.destroy(),
-    other: (request, response) => response.writeHead(200, HEADERS).end(WHOLE),
+    other: (request, response) => response.writeHead(200, STREAM_HEADERS).end(STREAM_BODY),
   });
   const { owner, other } = hosts;
   const closed = await FakeEntryHost.start();
@@ -160,10 +160,10 @@
     const entryHosts = [{ id: 'other', url: other.url }];
     sendJson(response, 200, { id: 'lost-id', entryHost, entryHosts, keepMs: 30_000 });
   };
-  const reply = await hosts.client.send(CALL);
-  t.strictSame(await readAll(reply), WHOLE);
+  const reply = await hosts.client.send(CHAT_CALL);
+  t.strictSame(await readAll(reply), STREAM_BODY);
   t.equal(reply.requestId, 'request-1');
-  t.match(other.listSeen('POST', CHAT), [{ headers: { 'request-id': 'request-1' } }]);
+  t.match(other.listReceived('POST', CHAT_PATH), [{ headers: { 'request-id': 'request-1' } }]);
 });
 
 t.test('CallerClient reports "not run" only when it is certain', async (t) => {
@@ -187,7 +187,7 @@
   ];
   for (const [owner, other, code, run] of cases) {
     const { client } = await startHosts(t, { owner, other });
-    const error = await waitForCallerError(client.send(CALL));
+    const error = await waitForCallerError(client.send(CHAT_CALL));
     t.match(error, { code, run, requestId: 'request-1' });
     if (code === 'tier_closed') t.equal(error.retryAfterMs, 1500);
   }
@@ -197,19 +197,19 @@
   // Guards against a caller that waits forever. A device between the two ends has dropped the
   // connection while new connections work. The request's state, read over another connection,
   // shows that there is an answer.
-  const report = { state: 'answered', answerBytes: WHOLE.length };
+  const report = { state: 'answered', answerBytes: STREAM_BODY.length };
   const { other, client } = await startHosts(
     t,
     {
       owner: (request, response) => {
         if (request.method === 'GET') sendJson(response, 200, report);
       },
-      other: (request, response) => response.writeHead(200, HEADERS).end(WHOLE),
+      other: (request, response) => response.writeHead(200, STREAM_HEADERS).end(STREAM_BODY),
     },
     20,
   );
-  t.strictSame(await readAll(await client.send(CALL)), WHOLE);
-  t.match(other.listSeen('POST', CHAT), [{ headers: { 'request-id': 'request-1' } }]);
+  t.strictSame(await readAll(await client.send(CHAT_CALL)), STREAM_BODY);
+  t.match(other.listReceived('POST', CHAT_PATH), [{ headers: { 'request-id': 'request-1' } }]);
 });
 
 t.test('CallerClient keeps waiting while its request is queued', async (t) => {
@@ -225,14 +225,14 @@
         }
         questions += 1;
         sendJson(response, 200, { state: 'queued', answerBytes: 0 });
-        if (questions === 2) answer?.writeHead(200, HEADERS).end(WHOLE);
+        if (questions === 2) answer?.writeHead(200, STREAM_HEADERS).end(STREAM_BODY);
       },
       other: (request, response) => response.destroy(),
     },
     20,
   );
-  t.strictSame(await readAll(await client.send(CALL)), WHOLE);
-  t.equal(owner.listSeen('POST', CHAT).length, 1);
+  t.strictSame(await readAll(await client.send(CHAT_CALL)), STREAM_BODY);
+  t.equal(owner.listReceived('POST', CHAT_PATH).length, 1);
 });
 
 t.test("CallerClient returns a backend server's own error as an answer", async (t) => {
@@ -247,25 +247,25 @@
 
 t.test('CallerClient ends a call when its signal is aborted or it is cancelled', async (t) => {
   const { owner, client } = await startHosts(t, {
-    owner: (request, response) => response.writeHead(200, HEADERS).write(EVENTS[0]),
-    other: readOn,
+    owner: (request, response) => response.writeHead(200, STREAM_HEADERS).write(STREAM_EVENTS[0]),
+    other: handleResume,
   });
   const abort = new AbortController();
-  const reply = await client.send({ ...CALL, signal: abort.signal });
+  const reply = await client.send({ ...CHAT_CALL, signal: abort.signal });
   const body = reply.body[Symbol.asyncIterator]();
-  t.equal(Buffer.from((await body.next()).value as Uint8Array).toString(), EVENTS[0]);
+  t.equal(Buffer.from((await body.next()).value as Uint8Array).toString(), STREAM_EVENTS[0]);
   abort.abort();
   await t.rejects(body.next(), { name: 'AbortError' });
   owner.handle = (request, response) => sendJson(response, 200, {});
   await client.cancel(reply.requestId);
-  t.equal(owner.listSeen('DELETE', '/v1/requests/request-1').length, 1);
+  t.equal(owner.listReceived('DELETE', '/v1/requests/request-1').length, 1);
 });
 
 t.test('CallerClient reports that no entry host is reachable', async (t) => {
   const closed = await FakeEntryHost.start();
   const client = new CallerClient({ urls: [closed.url], apiKey: 'k' });
   await closed.close();
-  t.match(await waitForCallerError(client.send(CALL)), {
+  t.match(await waitForCallerError(client.send(CHAT_CALL)), {
     code: LocalErrorCode.Unreachable,
     run: RunOutcome.NotRun,
   });
--- a/src/commands/call_test.ts
+++ b/src/commands/call_test.ts
@@ -3,7 +3,7 @@
 import path from 'node:path';
 import { PassThrough } from 'node:stream';
 import t from 'tap';
-import { HEADERS } from '../../test/support/caller_hosts.js';
+import { STREAM_HEADERS } from '../../test/support/caller_hosts.js';
 import { FakeEntryHost, sendJson, sendRefusal } from '../../test/support/fake_entry_host.js';
 import type { FakeHandler } from '../../test/support/fake_entry_host.js';
 import { runCli } from './_cli.js';
@@ -40,7 +40,7 @@
 
 t.test('call prints the text of a streamed answer', async (t) => {
   const host = await startHost(t, (request, response) =>
-    response.writeHead(200, HEADERS).end(writeEvents(['Damp ', 'in the ', 'näxt room'])),
+    response.writeHead(200, STREAM_HEADERS).end(writeEvents(['Damp ', 'in the ', 'näxt room'])),
   );
   const argv = [
     'call',
@@ -55,7 +55,7 @@
   ];
   const result = await runCommand(argv, { MONSOONHALL_KEY: KEY });
   t.strictSame(result, { exitCode: 0, stdout: 'Damp in the näxt room\n', stderr: '' });
-  const [call] = host.listSeen('POST', '/v1/chat/completions');
+  const [call] = host.listReceived('POST', '/v1/chat/completions');
   t.match(call?.headers, { authorization: `Bearer ${KEY}`, 'work-kind': 'summary' });
   t.match(JSON.parse(call?.body ?? ''), {
     model: 'm',
@@ -69,7 +69,7 @@
   const argv = ['call', '--url', host.url, '--key', KEY, '--service', 'case-app'];
   const result = await runCommand([...argv, '--path', '/status/7?full=1']);
   t.strictSame(result, { exitCode: 0, stdout: 'dry\n', stderr: '' });
-  const [call] = host.listSeen('GET', '/v1/services/case-app/status/7');
+  const [call] = host.listReceived('GET', '/v1/services/case-app/status/7');
   t.equal(call?.query.get('full'), '1');
 });
 
@@ -84,7 +84,7 @@
   await runCommand([...argv, '--trace-file', traceFile], env);
   const span = JSON.parse(readFileSync(traceFile, 'utf8')) as { spanId: string };
   t.match(span, { traceId, parentSpanId: 'b7ad6b7169203331', name: 'caller' });
-  const [call] = host.listSeen('GET', '/v1/services/case-app/');
+  const [call] = host.listReceived('GET', '/v1/services/case-app/');
   t.equal(call?.headers.traceparent, `00-${traceId}-${span.spanId}-01`);
 });
 
--- a/src/domain/scheduling/_warm_search_test.ts
+++ b/src/domain/scheduling/_warm_search_test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import t from 'tap';
 import {
-  ANSWERED,
+  HEALTHY_RESULT,
   buildDemand,
   buildSpecs,
   createGroup,
@@ -102,7 +102,7 @@
     // matches engine-0's cache.
     [1, 1, 0].forEach((prefix, index) => submit(String(index + 2), prefix));
     const held = group.pool.listHeld().find(({ serverId }) => serverId === 'engine-0');
-    group.release(held?.grantId ?? 0, ANSWERED, 500);
+    group.release(held?.grantId ?? 0, HEALTHY_RESULT, 500);
     group.run(500);
     const next = group.pool.listHeld().find(({ serverId }) => serverId === 'engine-0');
     t.equal(next?.demand.key, '4');
--- a/src/domain/scheduling/group_scheduler_test.ts
+++ b/src/domain/scheduling/group_scheduler_test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import { ErrorKind } from '../errors/mod.js';
 import {
-  ANSWERED,
+  HEALTHY_RESULT,
   buildDemand,
   buildSpecs,
   createGroup,
@@ -92,7 +92,7 @@
       const held = this.group.pool.listHeld();
       const slot = held[command.index % Math.max(1, held.length)];
       if (slot)
-        this.group.release(slot.grantId, { ...ANSWERED, verdict: command.verdict }, this.#nowMs);
+        this.group.release(slot.grantId, { ...HEALTHY_RESULT, verdict: command.verdict }, this.#nowMs);
     }
     this.group.updateServers(buildSpecs(3, 2, this.#drainingIndexes), this.#nowMs);
     this.#check(this.group.run(this.#nowMs));
@@ -221,7 +221,7 @@
         group.submit(buildDemand(String(index), changes), index);
         group.run(index);
         const held = group.pool.listHeld().slice(0, releases);
-        held.forEach(({ grantId }) => group.release(grantId, ANSWERED, index));
+        held.forEach(({ grantId }) => group.release(grantId, HEALTHY_RESULT, index));
         group.run(index);
         if (group.waitingCount === 0) return;
         waits += 1;
--- a/src/domain/scheduling/mixed_lengths_test.ts
+++ b/src/domain/scheduling/mixed_lengths_test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import t from 'tap';
 import {
-  ANSWERED,
+  HEALTHY_RESULT,
   buildDemand,
   buildSpecs,
   createGroup,
@@ -82,7 +82,7 @@
       .filter(({ grantedAtMs, workMs }) => nowMs - grantedAtMs >= workMs)
       .forEach(({ grantId, workMs, demand }) => {
         const outputTokens = demand.expectedOutputTokens;
-        group.release(grantId, { ...ANSWERED, totalMs: workMs, outputTokens }, nowMs);
+        group.release(grantId, { ...HEALTHY_RESULT, totalMs: workMs, outputTokens }, nowMs);
       });
   }
   t.equal(waits.length, 20, 'all long prompts were granted');
--- a/test/faults/_admin.ts
+++ b/test/faults/_admin.ts
@@ -89,6 +89,6 @@
   const startedAtMs = performance.now();
   const checkAll = async (): Promise<boolean> =>
     (await Promise.all(hosts.map(check))).every(Boolean);
-  await waitUntil(checkAll, { subject, limitMs: WAIT_TIMEOUT_MS });
+  await waitUntil(checkAll, { subject, timeoutMs: WAIT_TIMEOUT_MS });
   return Math.round(performance.now() - startedAtMs);
 }
--- a/test/faults/owner_lost_test.ts
+++ b/test/faults/owner_lost_test.ts
@@ -43,7 +43,7 @@
   const { fleet, caller, owner, other } = await startSetup(t);
   const id = await caller.assign(fleet, owner.url);
   owner.kill('SIGKILL');
-  await owner.waitExit();
+  await owner.waitForExit();
   const outcome = await caller.sendReport(other.url, id, 'Report on the hall.');
   t.equal(outcome.run, 'may_have_run');
   const runs = await fleet.readRuns();
@@ -83,7 +83,7 @@
     const id = await caller.assign(fleet, owner.url);
     const complete = await caller.sendReport(owner.url, id, 'Report on the roof.');
     owner.kill('SIGKILL');
-    await owner.waitExit();
+    await owner.waitForExit();
     const hints = new URLSearchParams({
       offset: '50',
       backendServer: String(complete.headers['backend-server']),
--- a/test/faults/planned_stop_test.ts
+++ b/test/faults/planned_stop_test.ts
@@ -47,7 +47,7 @@
 
   for (const host of fleet.entryHosts.slice(1)) {
     host.kill('SIGTERM');
-    await host.waitExit();
+    await host.waitForExit();
     t.equal(host.exitCode, 0, `${host.id} stops cleanly`);
     await host.restart();
   }
@@ -86,13 +86,13 @@
   host.kill('SIGTERM');
   await waitUntil(async () => host.output.includes('stop_started'), {
     subject: 'the begin of the stop',
-    limitMs: 10_000,
+    timeoutMs: 10_000,
   });
   await new Promise((resolve) => {
     setTimeout(resolve, ADDRESS_LIFETIME_MS / 2);
   });
   t.equal((await caller.sendReport(host.url, id, 'Report on the hall.')).status, 200);
-  await host.waitExit();
+  await host.waitForExit();
   t.equal(host.exitCode, 0);
 });
 
@@ -125,10 +125,10 @@
     host.kill('SIGTERM');
     await waitUntil(async () => host.output.includes('stop_started'), {
       subject: 'the begin of the stop',
-      limitMs: 10_000,
+      timeoutMs: 10_000,
     });
     host.kill('SIGTERM');
-    await host.waitExit();
+    await host.waitForExit();
     t.equal(host.exitCode, 1);
     const outcome = await pending;
     t.match(outcome.text, /entry_host_stopping/);
--- a/test/fleet/_fleet_builder.ts
+++ b/test/fleet/_fleet_builder.ts
@@ -113,7 +113,7 @@
   /** Stops all processes and proxies that have been started so far. */
   async stop(): Promise<void> {
     this.#processes.forEach((each) => each.kill('SIGKILL'));
-    await Promise.all(this.#processes.map((each) => each.waitExit()));
+    await Promise.all(this.#processes.map((each) => each.waitForExit()));
     await Promise.all(this.#proxies.map((proxy) => proxy.close()));
     await this.#reaper.close();
     await this.#ports.close();
@@ -131,7 +131,7 @@
   ): Promise<CutProxy | undefined> {
     if (!isWanted) return undefined;
     const proxy = new CutProxy({ host: CLIENT_HOST, port }, findSource);
-    await proxy.open(await this.#ports.take());
+    await proxy.open(await this.#ports.reserve());
     this.#proxies.push(proxy);
     return proxy;
   }
@@ -147,7 +147,7 @@
   }
 
   async #createPlatform(role: string, lagMs: number): Promise<PlatformProcess> {
-    const port = await this.#ports.take();
+    const port = await this.#ports.reserve();
     const url = buildUrl(port);
     const { configuration, hostList } = this.options.proxied;
     return new PlatformProcess({
@@ -167,7 +167,7 @@
   #createEngines(): Promise<BackendServer[]> {
     const { engineCount, shape } = this.options;
     const create = async (index: number): Promise<BackendServer> => {
-      const port = await this.#ports.take();
+      const port = await this.#ports.reserve();
       const id = `engine-${index + 1}`;
       const spec = buildEngineSpec(index, port, this.#buildSpecOptions(id));
       return this.#createBackendServer(id, shape.modelService, port, spec);
@@ -178,7 +178,7 @@
   #createPlainServers(): Promise<BackendServer[]> {
     const { plainServerCount, shape } = this.options;
     const create = async (index: number): Promise<BackendServer> => {
-      const port = await this.#ports.take();
+      const port = await this.#ports.reserve();
       const id = `plain-${index + 1}`;
       const spec = buildPlainSpec(index, port, this.#buildSpecOptions(id));
       return this.#createBackendServer(id, shape.plainService, port, spec);
@@ -264,9 +264,9 @@
 
   async #reserveEntryHostPorts(): Promise<EntryHostPorts> {
     return {
-      callers: await this.#ports.take(),
-      peers: await this.#ports.take(),
-      admin: await this.#ports.take(),
+      callers: await this.#ports.reserve(),
+      peers: await this.#ports.reserve(),
+      admin: await this.#ports.reserve(),
     };
   }
 
--- a/test/fleet/_wait_ready.ts
+++ b/test/fleet/_wait_ready.ts
@@ -22,7 +22,7 @@
     (await sendControl(url, { timeoutMs: CHECK_TIMEOUT_MS })).status === 200;
   const findFailure = (): string | undefined =>
     process.isRunning ? undefined : `${process.id} exited with ${process.exitCode}`;
-  await waitUntil(isReady, { subject: url, limitMs: READY_TIMEOUT_MS, findFailure }).catch(
+  await waitUntil(isReady, { subject: url, timeoutMs: READY_TIMEOUT_MS, findFailure }).catch(
     (error: Error) => {
       throw new Error(`${error.message}\n${process.output}`, { cause: error });
     },
--- a/test/fleet/fleet.ts
+++ b/test/fleet/fleet.ts
@@ -164,7 +164,7 @@
       parts.hostList,
     ];
     processes.forEach((each) => each.kill('SIGKILL'));
-    await Promise.all(processes.map((each) => each.waitExit()));
+    await Promise.all(processes.map((each) => each.waitForExit()));
     await Promise.all(processes.map((each) => each.proxy?.close()));
     await parts.reaper.close();
     await parts.ports.close();
--- a/test/fleet/fleet_process.ts
+++ b/test/fleet/fleet_process.ts
@@ -110,14 +110,14 @@
   }
 
   /** Waits until the process has exited. */
-  waitExit(): Promise<void> {
+  waitForExit(): Promise<void> {
     return this.#exited;
   }
 
   /** Kills the process if it runs, starts it at the same address and waits until it is ready. */
   async restart(): Promise<void> {
     this.kill('SIGKILL');
-    await this.waitExit();
+    await this.waitForExit();
     await this.start();
   }
 
--- a/test/fleet/port_reservation.ts
+++ b/test/fleet/port_reservation.ts
@@ -56,7 +56,7 @@
    * @returns the port
    * @throws Error if all blocks are taken
    */
-  take(): Promise<number> {
+  reserve(): Promise<number> {
     const taken = this.#lastReservation.then(() => this.#reserveNext());
     this.#lastReservation = taken.catch(() => undefined);
     return taken;
--- a/test/fleet/port_reservation_test.ts
+++ b/test/fleet/port_reservation_test.ts
@@ -8,7 +8,7 @@
 t.test('PortReservation never reserves a port for two fleets', async (t) => {
   const reservations = [new PortReservation(), new PortReservation(), new PortReservation()];
   const takes = reservations.flatMap((each) =>
-    Array.from({ length: PORT_COUNT }, () => each.take()),
+    Array.from({ length: PORT_COUNT }, () => each.reserve()),
   );
   const ports = await Promise.all(takes);
   t.equal(new Set(ports).size, reservations.length * PORT_COUNT);
--- a/test/fleet/start_fleet_test.ts
+++ b/test/fleet/start_fleet_test.ts
@@ -40,7 +40,7 @@
 async function waitForLivePeers(fleet: Fleet, id: string, peers: readonly string[]): Promise<void> {
   await waitUntil(
     async () => (await listLivePeers(fleet, id)).sort().join() === [...peers].sort().join(),
-    { subject: `${peers.join(', ')} live at ${id}`, limitMs: WAIT_LIMIT_MS },
+    { subject: `${peers.join(', ')} live at ${id}`, timeoutMs: WAIT_LIMIT_MS },
   );
 }
 
@@ -66,7 +66,7 @@
     t.equal(await sendPing(fleet, 'entry-1'), 200);
     const server = fleet.findBackendServer('plain-1');
     server.kill('SIGKILL');
-    await server.waitExit();
+    await server.waitForExit();
     t.match(await fleet.readRuns(), [{ path: '/status' }]);
     await server.restart();
     t.match(await server.readRuns(), [{ path: '/status' }]);
--- a/test/fleet/wait_until.ts
+++ b/test/fleet/wait_until.ts
@@ -11,7 +11,7 @@
   /** Name of the condition, for error messages. */
   readonly subject: string;
   /** Timeout in milliseconds. */
-  readonly limitMs: number;
+  readonly timeoutMs: number;
   /** Returns a reason to end the wait early, or undefined to keep waiting. */
   readonly findFailure?: () => string | undefined;
 }
@@ -27,12 +27,12 @@
   check: () => Promise<boolean>,
   options: WaitOptions,
 ): Promise<void> {
-  const deadlineMs = performance.now() + options.limitMs;
+  const deadlineMs = performance.now() + options.timeoutMs;
   while (!(await check().catch(() => false))) {
     const failure = options.findFailure?.();
     if (failure !== undefined) throw new Error(`Waiting for ${options.subject} failed: ${failure}`);
     if (performance.now() > deadlineMs) {
-      throw new Error(`Waiting for ${options.subject} timed out after ${options.limitMs} ms`);
+      throw new Error(`Waiting for ${options.subject} timed out after ${options.timeoutMs} ms`);
     }
     await new Promise((resolve) => {
       setTimeout(resolve, POLL_INTERVAL_MS);
--- a/test/support/allowance_hosts.ts
+++ b/test/support/allowance_hosts.ts
@@ -74,7 +74,7 @@
   nowMs = 0;
 
   /** Highest number of requests in flight at the same time. */
-  mostRunning = 0;
+  maxRunning = 0;
 
   readonly #account: AccountContract;
 
@@ -179,7 +179,7 @@
       return false;
     }
     this.admitted.push({ atMs: this.nowMs, host: id, tokens });
-    this.mostRunning = Math.max(this.mostRunning, this.running);
+    this.maxRunning = Math.max(this.maxRunning, this.running);
     return true;
   }
 
--- a/test/support/caller_hosts.ts
+++ b/test/support/caller_hosts.ts
@@ -13,15 +13,15 @@
 import type { FakeHandler } from './fake_entry_host.js';
 
 /** Path of chat completions. */
-export const CHAT = '/v1/chat/completions';
+export const CHAT_PATH = '/v1/chat/completions';
 /** A call of a chat completion. */
-export const CALL = { method: 'POST', path: CHAT, body: '{"model":"m"}' };
+export const CHAT_CALL = { method: 'POST', path: CHAT_PATH, body: '{"model":"m"}' };
 /** Events of a streamed response, without the last one. */
-export const EVENTS = [1, 2, 3, 4].map((index) => `data: {"part":"é${index}"}\n\n`);
+export const STREAM_EVENTS = [1, 2, 3, 4].map((index) => `data: {"part":"é${index}"}\n\n`);
 /** The complete body of the streamed response. */
-export const WHOLE = Buffer.from([...EVENTS, 'data: [DONE]\n\n'].join(''));
+export const STREAM_BODY = Buffer.from([...STREAM_EVENTS, 'data: [DONE]\n\n'].join(''));
 /** Headers of the streamed response. */
-export const HEADERS = {
+export const STREAM_HEADERS = {
   'content-type': 'text/event-stream',
   'backend-server': 'engine-1',
   'stream-id': 'stream-7',
@@ -104,15 +104,15 @@
  * @param response - response to write to
  * @param bytes - the first bytes
  */
-export function closeAfter(response: ServerResponse, bytes: Buffer): void {
-  response.writeHead(200, HEADERS);
+export function sendThenClose(response: ServerResponse, bytes: Buffer): void {
+  response.writeHead(200, STREAM_HEADERS);
   if (bytes.length === 0) response.flushHeaders();
   response.write(bytes, () => response.socket?.destroySoon());
 }
 
 /** Handles `GET /v1/requests/{id}?offset=N`: sends the streamed response from the offset on. */
-export const readOn: FakeHandler = ({ query }, response) => {
-  response.writeHead(200, HEADERS).end(WHOLE.subarray(Number(query.get('offset'))));
+export const handleResume: FakeHandler = ({ query }, response) => {
+  response.writeHead(200, STREAM_HEADERS).end(STREAM_BODY.subarray(Number(query.get('offset'))));
 };
 
 /** Waits for a promise to fail. @param step - must fail with CallerError. @returns the error */
--- a/test/support/configuration_hosts.ts
+++ b/test/support/configuration_hosts.ts
@@ -13,16 +13,16 @@
 import { VirtualClock } from './virtual_clock.js';
 
 /** Key of the contract that tests change. */
-export const FIRM_A = `${CONTRACT_KEY_PREFIX}firm-a`;
+export const FIRM_A_KEY = `${CONTRACT_KEY_PREFIX}firm-a`;
 
 /** Time between two heartbeats, in milliseconds. */
 export const HEARTBEAT_MS = 500;
 
 /** Longest time for which a starting entry host waits for its peers, in milliseconds. */
-export const PATIENCE_MS = 2000;
+export const START_TIMEOUT_MS = 2000;
 
 /** Longest time for which the service holds a watch, in milliseconds. */
-export const WAIT_MS = 10_000;
+export const WATCH_WAIT_MS = 10_000;
 
 /**
  * Builds a valid contract document.
@@ -78,8 +78,8 @@
       metrics,
       platform: reader,
       peers: network,
-      waitMs: WAIT_MS,
-      startTimeoutMs: PATIENCE_MS,
+      waitMs: WATCH_WAIT_MS,
+      startTimeoutMs: START_TIMEOUT_MS,
     });
     const host = { keeper, network, reader, log, metrics, weights: [] as number[] };
     keeper.onChange(() => {
@@ -133,8 +133,8 @@
 export async function startDeployment(ids: readonly string[]): Promise<Deployment> {
   const deployment = new Deployment();
   deployment.service.publish(FLEET_KEY, '{"services":[]}');
-  deployment.service.publish(FIRM_A, buildContract(1));
+  deployment.service.publish(FIRM_A_KEY, buildContract(1));
   ids.forEach((id) => deployment.start(id));
-  await deployment.advance(PATIENCE_MS);
+  await deployment.advance(START_TIMEOUT_MS);
   return deployment;
 }
--- a/test/support/crash_fleet.ts
+++ b/test/support/crash_fleet.ts
@@ -32,14 +32,14 @@
   /** Duration of a harmless request in milliseconds. Default: 200. */
   readonly runMs?: number;
   /** Fraction of requests that are answered with status 500 instead of being run. Default: 0. */
-  readonly errorShare?: number;
+  readonly errorFraction?: number;
   /** Time after the start from which bodies that begin with `turns` crash servers too, in ms. */
   readonly turnsAfterMs?: number;
   /**
    * Fraction of the requests at a crashing server whose response has no length, so that it looks
    * complete. Default: 0.
    */
-  readonly unframedShare?: number;
+  readonly unframedFraction?: number;
   /** Seed for the choice of responses with an error or without a length. */
   readonly seed?: number;
 }
@@ -48,7 +48,7 @@
 export interface Arrival {
   readonly atMs: number;
   readonly body: string;
-  readonly lifeId: string;
+  readonly incarnationId: string;
 }
 
 /** Entry hosts, and servers that run all requests but crash under bodies that begin with `ends`. */
@@ -65,7 +65,7 @@
   readonly arrivals: Arrival[] = [];
 
   /** Crashes, with the body that caused each; undefined for a crash that no request caused. */
-  readonly ends: { readonly atMs: number; readonly body: string | undefined }[] = [];
+  readonly crashes: { readonly atMs: number; readonly body: string | undefined }[] = [];
 
   readonly #options: CrashFleetOptions;
 
@@ -122,8 +122,8 @@
   }
 
   /** @returns time of the n-th crash that a body caused; Infinity if it has not happened */
-  findEndMs(body: string, number: number): number {
-    const crashes = this.ends.filter((end) => end.body === body);
+  findCrashMs(body: string, number: number): number {
+    const crashes = this.crashes.filter((end) => end.body === body);
     return crashes[number - 1]?.atMs ?? Infinity;
   }
 
@@ -135,14 +135,14 @@
   }
 
   /** Crashes several servers at the same time; each restarts later. */
-  endServers(serverIds: readonly string[], body?: string): void {
+  crashServers(serverIds: readonly string[], body?: string): void {
     const crashingIds = new Set(serverIds.filter((serverId) => this.#incarnations.get(serverId)));
     crashingIds.forEach((serverId) => {
       const key = `servers/${this.#incarnations.get(serverId)}`;
       this.clock.setTimer(ENTRY_REMOVAL_DELAY_MS, () =>
         this.hosts.forEach((host) => host.feed.remove(key)),
       );
-      this.ends.push({ atMs: this.clock.nowMs(), body });
+      this.crashes.push({ atMs: this.clock.nowMs(), body });
       this.#incarnations.set(serverId, undefined);
       this.#reachability.set(formatAddress(serverId), Reachability.Refused);
       this.clock.setTimer(RESTART_DELAY_MS, () => this.#startServer(serverId));
@@ -193,27 +193,27 @@
       return;
     }
     const body = request.body.toString();
-    this.arrivals.push({ atMs: this.clock.nowMs(), body, lifeId: incarnationId });
+    this.arrivals.push({ atMs: this.clock.nowMs(), body, incarnationId: incarnationId });
     this.#running.set(exchange, serverId);
-    if (this.#random.nextFraction() < (this.#options.errorShare ?? 0)) {
-      this.clock.setTimer(ERROR_DELAY_MS, () => this.#finish(exchange, () => exchange.answer(500)));
+    if (this.#random.nextFraction() < (this.#options.errorFraction ?? 0)) {
+      this.clock.setTimer(ERROR_DELAY_MS, () => this.#finish(exchange, () => exchange.sendResponse(500)));
       return;
     }
     if (this.#isCrashing(body)) {
       this.clock.setTimer(CRASH_DELAY_MS, () => {
         const isSame = this.#incarnations.get(serverId) === incarnationId;
-        if (isSame && !exchange.isCancelled) this.endServers([serverId], body);
+        if (isSame && !exchange.isCancelled) this.crashServers([serverId], body);
       });
       return;
     }
     this.clock.setTimer(this.#options.runMs ?? 200, () =>
-      this.#finish(exchange, () => exchange.answer()),
+      this.#finish(exchange, () => exchange.sendResponse()),
     );
   }
 
   #breakConnection(exchange: FakeExchange): void {
-    const { unframedShare = 0 } = this.#options;
-    if (this.#random.nextFraction() < unframedShare) exchange.answer(200, 'ok', false);
+    const { unframedFraction: unframedShare = 0 } = this.#options;
+    if (this.#random.nextFraction() < unframedShare) exchange.sendResponse(200, 'ok', false);
     else exchange.fail(BackendFailure.Lost);
   }
 
--- a/test/support/crash_line.ts
+++ b/test/support/crash_line.ts
@@ -55,7 +55,7 @@
 }
 
 /** A chain of entry hosts, each linked with its neighbours only, and servers that crash. */
-export class CrashLine {
+export class CrashChain {
   readonly clock = new VirtualClock();
 
   readonly hub = new FakePeerHub();
--- a/test/support/crash_storm.ts
+++ b/test/support/crash_storm.ts
@@ -30,7 +30,7 @@
   /** Rounds before the first crash, in which popular contents are answered. */
   readonly calmRounds: number;
   /** Fraction of requests that are answered with an error instead of being run. Default: 0. */
-  readonly errorShare?: number;
+  readonly errorFraction?: number;
 }
 
 /**
@@ -40,9 +40,9 @@
  * @param options - options of the storm
  * @returns the harmless contents that were quarantined, and the crashing ones sent too often
  */
-export async function playStorm(
+export async function simulateStorm(
   t: Test,
-  { seed, calmRounds, errorShare = 0 }: StormOptions,
+  { seed, calmRounds, errorFraction: errorShare = 0 }: StormOptions,
 ): Promise<StormResult> {
   const random = new SeededRandom(seed);
   const pickInteger = (count: number): number => Math.floor(random.nextFraction() * count);
@@ -55,7 +55,7 @@
     slots: 2 + pickInteger(8),
     runMs: 50 + pickInteger(600),
     route: { isRepeatable: pickInteger(2) === 0, maxAttempts: 1 + pickInteger(3) },
-    errorShare,
+    errorFraction: errorShare,
     seed,
   });
   await fleet.start();
@@ -74,7 +74,7 @@
         { length: RACK_SIZE },
         (_, at) => `s-${1 + ((first + at) % servers)}`,
       );
-      fleet.endServers(rack);
+      fleet.crashServers(rack);
     }
     await fleet.clock.advance(roundMs * (0.5 + random.nextFraction()));
   }
@@ -84,7 +84,7 @@
     heldSound: [...new Set(quarantined.map(({ body }) => body))],
     sentOn: crashingBodies.filter(
       (body) =>
-        fleet.countArrivals(body, fleet.findEndMs(body, 3) + PROPAGATION_MS) > MAX_LATE_ARRIVALS,
+        fleet.countArrivals(body, fleet.findCrashMs(body, 3) + PROPAGATION_MS) > MAX_LATE_ARRIVALS,
     ),
   };
 }
--- a/test/support/direct_ends.ts
+++ b/test/support/direct_ends.ts
@@ -36,7 +36,7 @@
   }
 
   /** Sends a response head. */
-  head(changes: Partial<BackendHead> = {}): void {
+  sendHead(changes: Partial<BackendHead> = {}): void {
     this.listener.onHead({
       status: 200,
       headers: ['X-Mark', this.request.serverId],
@@ -56,8 +56,8 @@
   }
 
   /** Sends a complete response. */
-  answer(status = 200, body = 'ok', isFramed = true): void {
-    this.head({ status, isFramed });
+  sendResponse(status = 200, body = 'ok', isFramed = true): void {
+    this.sendHead({ status, isFramed });
     this.listener.onBody(Buffer.from(body));
     this.listener.onComplete();
   }
@@ -85,7 +85,7 @@
 /** A server probe with a configurable result per address; other addresses are open. */
 export class FakeProbe extends ServerProbe {
   /** Addresses that were checked, in order. */
-  readonly asked: string[] = [];
+  readonly checkedAddresses: string[] = [];
 
   /** Whether every address counts as refusing connections. */
   isCut = false;
@@ -96,7 +96,7 @@
   }
 
   override async check(address: string): Promise<Reachability> {
-    this.asked.push(address);
+    this.checkedAddresses.push(address);
     if (this.isCut) return Reachability.Refused;
     return this.ended.get(address) ?? Reachability.Open;
   }
@@ -156,7 +156,7 @@
   }
 
   /** Simulates that the caller disconnects. */
-  leave(): void {
+  disconnect(): void {
     this.isDisconnected = true;
     this.#handler?.();
   }
--- a/test/support/direct_host.ts
+++ b/test/support/direct_host.ts
@@ -147,7 +147,7 @@
 
   readonly spending: AccountSpending;
 
-  readonly knowledge: StoreView;
+  readonly storeView: StoreView;
 
   readonly routing: RoutingView;
 
@@ -174,7 +174,7 @@
     const { clock, feed, log, metrics } = this;
     const random = new SeededRandom();
     const shared = { clock, log, metrics, random };
-    this.knowledge = new StoreView({
+    this.storeView = new StoreView({
       ...shared,
       layout: TEST_LAYOUT,
       zoneRegions: TEST_ZONE_REGIONS,
@@ -182,8 +182,8 @@
       hosts: { selfId: identity.id, listKnown: () => NO_HOSTS, isSettled: () => this.isSettled },
       countServing: () => 1,
     });
-    this.routing = this.knowledge.routing;
-    this.servers = this.knowledge.servers;
+    this.routing = this.storeView.routing;
+    this.servers = this.storeView.servers;
     this.crashes = new CrashQuarantine({
       ...shared,
       probe: this.probe,
@@ -214,8 +214,8 @@
       feed,
       getReadPlan: () => ({ waitMs: 1_000, recheckAfterMs: 100 }),
       getRetryBackoff: () => FAST_RETRY_BACKOFF,
-      onSnapshot: (items, context) => this.knowledge.applySnapshot(items, context),
-      onChanges: (changes, context) => this.knowledge.applyChanges(changes, context),
+      onSnapshot: (items, context) => this.storeView.applySnapshot(items, context),
+      onChanges: (changes, context) => this.storeView.applyChanges(changes, context),
       onStoreRead: () => undefined,
     });
     this.routing.onChange(() => {
@@ -268,7 +268,7 @@
   }
 
   /** @returns the request to a backend server with a given index, from 0 */
-  sent(index: number): FakeExchange {
+  getSent(index: number): FakeExchange {
     const exchange = this.backend.sent[index];
     if (!exchange)
       throw new Error(`Cannot find request ${index}: only ${this.backend.sent.length} were sent`);
--- a/test/support/fake_backend.ts
+++ b/test/support/fake_backend.ts
@@ -16,22 +16,22 @@
 import type { ProcessGate } from './frozen_host.js';
 
 /** Behaviour of the fake backend server for one call. */
-export enum CallFate {
+export enum CallBehaviour {
   Answered = 'answered',
   /** The call is refused instead of receiving 100 Continue. */
   Refused = 'refused',
   /** The connection is dead, and 100 Continue never arrives. */
-  SilentBefore = 'silent_before',
+  SilentBeforeContinue = 'silent_before',
   /** The body arrives, then the connection breaks before the response head. */
-  LostAfter = 'lost_after',
+  LostAfterBody = 'lost_after',
   /** The body arrives, but no response is sent. */
-  SilentAfter = 'silent_after',
+  SilentAfterBody = 'silent_after',
   /** The connection breaks within the response; the stream continues and can be resumed. */
   CutMidway = 'cut_midway',
   /** The backend server crashes within the response, and the stream is lost. */
   DiesMidway = 'dies_midway',
   /** The response is complete and has status 500. */
-  Erred = 'erred',
+  ServerError = 'erred',
   /** The response has neither a length nor chunked framing that marks its end. */
   Unframed = 'unframed',
 }
@@ -44,7 +44,7 @@
 export interface FakeRun {
   readonly requestId: string;
   readonly text: string;
-  behaviour: CallFate;
+  behaviour: CallBehaviour;
   startedAtMs: number;
 }
 
@@ -58,7 +58,7 @@
   readonly runs: FakeRun[] = [];
 
   /** Behaviour for each of the next calls; once the list is empty, calls are answered. */
-  readonly fates: CallFate[] = [];
+  readonly behaviours: CallBehaviour[] = [];
 
   constructor(readonly clock: Clock) {}
 
@@ -83,13 +83,13 @@
 
   override async dispatch(call: BackendCall): Promise<BackendAnswer> {
     const { backend, gate } = this;
-    const behaviour = backend.fates.shift() ?? CallFate.Answered;
+    const behaviour = backend.behaviours.shift() ?? CallBehaviour.Answered;
     await backend.wait(CONTINUE_DELAY_MS);
     await gate.waitUntilRunning();
-    if (behaviour === CallFate.SilentBefore) await backend.wait(call.continueTimeoutMs);
+    if (behaviour === CallBehaviour.SilentBeforeContinue) await backend.wait(call.continueTimeoutMs);
     if (
-      behaviour === CallFate.SilentBefore ||
-      behaviour === CallFate.Refused ||
+      behaviour === CallBehaviour.SilentBeforeContinue ||
+      behaviour === CallBehaviour.Refused ||
       !call.mayHandOver()
     ) {
       throw new BackendCallError(BackendCallStage.BeforeHandOver, behaviour);
@@ -104,20 +104,20 @@
     backend.runs.push(run);
     await backend.wait(CHUNK_INTERVAL_MS);
     await gate.waitUntilRunning();
-    if (behaviour === CallFate.LostAfter) {
+    if (behaviour === CallBehaviour.LostAfterBody) {
       throw new BackendCallError(BackendCallStage.AfterHandOver, behaviour);
     }
-    if (behaviour === CallFate.SilentAfter) await waitForAbort(call.signal);
+    if (behaviour === CallBehaviour.SilentAfterBody) await waitForAbort(call.signal);
     return { ...this.#buildAnswer(run, 0, behaviour), streamId: run.requestId };
   }
 
   override async resume(point: ResumePoint): Promise<BackendAnswer> {
     await this.gate.waitUntilRunning();
     const run = this.backend.runs.find((candidate) => candidate.requestId === point.streamId);
-    if (!run || run.behaviour === CallFate.DiesMidway) {
+    if (!run || run.behaviour === CallBehaviour.DiesMidway) {
       throw new BackendCallError(BackendCallStage.Answering, 'no such stream');
     }
-    return this.#buildAnswer(run, point.offset, CallFate.Answered);
+    return this.#buildAnswer(run, point.offset, CallBehaviour.Answered);
   }
 
   override cancel(_server: unknown, streamId: string): Promise<void> {
@@ -133,11 +133,11 @@
     return Promise.resolve([]);
   }
 
-  #buildAnswer(run: FakeRun, offset: number, behaviour: CallFate): BackendAnswer {
+  #buildAnswer(run: FakeRun, offset: number, behaviour: CallBehaviour): BackendAnswer {
     return {
-      status: behaviour === CallFate.Erred ? 500 : 200,
+      status: behaviour === CallBehaviour.ServerError ? 500 : 200,
       headers: {},
-      isFramed: behaviour !== CallFate.Unframed,
+      isFramed: behaviour !== CallBehaviour.Unframed,
       streamId: run.requestId,
       body: this.#streamChunks(run, offset, behaviour),
     };
@@ -146,7 +146,7 @@
   async *#streamChunks(
     run: FakeRun,
     offset: number,
-    behaviour: CallFate,
+    behaviour: CallBehaviour,
   ): AsyncGenerator<Uint8Array> {
     const chunkLength = run.text.length / CHUNK_COUNT;
     for (let at = 0; at < CHUNK_COUNT; at += 1) {
@@ -155,7 +155,7 @@
       const from = Math.max(offset, Math.floor(chunkLength * at));
       const to = at === CHUNK_COUNT - 1 ? run.text.length : Math.floor(chunkLength * (at + 1));
       if (to > from) yield Buffer.from(run.text.slice(from, to));
-      if (at === 1 && (behaviour === CallFate.CutMidway || behaviour === CallFate.DiesMidway)) {
+      if (at === 1 && (behaviour === CallBehaviour.CutMidway || behaviour === CallBehaviour.DiesMidway)) {
         throw new BackendCallError(BackendCallStage.Answering, behaviour);
       }
     }
--- a/test/support/fake_entry_host.ts
+++ b/test/support/fake_entry_host.ts
@@ -35,7 +35,7 @@
 
 /** An HTTP server that records requests and answers them with the handler of the test. */
 export class FakeEntryHost {
-  readonly seen: ReceivedRequest[] = [];
+  readonly received: ReceivedRequest[] = [];
 
   /** Handler of requests, which a test may replace at any time. */
   handle: FakeHandler = (request, response) => {
@@ -48,7 +48,7 @@
     this.#server = createServer((request, response) => {
       readRequest(request).then(
         (seen) => {
-          this.seen.push(seen);
+          this.received.push(seen);
           this.handle(seen, response);
         },
         () => response.destroy(),
@@ -71,8 +71,8 @@
   }
 
   /** @returns the received requests with a method and a path, such as `/v1/requests` */
-  listSeen(method: string, path: string): readonly ReceivedRequest[] {
-    return this.seen.filter((request) => request.method === method && request.path === path);
+  listReceived(method: string, path: string): readonly ReceivedRequest[] {
+    return this.received.filter((request) => request.method === method && request.path === path);
   }
 
   /** Stops listening and destroys all connections. */
--- a/test/support/fake_feed.ts
+++ b/test/support/fake_feed.ts
@@ -47,13 +47,13 @@
   }
 
   /** Discards the history of changes, so that older revisions can no longer be followed. */
-  forgetHistory(): void {
+  discardHistory(): void {
     this.#discardedRevision = this.#revision;
     this.#history = [];
   }
 
   /** Delays the responses to snapshot reads. @returns the function that releases them */
-  holdAll(): { release: () => void } {
+  holdSnapshots(): { release: () => void } {
     let release = (): void => undefined;
     this.#snapshotsReleased = new Promise((resolve) => {
       release = resolve;
--- a/test/support/fake_views.ts
+++ b/test/support/fake_views.ts
@@ -52,7 +52,7 @@
   }
 
   /** Replaces the service and notifies the listeners. */
-  put(service: Service): void {
+  replaceService(service: Service): void {
     this.service = service;
     this.#handlers.forEach((handler) => handler());
   }
--- a/test/support/fleet_fixture.ts
+++ b/test/support/fleet_fixture.ts
@@ -63,7 +63,7 @@
 export type OrderedHosts = readonly [FixtureHost, FixtureHost, ...FixtureHost[]];
 
 /** Records the result of a promise. @returns an object that holds the result once it is settled */
-export function watch<T>(promise: Promise<T>): { value?: T; error?: unknown } {
+export function trackPromise<T>(promise: Promise<T>): { value?: T; error?: unknown } {
   const result: { value?: T; error?: unknown } = {};
   promise.then(
     (value) => {
@@ -113,7 +113,7 @@
   }
 
   /** @returns the hosts in the order in which they become responsible for a group as hosts fail */
-  sortHosts(groupId = `${SERVICE_ID}/0`): OrderedHosts {
+  sortByResponsibility(groupId = `${SERVICE_ID}/0`): OrderedHosts {
     const remaining = [...this.hosts];
     const sorted: FixtureHost[] = [];
     while (remaining.length > 0) {
@@ -144,7 +144,7 @@
   }
 
   /** Builds a slot request with a deadline one minute ahead. */
-  buildWish(changes: Partial<SlotRequest> = {}): SlotRequest {
+  buildSlotRequest(changes: Partial<SlotRequest> = {}): SlotRequest {
     return {
       requestId: 'request-1',
       serviceId: SERVICE_ID,
--- a/test/support/group_fixture.ts
+++ b/test/support/group_fixture.ts
@@ -19,7 +19,7 @@
 } from '../../src/domain/scheduling/mod.js';
 
 /** The result of a healthy server for a short response. */
-export const ANSWERED: SlotResult = {
+export const HEALTHY_RESULT: SlotResult = {
   verdict: ServerVerdict.Healthy,
   firstByteMs: 50,
   totalMs: 500,
--- a/test/support/report_host.ts
+++ b/test/support/report_host.ts
@@ -26,10 +26,10 @@
   readonly reports: HostReports;
 
   /** Incarnations of peers that have fallen silent, in order. */
-  readonly silent: string[] = [];
+  readonly silentIncarnations: string[] = [];
 
   /** Reachable fraction of the entry hosts, as last reported. */
-  reach = 0;
+  reachableFraction = 0;
 
   isServing = true;
 
@@ -57,11 +57,11 @@
       }),
       onReport: (counted) => this.#handleReport(counted),
       onSilent: ({ incarnation }) => {
-        this.silent.push(incarnation);
+        this.silentIncarnations.push(incarnation);
         this.#reportedInFlight.delete(incarnation);
       },
       onReachableFraction: (reach) => {
-        this.reach = reach;
+        this.reachableFraction = reach;
       },
     });
   }
--- a/test/support/server_keepers.ts
+++ b/test/support/server_keepers.ts
@@ -9,7 +9,7 @@
 import { FakeLog, FakeMetrics } from './fakes.js';
 
 /** Empty stats of a peer's report about backend servers. */
-export const NO_FIGURES = {
+export const NO_STATS = {
   inFlight: {},
   waitingCalls: {},
   firstWaiting: {},
@@ -18,10 +18,10 @@
 };
 
 /** Context of a feed read under normal conditions. */
-export const CALM_CONTEXT = { wasAway: false, ageMs: 0, askedAt: { steadyMs: 0, wallMs: 0 } };
+export const NORMAL_READ_CONTEXT = { wasAway: false, ageMs: 0, askedAt: { steadyMs: 0, wallMs: 0 } };
 
 /** @returns a server registry that decodes entries as JSON and rejects values that are no object */
-export function createServerKeeper(clock: Clock, hostCount = 3): ServerRegistry {
+export function createServerRegistry(clock: Clock, hostCount = 3): ServerRegistry {
   const shared = { clock, log: new FakeLog(), metrics: new FakeMetrics() };
   return new ServerRegistry({
     ...shared,
