--- a/src/domain/contracts/_document.ts
+++ b/src/domain/contracts/_document.ts
@@ -6,8 +6,8 @@
 import type { z } from 'zod';
 import { MAX_DOCUMENT_BYTES, MAX_FAULTS } from './document_bounds.js';
 import type { DocumentFault, DocumentResult } from './document_fault.js';
-import { locateFields } from './_json_lines.js';
-import type { FieldPath, FieldLocations } from './_json_lines.js';
+import { locateFields } from './_field_locations.js';
+import type { FieldPath, FieldLocations } from './_field_locations.js';
 
 /** A fault of one field, before its line in the text is known. */
 export interface FieldFault {
--- a/src/domain/contracts/_json_lines_test.ts
+++ b/src/domain/contracts/_field_locations_test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import t from 'tap';
-import { locateFields } from './_json_lines.js';
+import { locateFields } from './_field_locations.js';
 
 function isJson(text: string): boolean {
   try {
--- a/src/domain/contracts/_fields.ts
+++ b/src/domain/contracts/_fields.ts
@@ -5,7 +5,7 @@
  */
 import * as z from 'zod';
 import { MAX_ID_LENGTH } from './document_bounds.js';
-import type { FieldPath } from './_json_lines.js';
+import type { FieldPath } from './_field_locations.js';
 import type { FieldFault } from './_document.js';
 
 /** An ID that an operator chooses. */
--- a/src/domain/freshness/confirmed_age.ts
+++ b/src/domain/freshness/confirmed_age.ts
@@ -3,8 +3,8 @@
  *
  * @module
  */
-import { computeElapsedMs } from './moment.js';
-import type { ClockReading } from './moment.js';
+import { computeElapsedMs } from './clock_reading.js';
+import type { ClockReading } from './clock_reading.js';
 
 /**
  * Computes the age of a piece of cached information, counted from the *sending* of
--- a/src/domain/freshness/mod.ts
+++ b/src/domain/freshness/mod.ts
@@ -6,5 +6,5 @@
  * @module
  */
 export { ConfirmedAge } from './confirmed_age.js';
-export { computeElapsedMs } from './moment.js';
-export type { ClockReading } from './moment.js';
+export { computeElapsedMs } from './clock_reading.js';
+export type { ClockReading } from './clock_reading.js';
--- a/src/domain/limits/allowance_ledger.ts
+++ b/src/domain/limits/allowance_ledger.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { AccountLimits } from '../contracts/types.js';
-import { computeMaxMinShares } from './_fair_targets.js';
+import { computeMaxMinShares } from './_max_min_shares.js';
 import { LedgerEntry } from './_ledger_entry.js';
 import type { DemandReport, LedgerContext, LedgerGrant } from './ledger_types.js';
 import { ACK_REQUEST_NUMBER, LEASE_DURATION_MS } from './lease_times.js';
--- a/src/domain/limits/mod.ts
+++ b/src/domain/limits/mod.ts
@@ -17,7 +17,7 @@
   listBaseShares,
 } from './share.js';
 export type { AllowanceShare } from './share.js';
-export { pickAllowanceLender } from './allowance_home.js';
+export { pickAllowanceLender } from './allowance_lender.js';
 export { LeaseHolder } from './lease_holder.js';
 export type { ReceivedLease } from './lease_holder.js';
 export { AllowanceLedger } from './allowance_ledger.js';
