--- a/src/domain/backend_servers/mod.ts
+++ b/src/domain/backend_servers/mod.ts
@@ -11,5 +11,5 @@
 export { ServerLoad, ServerOutcome } from './server_load.js';
 export type { RequestWork } from './server_load.js';
 export { REPORT_DELAY_MS, SlotShare } from './slot_share.js';
-export { formatIncarnationId } from './types.js';
-export type { BackendServerEntry } from './types.js';
+export { formatIncarnationId } from './backend_server_entry.js';
+export type { BackendServerEntry } from './backend_server_entry.js';
--- a/src/domain/backend_servers/server_directory.ts
+++ b/src/domain/backend_servers/server_directory.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { BoundedMap } from '../collections/mod.js';
-import type { BackendServerEntry } from './types.js';
+import type { BackendServerEntry } from './backend_server_entry.js';
 
 /**
  * How long a backend server stays usable after its registry entry expired during a registry
--- a/src/domain/crashes/_judge.ts
+++ b/src/domain/crashes/_derive_state.ts
@@ -3,11 +3,11 @@
  *
  * @module
  */
-import type { CrashSuspectCounts } from './_end_counts.js';
+import type { CrashSuspectCounts } from './_crash_suspect_counts.js';
 import { countConsecutive, MIN_CRASHES_FOR_PROBATION, SuspectState } from './_suspect.js';
 import type { Suspect, SuspectRun, Trial } from './_suspect.js';
-import { computeNextStepAtMs, MAX_TRIALS } from './trial_plan.js';
-import type { TrialProgress } from './trial_plan.js';
+import { computeNextStepAtMs, MAX_TRIALS } from './trial_schedule.js';
+import type { TrialProgress } from './trial_schedule.js';
 
 /** Consecutive crashes with no other likely cause that quarantine a content without a trial. */
 const MIN_CRASHES_TO_QUARANTINE = 3;
--- a/src/domain/crashes/crash_ledger.ts
+++ b/src/domain/crashes/crash_ledger.ts
@@ -6,9 +6,9 @@
  */
 import { CrashState } from './crash_note.js';
 import type { CrashNote } from './crash_note.js';
-import { ProbationList } from './doubt_list.js';
-import { CrashSuspectCounts } from './_end_counts.js';
-import { deriveState } from './_judge.js';
+import { ProbationList } from './probation_list.js';
+import { CrashSuspectCounts } from './_crash_suspect_counts.js';
+import { deriveState } from './_derive_state.js';
 import { MIN_CRASHES_FOR_PROBATION, SuspectState } from './_suspect.js';
 import type { Suspect, Trial } from './_suspect.js';
 import { buildNotice, listNotices } from './_suspect_notes.js';
--- a/src/domain/crashes/doubt_list.ts
+++ b/src/domain/crashes/probation_list.ts
@@ -3,11 +3,11 @@
  *
  * @module
  */
-import { CrashSuspectCounts } from './_end_counts.js';
-import { countSoleSuspectRuns, listCountedTrials, readTrialProgress } from './_judge.js';
+import { CrashSuspectCounts } from './_crash_suspect_counts.js';
+import { countSoleSuspectRuns, listCountedTrials, readTrialProgress } from './_derive_state.js';
 import { SuspectState } from './_suspect.js';
 import type { SuspectTable } from './_suspect_table.js';
-import type { TrialProgress } from './trial_plan.js';
+import type { TrialProgress } from './trial_schedule.js';
 
 /**
  * Time for which an open trial keeps others from starting, in milliseconds, so that a crash can
--- a/src/domain/crashes/trial_plan_test.ts
+++ b/src/domain/crashes/trial_schedule_test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { computeNextStepAtMs, computeNextTrialAtMs, computeTurnAtMs } from './trial_plan.js';
+import { computeNextStepAtMs, computeNextTrialAtMs, computeTurnAtMs } from './trial_schedule.js';
 
 const PROGRESS = { sinceMs: 1_000, trialCount: 0, lastTrialAtMs: undefined };
 
--- a/src/domain/direct/mod.ts
+++ b/src/domain/direct/mod.ts
@@ -5,18 +5,18 @@
  *
  * @module
  */
-export { OutputEstimator } from './output_forecast.js';
-export { RetryBudgetShare } from './retry_share.js';
-export type { RetryBounds } from './retry_share.js';
-export { computeReturningThresholdMs, computeRetryAfterMs } from './return_time.js';
+export { OutputEstimator } from './output_estimator.js';
+export { RetryBudgetShare } from './retry_budget_share.js';
+export type { RetryBounds } from './retry_budget_share.js';
+export { computeReturningThresholdMs, computeRetryAfterMs } from './retry_after.js';
 export {
   WAIT_FRACTION,
   computeMaxProbationWaitMs,
   computeMaxFailoverWaitMs,
   computeMaxWaitMs,
-} from './wait_time.js';
-export type { WaitOptions } from './wait_time.js';
-export { ReturningCallerDetector } from './returning_callers.js';
-export { WaitSuccessTracker } from './wait_outlook.js';
-export { computeUrgency, WaitQueue } from './waiting_line.js';
-export type { WaitingCall } from './waiting_line.js';
+} from './max_wait.js';
+export type { WaitOptions } from './max_wait.js';
+export { ReturningCallerDetector } from './returning_caller_detector.js';
+export { WaitSuccessTracker } from './wait_success_tracker.js';
+export { computeUrgency, WaitQueue } from './wait_queue.js';
+export type { WaitingCall } from './wait_queue.js';
--- a/src/domain/direct/returning_callers.ts
+++ b/src/domain/direct/returning_caller_detector.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { computeReturningThresholdMs } from './return_time.js';
+import { computeReturningThresholdMs } from './retry_after.js';
 
 /**
  * Detects returning callers by their remaining time. A returning call carries nothing that
--- a/src/domain/places/mod.ts
+++ b/src/domain/places/mod.ts
@@ -10,4 +10,4 @@
 export { ClosedZones } from './closed_zones.js';
 export { deriveWarmupShare, isWarmupSender } from './warmup_share.js';
 export type { WarmupLimit, WarmupShare } from './warmup_share.js';
-export { WarmupPacer } from './warmup_pace.js';
+export { WarmupPacer } from './warmup_pacer.js';
