--- a/src/domain/collections/mod.ts
+++ b/src/domain/collections/mod.ts
@@ -3,4 +3,4 @@
  *
  * @module
  */
-export { BoundedMap } from './recent_keys.js';
+export { BoundedMap } from './bounded_map.js';
--- a/src/domain/membership/mod.ts
+++ b/src/domain/membership/mod.ts
@@ -13,7 +13,7 @@
 export { sortForCallers } from './caller_order.js';
 export { HOST_LIST_PREFIX, HostRole, ListedHostState, parseListedHost } from './host_list.js';
 export type { HostList, ListedHost, RawHostEntry } from './host_list.js';
-export { StaleReadFilter } from './host_list_order.js';
+export { StaleReadFilter } from './stale_read_filter.js';
 export {
   LeavingBackendServers,
   LOAD_REPORT_LAG_MS,
--- a/src/domain/overlay/roster.ts
+++ b/src/domain/overlay/roster.ts
@@ -5,7 +5,7 @@
  */
 import type { EntryHostIdentity } from '../membership/mod.js';
 import { KnownHost } from './_known_host.js';
-import { RevisionCache, RosterListName } from './_revision_lists.js';
+import { RevisionCache, RosterListName } from './_revision_cache.js';
 import type { HostState, RosterEntry } from './types.js';
 
 /**
