--- a/src/application/direct/_call_checks.ts
+++ b/src/application/direct/_call_checks.ts
@@ -8,7 +8,7 @@
 import type { ClientAccount, Route, RouteTable } from '../../domain/routing/mod.js';
 import type { DirectRequest } from '../../ports/mod.js';
 import type { CrashQuarantine } from '../crashes/mod.js';
-import type { RoutingView } from './routing_keeper.js';
+import type { RoutingView } from './routing_view.js';
 
 /** Retry-after time of callers that another entry host may be able to serve, in milliseconds. */
 const RETRY_ELSEWHERE_MS = 50;
--- a/src/application/direct/_direct_attempt.ts
+++ b/src/application/direct/_direct_attempt.ts
@@ -19,7 +19,7 @@
 } from '../../ports/mod.js';
 import { StreamRelay, BufferedRelay } from './_answer_relay.js';
 import type { AnswerRelay } from './_answer_relay.js';
-import { StallDetector } from './_stall_watch.js';
+import { StallDetector } from './_stall_detector.js';
 
 /**
  * Statuses that tell callers that the request did not run. An answer with such a status is
--- a/src/application/direct/_warmup_guard.ts
+++ b/src/application/direct/_warmup_tracker.ts
@@ -9,7 +9,7 @@
 import { deriveWarmupShare, isWarmupSender } from '../../domain/places/mod.js';
 import type { WarmupLimit } from '../../domain/places/mod.js';
 import type { Clock, EventLog } from '../../ports/mod.js';
-import type { ZoneView } from './place_keeper.js';
+import type { ZoneView } from './zone_view.js';
 
 /** The entry hosts among which the right to send to a cold backend server is shared. */
 export interface WarmupHosts {
--- a/src/application/direct/direct_call.ts
+++ b/src/application/direct/direct_call.ts
@@ -20,16 +20,16 @@
 import { PermitKind } from '../crashes/mod.js';
 import type { Permit } from '../crashes/mod.js';
 import { buildBackendRequest } from './_backend_request.js';
-import { findRejection } from './_call_obstacle.js';
+import { findRejection } from './_call_rejection.js';
 import { CallRecorder, buildAnswerFields } from './_call_recorder.js';
-import { AttemptBudget } from './_call_tries.js';
+import { AttemptBudget } from './_attempt_budget.js';
 import { DirectAttempt } from './_direct_attempt.js';
 import type { AttemptResult } from './_direct_attempt.js';
-import { ProbationWait } from './_doubt_wait.js';
-import { mayAttemptHaveRun, CrashEvidence } from './_run_evidence.js';
+import { ProbationWait } from './_probation_wait.js';
+import { mayAttemptHaveRun, CrashEvidence } from './_crash_evidence.js';
 import type { StreamRelay } from './_answer_relay.js';
 import type { DirectCallOptions } from './direct_call_options.js';
-import type { QueuedCall } from './service_line.js';
+import type { QueuedCall } from './service_queue.js';
 
 /** Queues a call, sends it, retries it where its route allows that, and answers it once. */
 export class DirectCall implements QueuedCall {
--- a/src/application/direct/direct_call_options.ts
+++ b/src/application/direct/direct_call_options.ts
@@ -8,7 +8,7 @@
 import type { ClientAccount, Route } from '../../domain/routing/mod.js';
 import type { DirectReply, DirectRequest } from '../../ports/mod.js';
 import type { DirectServices } from './direct_services.js';
-import type { ServiceQueue } from './service_line.js';
+import type { ServiceQueue } from './service_queue.js';
 
 /** Parameters and dependencies of a call. */
 export interface DirectCallOptions {
--- a/src/application/direct/direct_gateway.ts
+++ b/src/application/direct/direct_gateway.ts
@@ -20,12 +20,12 @@
 import { buildRetryElsewhereError, CallChecks } from './_call_checks.js';
 import type { CallChecksOptions } from './_call_checks.js';
 import type { AccountSpending } from './account_spending.js';
-import { FreedSlotForwarder } from './freed_slots.js';
+import { FreedSlotForwarder } from './freed_slot_forwarder.js';
 import { DirectCall } from './direct_call.js';
 import type { DirectServices } from './direct_services.js';
 import { LazyMap } from './_kept_by_key.js';
 import type { ServerRegistry } from './server_keeper.js';
-import { ServiceQueue } from './service_line.js';
+import { ServiceQueue } from './service_queue.js';
 import { WaitingNotices } from './waiting_notices.js';
 
 /** Dependencies and limits of {@link DirectGateway}. */
--- a/src/application/direct/direct_services.ts
+++ b/src/application/direct/direct_services.ts
@@ -11,7 +11,7 @@
   RandomSource,
 } from '../../ports/mod.js';
 import type { CrashQuarantine } from '../crashes/mod.js';
-import type { RoutingView } from './routing_keeper.js';
+import type { RoutingView } from './routing_view.js';
 import type { ServerRegistry } from './server_keeper.js';
 
 /** Dependencies that all calls of an entry host share. */
--- a/src/application/direct/freed_slots_test.ts
+++ b/src/application/direct/freed_slot_forwarder_test.ts
@@ -10,7 +10,7 @@
 import { settle, VirtualClock } from '../../../test/support/virtual_clock.js';
 import { ServerOutcome } from '../../domain/backend_servers/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
-import { FreedSlotForwarder } from './freed_slots.js';
+import { FreedSlotForwarder } from './freed_slot_forwarder.js';
 import type { ServerRegistry } from './server_keeper.js';
 
 const WORK = { promptTokens: 1, outputTokens: 1 };
--- a/src/application/direct/server_keeper.ts
+++ b/src/application/direct/server_keeper.ts
@@ -8,12 +8,12 @@
 import { LogLevel } from '../../domain/errors/mod.js';
 import type { FeedChange, FeedItem } from '../../ports/mod.js';
 import type { FeedContext } from './feed_follower.js';
-import { CandidateCache } from './_candidate_lists.js';
+import { CandidateCache } from './_candidate_cache.js';
 import { EndedIncarnations } from './_ended_lives.js';
 import { EntryReader } from './_entry_reader.js';
 import type { EntryReaderOptions } from './_entry_reader.js';
-import { WarmupTracker } from './_warmup_guard.js';
-import type { WarmupTrackerOptions } from './_warmup_guard.js';
+import { WarmupTracker } from './_warmup_tracker.js';
+import type { WarmupTrackerOptions } from './_warmup_tracker.js';
 import { PeerStatsTable } from './_peer_figures.js';
 import type { PeerStats } from './_peer_figures.js';
 
--- a/src/application/direct/store_knowledge.ts
+++ b/src/application/direct/store_knowledge.ts
@@ -7,10 +7,10 @@
 import type { WarmupLimit } from '../../domain/places/mod.js';
 import type { RoutingDocument } from '../../domain/routing/mod.js';
 import type { Clock, EventLog, FeedChange, FeedItem, Metrics } from '../../ports/mod.js';
-import type { WarmupHosts } from './_warmup_guard.js';
+import type { WarmupHosts } from './_warmup_tracker.js';
 import type { FeedContext } from './feed_follower.js';
-import { ZoneView } from './place_keeper.js';
-import { RoutingView } from './routing_keeper.js';
+import { ZoneView } from './zone_view.js';
+import { RoutingView } from './routing_view.js';
 import { ServerRegistry } from './server_keeper.js';
 
 /** Keys and value formats of the store. */
