--- a/src/application/direct/_call_rejection.ts
+++ b/src/application/direct/_call_rejection.ts
@@ -6,7 +6,7 @@
 import { ErrorKind } from '../../domain/errors/mod.js';
 import { isAllowedRegion } from '../../domain/places/mod.js';
 import type { AllowedRegions } from '../../domain/places/mod.js';
-import type { ServerRegistry } from './server_keeper.js';
+import type { ServerRegistry } from './server_registry.js';
 
 /**
  * Finds why no backend server can take a call: all servers of the service are in closed zones,
--- a/src/application/direct/_report_builder.ts
+++ b/src/application/direct/_report_builder.ts
@@ -8,10 +8,10 @@
 import type { Roster, RosterEntry } from '../../domain/overlay/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
 import type { HostReportMessage } from '../../ports/mod.js';
-import { NO_STATS } from './report_figures.js';
-import type { StatsSources, ReportStats } from './report_figures.js';
+import { NO_STATS } from './report_stats.js';
+import type { StatsSources, ReportStats } from './report_stats.js';
 import type { ReportRole } from './_report_role.js';
-import type { ReceivedReports } from './_report_sources.js';
+import type { ReceivedReports } from './_received_reports.js';
 
 /** Sources of a report's content. */
 export interface ReportBuilderOptions {
--- a/src/application/direct/_report_role.ts
+++ b/src/application/direct/_report_role.ts
@@ -6,9 +6,9 @@
 import type { EntryHostIdentity } from '../../domain/membership/mod.js';
 import { pickRelays, ReportScope } from '../../domain/overlay/mod.js';
 import type { HostState, Roster } from '../../domain/overlay/mod.js';
-import { RelaySelector } from './_relay_choice.js';
-import type { RelaySelectionInputs } from './_relay_choice.js';
-import type { ViewOrigin, ReceivedReport, ReceivedReports } from './_report_sources.js';
+import { RelaySelector } from './_relay_selector.js';
+import type { RelaySelectionInputs } from './_relay_selector.js';
+import type { ViewOrigin, ReceivedReport, ReceivedReports } from './_received_reports.js';
 
 /** Inputs of a {@link ReportRole}. */
 export interface ReportRoleOptions {
--- a/src/application/direct/account_spending.ts
+++ b/src/application/direct/account_spending.ts
@@ -8,8 +8,8 @@
 import { LimitUnit } from '../../domain/routing/mod.js';
 import type { AccountLimit, ClientAccount } from '../../domain/routing/mod.js';
 import type { Clock, DirectRequest } from '../../ports/mod.js';
-import { LIMIT_PEER_TIMEOUT_MS } from './_report_sources.js';
-import type { CountedReport } from './report_figures.js';
+import { LIMIT_PEER_TIMEOUT_MS } from './_received_reports.js';
+import type { CountedReport } from './report_stats.js';
 
 /** Holds one shared token bucket for each account that has a limit. */
 export class AccountSpending {
--- a/src/application/direct/direct_crash_paths.ts
+++ b/src/application/direct/direct_crash_paths.ts
@@ -6,7 +6,7 @@
 import type { EntryHostIdentity } from '../../domain/membership/mod.js';
 import { CrashPaths } from '../crashes/mod.js';
 import type { HostReports } from './host_reports.js';
-import type { ServerRegistry } from './server_keeper.js';
+import type { ServerRegistry } from './server_registry.js';
 
 /**
  * Routes crash notes along the same links as the load reports. An incarnation ends only once,
--- a/src/application/direct/direct_gateway.ts
+++ b/src/application/direct/direct_gateway.ts
@@ -23,8 +23,8 @@
 import { FreedSlotForwarder } from './freed_slot_forwarder.js';
 import { DirectCall } from './direct_call.js';
 import type { DirectServices } from './direct_services.js';
-import { LazyMap } from './_kept_by_key.js';
-import type { ServerRegistry } from './server_keeper.js';
+import { LazyMap } from './_lazy_map.js';
+import type { ServerRegistry } from './server_registry.js';
 import { ServiceQueue } from './service_queue.js';
 import { WaitingNotices } from './waiting_notices.js';
 
--- a/src/application/direct/direct_services.ts
+++ b/src/application/direct/direct_services.ts
@@ -12,7 +12,7 @@
 } from '../../ports/mod.js';
 import type { CrashQuarantine } from '../crashes/mod.js';
 import type { RoutingView } from './routing_view.js';
-import type { ServerRegistry } from './server_keeper.js';
+import type { ServerRegistry } from './server_registry.js';
 
 /** Dependencies that all calls of an entry host share. */
 export interface DirectServices {
--- a/src/application/direct/freed_slot_forwarder.ts
+++ b/src/application/direct/freed_slot_forwarder.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock, FreedSlotMessage, Metrics, PeerNetwork } from '../../ports/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
-import type { ServerRegistry } from './server_keeper.js';
+import type { ServerRegistry } from './server_registry.js';
 
 /**
  * Maximum number of times that a slot is forwarded: from a member to its relay, to another
--- a/src/application/direct/freed_slot_forwarder_test.ts
+++ b/src/application/direct/freed_slot_forwarder_test.ts
@@ -11,7 +11,7 @@
 import { ServerOutcome } from '../../domain/backend_servers/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
 import { FreedSlotForwarder } from './freed_slot_forwarder.js';
-import type { ServerRegistry } from './server_keeper.js';
+import type { ServerRegistry } from './server_registry.js';
 
 const WORK = { promptTokens: 1, outputTokens: 1 };
 /** An entry host that knows one engine with one slot, which an own call has taken. */
--- a/src/application/direct/host_reports.ts
+++ b/src/application/direct/host_reports.ts
@@ -10,16 +10,16 @@
 import type { HostState } from '../../domain/overlay/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
 import type { Clock, EventLog, HostReportMessage, PeerNetwork } from '../../ports/mod.js';
-import { CountedPeers } from './_counted_hosts.js';
+import { CountedPeers } from './_counted_peers.js';
 import { PeerLinks } from './_peer_links.js';
 import { ReportBuilder } from './_report_builder.js';
-import type { CountedReport, StatsSources, ReportStats } from './report_figures.js';
+import type { CountedReport, StatsSources, ReportStats } from './report_stats.js';
 import { ReportRole } from './_report_role.js';
 import { RosterLog } from './_roster_log.js';
-import { ReportScheduler } from './_report_rounds.js';
+import { ReportScheduler } from './_report_scheduler.js';
 import { hasSettled } from './_settling.js';
 import { SentReports } from './_sent_reports.js';
-import { isCounted, ReceivedReports } from './_report_sources.js';
+import { isCounted, ReceivedReports } from './_received_reports.js';
 
 /** Dependencies and callbacks of {@link HostReports}. */
 export interface HostReportsOptions {
--- a/src/application/direct/mod.ts
+++ b/src/application/direct/mod.ts
@@ -18,16 +18,16 @@
   ReadPlan,
   RetryBackoff,
 } from './feed_follower.js';
-export { FeedDistributor, FAST_RETRY_BACKOFF } from './feed_sharing.js';
-export type { FeedDistributorOptions } from './feed_sharing.js';
+export { FeedDistributor, FAST_RETRY_BACKOFF } from './feed_distributor.js';
+export type { FeedDistributorOptions } from './feed_distributor.js';
 export { HostReports } from './host_reports.js';
 export type { HostReportsOptions } from './host_reports.js';
-export { buildReportStats, NO_STATS } from './report_figures.js';
-export type { CountedReport, StatsProviders, StatsSources, ReportStats } from './report_figures.js';
+export { buildReportStats, NO_STATS } from './report_stats.js';
+export type { CountedReport, StatsProviders, StatsSources, ReportStats } from './report_stats.js';
 export { ZoneView } from './zone_view.js';
 export { RoutingView } from './routing_view.js';
 export type { RoutingViewOptions } from './routing_view.js';
-export { ServerRegistry } from './server_keeper.js';
-export type { ServerRegistryOptions } from './server_keeper.js';
-export { StoreView } from './store_knowledge.js';
-export type { StoreViewOptions, StoreLayout, WarmupTolerance } from './store_knowledge.js';
+export { ServerRegistry } from './server_registry.js';
+export type { ServerRegistryOptions } from './server_registry.js';
+export { StoreView } from './store_view.js';
+export type { StoreViewOptions, StoreLayout, WarmupTolerance } from './store_view.js';
--- a/src/application/direct/report_figures.ts
+++ b/src/application/direct/report_stats.ts
@@ -8,7 +8,7 @@
 import type { HostReportMessage } from '../../ports/mod.js';
 import type { AccountSpending } from './account_spending.js';
 import type { DirectGateway } from './direct_gateway.js';
-import type { ServerRegistry } from './server_keeper.js';
+import type { ServerRegistry } from './server_registry.js';
 
 /** Stats of one entry host, or sums over several. */
 export type ReportStats = Pick<
--- a/src/application/direct/server_lives_test.ts
+++ b/src/application/direct/server_incarnations_test.ts
@@ -10,7 +10,7 @@
 import { VirtualClock } from '../../../test/support/virtual_clock.js';
 import { formatIncarnationId, EXPIRED_ENTRY_GRACE_MS } from '../../domain/backend_servers/mod.js';
 import type { FeedChange } from '../../ports/mod.js';
-import type { ServerRegistry } from './server_keeper.js';
+import type { ServerRegistry } from './server_registry.js';
 
 const SEED = 31;
 const SERVER_IDS = ['a', 'b'];
--- a/src/application/direct/server_keeper.ts
+++ b/src/application/direct/server_registry.ts
@@ -9,13 +9,13 @@
 import type { FeedChange, FeedItem } from '../../ports/mod.js';
 import type { FeedContext } from './feed_follower.js';
 import { CandidateCache } from './_candidate_cache.js';
-import { EndedIncarnations } from './_ended_lives.js';
+import { EndedIncarnations } from './_ended_incarnations.js';
 import { EntryReader } from './_entry_reader.js';
 import type { EntryReaderOptions } from './_entry_reader.js';
 import { WarmupTracker } from './_warmup_tracker.js';
 import type { WarmupTrackerOptions } from './_warmup_tracker.js';
-import { PeerStatsTable } from './_peer_figures.js';
-import type { PeerStats } from './_peer_figures.js';
+import { PeerStatsTable } from './_peer_stats.js';
+import type { PeerStats } from './_peer_stats.js';
 
 /** Dependencies and settings of a {@link ServerRegistry}. */
 export interface ServerRegistryOptions extends EntryReaderOptions, WarmupTrackerOptions {
--- a/src/application/direct/store_knowledge.ts
+++ b/src/application/direct/store_view.ts
@@ -11,7 +11,7 @@
 import type { FeedContext } from './feed_follower.js';
 import { ZoneView } from './zone_view.js';
 import { RoutingView } from './routing_view.js';
-import { ServerRegistry } from './server_keeper.js';
+import { ServerRegistry } from './server_registry.js';
 
 /** Keys and value formats of the store. */
 export interface StoreLayout {
--- a/src/application/direct/waiting_notices.ts
+++ b/src/application/direct/waiting_notices.ts
@@ -5,8 +5,8 @@
  */
 import { PeerMessageType } from '../../ports/mod.js';
 import type { Clock, Metrics, PeerNetwork } from '../../ports/mod.js';
-import { REPORT_INTERVAL_MS } from './_report_rounds.js';
-import type { ServerRegistry } from './server_keeper.js';
+import { REPORT_INTERVAL_MS } from './_report_scheduler.js';
+import type { ServerRegistry } from './server_registry.js';
 
 /**
  * Minimum interval between two notices per receiving peer, in milliseconds: with sixteen peers,
--- a/src/application/direct/waiting_notices_test.ts
+++ b/src/application/direct/waiting_notices_test.ts
@@ -4,7 +4,7 @@
 import { createServerRegistry, NO_STATS } from '../../../test/support/server_keepers.js';
 import { settle, VirtualClock } from '../../../test/support/virtual_clock.js';
 import { PeerMessageType } from '../../ports/mod.js';
-import type { ServerRegistry } from './server_keeper.js';
+import type { ServerRegistry } from './server_registry.js';
 import { WaitingNotices } from './waiting_notices.js';
 
 interface NoticeHost {
