--- a/src/application/configuration/configuration_keeper.ts
+++ b/src/application/configuration/configuration_replica.ts
@@ -36,7 +36,7 @@
 import type { ConfigurationStatus } from '../views/mod.js';
 import { ChangeRecorder, ChangeSource } from './_change_recorder.js';
 import { PeerExchange } from './_peer_exchange.js';
-import { ConfigurationWatch } from './_platform_watch.js';
+import { ConfigurationWatch } from './_configuration_watch.js';
 import { StartGate } from './_start_gate.js';
 
 /** Dependencies and times of the configuration of one entry host. */
--- a/src/application/configuration/mod.ts
+++ b/src/application/configuration/mod.ts
@@ -5,5 +5,5 @@
  *
  * @module
  */
-export { ConfigurationReplica } from './configuration_keeper.js';
-export type { ConfigurationReplicaOptions } from './configuration_keeper.js';
+export { ConfigurationReplica } from './configuration_replica.js';
+export type { ConfigurationReplicaOptions } from './configuration_replica.js';
--- a/src/application/membership/membership_keeper.ts
+++ b/src/application/membership/membership_tracker.ts
@@ -9,17 +9,17 @@
 import { PeerMessageType } from '../../ports/mod.js';
 import type { HeartbeatMessage, HeartbeatReplyMessage, LinkEvent, Timer } from '../../ports/mod.js';
 import { MembershipView } from '../views/mod.js';
-import { FreshnessTracker } from './_freshness.js';
+import { FreshnessTracker } from './_freshness_tracker.js';
 import { HeartbeatExchange } from './_heartbeat_exchange.js';
 import type { HeartbeatContent } from './_heartbeat_exchange.js';
 import { HostListWatch } from './_host_list_watch.js';
 import { PeerDirectory } from './_peer_directory.js';
-import { SilentLinkReplacer } from './_silent_links.js';
+import { SilentLinkReplacer } from './_silent_link_replacer.js';
 import type {
   GroupLoadsHandler,
   MembershipTrackerOptions,
   PeerConfigurationHandler,
-} from './membership_keeper_options.js';
+} from './membership_tracker_options.js';
 
 /**
  * Silence after which an unlisted peer is removed. Its requests are answered
--- a/src/application/membership/mod.ts
+++ b/src/application/membership/mod.ts
@@ -6,10 +6,10 @@
  *
  * @module
  */
-export { MembershipTracker } from './membership_keeper.js';
+export { MembershipTracker } from './membership_tracker.js';
 export type {
   ConfigurationVersion,
   GroupLoadsHandler,
   MembershipTrackerOptions,
   PeerConfigurationHandler,
-} from './membership_keeper_options.js';
+} from './membership_tracker_options.js';
