--- a/src/application/allowances/mod.ts
+++ b/src/application/allowances/mod.ts
@@ -6,5 +6,5 @@
  *
  * @module
  */
-export { AllowanceManager } from './allowance_keeper.js';
-export type { AllowanceManagerOptions } from './allowance_keeper.js';
+export { AllowanceManager } from './allowance_manager.js';
+export type { AllowanceManagerOptions } from './allowance_manager.js';
--- a/src/application/crashes/_trial_queue_test.ts
+++ b/src/application/crashes/_trial_queue_test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import { CrashChain } from '../../../test/support/crash_line.js';
 import { PermitKind } from './_trial_queue.js';
-import type { CrashQuarantine } from './crash_keeper.js';
+import type { CrashQuarantine } from './crash_quarantine.js';
 
 /** Retry-after time for callers of a quarantined content, in milliseconds. */
 const QUARANTINE_RETRY_MS = 600_000;
--- a/src/application/crashes/crash_watch_test.ts
+++ b/src/application/crashes/crash_detector_test.ts
@@ -3,8 +3,8 @@
 import { FakeLog, FakeMetrics } from '../../../test/support/fakes.js';
 import { settle, VirtualClock } from '../../../test/support/virtual_clock.js';
 import { Reachability } from '../../ports/mod.js';
-import { CrashDetector } from './crash_watch.js';
-import type { LostRun, ServerCrash } from './crash_watch.js';
+import { CrashDetector } from './crash_detector.js';
+import type { LostRun, ServerCrash } from './crash_detector.js';
 
 class DetectorFixture {
   readonly clock = new VirtualClock();
--- a/src/application/crashes/crash_keeper.ts
+++ b/src/application/crashes/crash_quarantine.ts
@@ -21,8 +21,8 @@
 import { TrialQueue } from './_trial_queue.js';
 import type { Permit } from './_trial_queue.js';
 import type { CrashPaths } from './crash_paths.js';
-import { CrashDetector } from './crash_watch.js';
-import type { LostRun, ServerCrash } from './crash_watch.js';
+import { CrashDetector } from './crash_detector.js';
+import type { LostRun, ServerCrash } from './crash_detector.js';
 
 /** Time in which peers' notes of other runs at a crash arrive, in milliseconds. */
 const NOTE_SETTLE_MS = 50;
--- a/src/application/crashes/mod.ts
+++ b/src/application/crashes/mod.ts
@@ -4,12 +4,12 @@
  *
  * @module
  */
-export { CrashQuarantine } from './crash_keeper.js';
-export type { AnsweredRun, CrashQuarantineOptions } from './crash_keeper.js';
+export { CrashQuarantine } from './crash_quarantine.js';
+export type { AnsweredRun, CrashQuarantineOptions } from './crash_quarantine.js';
 export { CrashPaths } from './crash_paths.js';
 export { formatAddress } from './format_address.js';
 export { isSuccess } from './is_success.js';
 export { MeshCrashPaths } from './mesh_crash_paths.js';
 export { PermitKind } from './_trial_queue.js';
 export type { Permit } from './_trial_queue.js';
-export type { LostRun } from './crash_watch.js';
+export type { LostRun } from './crash_detector.js';
--- a/src/application/entry_host/caller_gateway.ts
+++ b/src/application/entry_host/caller_gateway.ts
@@ -23,7 +23,7 @@
 } from '../views/mod.js';
 import { readJsonBody } from './_json_answer.js';
 import { relayWithFailover, resumeForCaller } from './_stream_failover.js';
-import type { RequestIdIssuer } from './identity_issuer.js';
+import type { RequestIdIssuer } from './request_id_issuer.js';
 import type { OwnedCalls } from './owned_calls.js';
 
 /** Options of {@link CallerGateway}. */
--- a/src/application/entry_host/forwarded_calls.ts
+++ b/src/application/entry_host/forwarded_calls.ts
@@ -11,7 +11,7 @@
 import type { OwnerService } from '../owner/mod.js';
 import type { CallerAnswer, ConfigurationView } from '../views/mod.js';
 import { buildJsonAnswer } from './_json_answer.js';
-import type { RequestIdIssuer } from './identity_issuer.js';
+import type { RequestIdIssuer } from './request_id_issuer.js';
 import type { OwnedCalls } from './owned_calls.js';
 
 /** Options of {@link ForwardedCalls}. */
