--- a/src/adapters/callers_http/_send_answer.ts
+++ b/src/adapters/callers_http/_send_answer.ts
@@ -8,7 +8,7 @@
 import { pickEndToEndHeaders } from '../http_common/mod.js';
 import type { HttpExchange } from '../http_common/mod.js';
 import type { CallerExchange } from './_caller_exchange.js';
-import { SseEventBuffer } from './_sse_tail.js';
+import { SseEventBuffer } from './_sse_event_buffer.js';
 
 /**
  * The length of an answer is not forwarded, since a resumed answer can be shorter than the
--- a/src/adapters/callers_http/_sse_tail_test.ts
+++ b/src/adapters/callers_http/_sse_event_buffer_test.ts
@@ -1,6 +1,6 @@
 import t from 'tap';
 import fc from 'fast-check';
-import { SseEventBuffer } from './_sse_tail.js';
+import { SseEventBuffer } from './_sse_event_buffer.js';
 
 t.test('SseEventBuffer emits only complete events, however the stream is split', async (t) => {
   const event = fc.constantFrom(
--- a/src/adapters/callers_http/callers_listener.ts
+++ b/src/adapters/callers_http/callers_listener.ts
@@ -21,7 +21,7 @@
   TlsIdentity,
 } from '../http_common/mod.js';
 import type { CallerRoute } from './_caller_exchange.js';
-import { correctRunOutcome } from './_correct_run.js';
+import { correctRunOutcome } from './_correct_run_outcome.js';
 import { recordRefusal, RequestRecorder } from './_request_recorder.js';
 import { CALLER_ROUTES } from './_routes.js';
 
--- a/src/adapters/direct_http/direct_backend_http_test.ts
+++ b/src/adapters/direct_http/http_direct_backend_client_test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import { BackendFailure } from '../../ports/mod.js';
 import type { BackendExchange, BackendListener } from '../../ports/mod.js';
-import { HttpDirectBackendClient } from './direct_backend_http.js';
+import { HttpDirectBackendClient } from './http_direct_backend_client.js';
 import { buildRequest, collectResult, startRawServer, TestDialect } from './_test_servers.js';
 import type { RawServer, ExchangeResult } from './_test_servers.js';
 
--- a/src/adapters/direct_http/mod.ts
+++ b/src/adapters/direct_http/mod.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-export { HttpDirectBackendClient } from './direct_backend_http.js';
+export { HttpDirectBackendClient } from './http_direct_backend_client.js';
 export { DirectDialect } from './direct_dialect.js';
 export type { AnswerInfo, CallInfo } from './direct_dialect.js';
 export { DirectListener } from './direct_listener.js';
