--- a/src/caller/_answer_body.ts
+++ b/src/caller/_answer_body.ts
@@ -7,7 +7,7 @@
 import { RunOutcome, formatReason } from '../domain/errors/mod.js';
 import { buildAuthorization, MAX_ATTEMPTS, waitBeforeRetry } from './_call_context.js';
 import type { CallContext } from './_call_context.js';
-import { ErrorEvent, ErrorEventFilter } from './_event_reader.js';
+import { ErrorEvent, ErrorEventFilter } from './_error_event_filter.js';
 import { Exchange, ExchangeError } from './_exchange.js';
 import { isOwnerGone, isRetryableElsewhere, openAnswer } from './_refusal.js';
 import type { Refusal } from './_refusal.js';
--- a/src/load/run_load.ts
+++ b/src/load/run_load.ts
@@ -7,7 +7,7 @@
 import { performance } from 'node:perf_hooks';
 import { listArrivals } from './arrivals.js';
 import type { Arrival } from './arrivals.js';
-import { LoadClient } from './_client.js';
+import { LoadClient } from './_load_client.js';
 import { LoadRandom } from './load_random.js';
 import type { RequestOutcome } from './outcome.js';
 import type { LoadPlan } from './plan.js';
