--- a/demo/_verdict.ts
+++ b/demo/_verdict.ts
@@ -5,7 +5,7 @@
  */
 import type { RunRecord } from '../standin/mod.js';
 import type { RequestOutcome } from './_caller.js';
-import type { WorkOutcome } from './_journey.js';
+import type { WorkOutcome } from './_work_outcome.js';
 import { TIER_NAMES } from './_work.js';
 import type { TierName } from './_work.js';
 
--- a/demo/_verdict_test.ts
+++ b/demo/_verdict_test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import type { RunRecord } from '../standin/mod.js';
 import type { RequestOutcome } from './_caller.js';
-import type { WorkOutcome } from './_journey.js';
+import type { WorkOutcome } from './_work_outcome.js';
 import { computeVerdict, listViolations } from './_verdict.js';
 
 function buildOutcome(
