--- a/src/adapters/peers_ws/ws_peer_network_test.ts
+++ b/src/adapters/peers_ws/ws_peer_network_test.ts
@@ -2,7 +2,7 @@
 import type { Test } from 'tap';
 import { PeerMessageType } from '../../ports/mod.js';
 import type { ForwardChunkMessage, LinkEvent, PeerMessage } from '../../ports/mod.js';
-import { GatedClock, ProcessGate } from '../../../test/support/frozen_host.js';
+import { GatedClock, ProcessGate } from '../../../test/support/process_gate.js';
 import { VirtualClock } from '../../../test/support/virtual_clock.js';
 import type { WsPeerNetworkOptions } from './mod.js';
 import {
--- a/src/application/crashes/_trial_queue_test.ts
+++ b/src/application/crashes/_trial_queue_test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { CrashChain } from '../../../test/support/crash_line.js';
+import { CrashChain } from '../../../test/support/crash_chain.js';
 import { PermitKind } from './_trial_queue.js';
 import type { CrashQuarantine } from './crash_quarantine.js';
 
--- a/src/application/crashes/crash_quarantine_test.ts
+++ b/src/application/crashes/crash_quarantine_test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { CrashChain } from '../../../test/support/crash_line.js';
+import { CrashChain } from '../../../test/support/crash_chain.js';
 import type { FakeProbe } from '../../../test/support/direct_ends.js';
 import { CrashUpdateKind } from '../../ports/mod.js';
 
--- a/src/application/direct/freed_slot_forwarder_test.ts
+++ b/src/application/direct/freed_slot_forwarder_test.ts
@@ -6,7 +6,7 @@
   NORMAL_READ_CONTEXT,
   createServerRegistry,
   NO_STATS,
-} from '../../../test/support/server_keepers.js';
+} from '../../../test/support/server_registries.js';
 import { settle, VirtualClock } from '../../../test/support/virtual_clock.js';
 import { ServerOutcome } from '../../domain/backend_servers/mod.js';
 import { PeerMessageType } from '../../ports/mod.js';
--- a/src/application/direct/server_incarnations_test.ts
+++ b/src/application/direct/server_incarnations_test.ts
@@ -6,7 +6,7 @@
   NORMAL_READ_CONTEXT,
   createServerRegistry,
   NO_STATS,
-} from '../../../test/support/server_keepers.js';
+} from '../../../test/support/server_registries.js';
 import { VirtualClock } from '../../../test/support/virtual_clock.js';
 import { formatIncarnationId, EXPIRED_ENTRY_GRACE_MS } from '../../domain/backend_servers/mod.js';
 import type { FeedChange } from '../../ports/mod.js';
--- a/src/application/direct/waiting_notices_test.ts
+++ b/src/application/direct/waiting_notices_test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import { FakePeerHub, FakePeerNetwork } from '../../../test/support/fake_peer_network.js';
 import { FakeMetrics } from '../../../test/support/fakes.js';
-import { createServerRegistry, NO_STATS } from '../../../test/support/server_keepers.js';
+import { createServerRegistry, NO_STATS } from '../../../test/support/server_registries.js';
 import { settle, VirtualClock } from '../../../test/support/virtual_clock.js';
 import { PeerMessageType } from '../../ports/mod.js';
 import type { ServerRegistry } from './server_registry.js';
--- a/src/application/dispatcher/dispatcher_loss_test.ts
+++ b/src/application/dispatcher/dispatcher_loss_test.ts
@@ -7,8 +7,8 @@
 import { settle } from '../../../test/support/virtual_clock.js';
 import { buildIdentity } from '../../../test/support/fake_peer_network.js';
 import { SERVICE_ID } from '../../../test/support/fake_views.js';
-import { DispatchFleet, trackPromise } from '../../../test/support/fleet_fixture.js';
-import type { FixtureHost } from '../../../test/support/fleet_fixture.js';
+import { DispatchFleet, trackPromise } from '../../../test/support/dispatch_fleet.js';
+import type { FixtureHost } from '../../../test/support/dispatch_fleet.js';
 
 const ANSWERED = { outcome: SlotOutcome.Answered, firstByteMs: 20, totalMs: 500, outputTokens: 25 };
 
--- a/src/application/dispatcher/dispatcher_service_test.ts
+++ b/src/application/dispatcher/dispatcher_service_test.ts
@@ -7,8 +7,8 @@
 import { settle } from '../../../test/support/virtual_clock.js';
 import type { Slot } from '../views/mod.js';
 import { buildService } from '../../../test/support/fake_views.js';
-import { DispatchFleet, trackPromise } from '../../../test/support/fleet_fixture.js';
-import type { FixtureHost } from '../../../test/support/fleet_fixture.js';
+import { DispatchFleet, trackPromise } from '../../../test/support/dispatch_fleet.js';
+import type { FixtureHost } from '../../../test/support/dispatch_fleet.js';
 
 const SLOT_USE = { firstByteMs: 20, totalMs: 500, outputTokens: 25 };
 
--- a/src/application/dispatcher/slot_client_test.ts
+++ b/src/application/dispatcher/slot_client_test.ts
@@ -5,7 +5,7 @@
 import { PeerMessageType, SlotOutcome } from '../../ports/mod.js';
 import { settle } from '../../../test/support/virtual_clock.js';
 import { buildService } from '../../../test/support/fake_views.js';
-import { DispatchFleet, trackPromise } from '../../../test/support/fleet_fixture.js';
+import { DispatchFleet, trackPromise } from '../../../test/support/dispatch_fleet.js';
 
 const ANSWERED = { outcome: SlotOutcome.Answered, firstByteMs: 20, totalMs: 500, outputTokens: 25 };
 
--- a/src/application/membership/_test_hosts.ts
+++ b/src/application/membership/_test_hosts.ts
@@ -21,7 +21,7 @@
 } from '../../../test/support/fake_peer_network.js';
 import { FakePlatform } from '../../../test/support/fake_platform.js';
 import type { FakePlatformReader } from '../../../test/support/fake_platform.js';
-import { GatedClock, ProcessGate } from '../../../test/support/frozen_host.js';
+import { GatedClock, ProcessGate } from '../../../test/support/process_gate.js';
 import { VirtualClock } from '../../../test/support/virtual_clock.js';
 import { MembershipTracker } from './mod.js';
 
--- a/test/support/fake_backend.ts
+++ b/test/support/fake_backend.ts
@@ -13,7 +13,7 @@
   Clock,
   ResumePoint,
 } from '../../src/ports/mod.js';
-import type { ProcessGate } from './frozen_host.js';
+import type { ProcessGate } from './process_gate.js';
 
 /** Behaviour of the fake backend server for one call. */
 export enum CallBehaviour {
--- a/test/support/owner_hosts.ts
+++ b/test/support/owner_hosts.ts
@@ -33,7 +33,7 @@
 import { FakePeerNetwork } from './fake_peer_network.js';
 import type { FakePeerHub } from './fake_peer_network.js';
 import { FakeLog, FakeMetrics, FakeTracer, SeededRandom } from './fakes.js';
-import { GatedClock, ProcessGate } from './frozen_host.js';
+import { GatedClock, ProcessGate } from './process_gate.js';
 import type { VirtualClock } from './virtual_clock.js';
 
 const CLUSTER_KEY = Buffer.alloc(32, 3);
