--- a/src/application/allowances/_allowance_lender.ts
+++ b/src/application/allowances/_allowance_lender.ts
@@ -104,7 +104,12 @@
       return this.#lastLeaseNumber;
     };
     const lifeMs = leaseLifeMs;
-    const ledger = new AllowanceLedger({ accountId, lendingStartsAtMs: quietUntilMs, nextLeaseNumber, leaseDurationMs: lifeMs });
+    const ledger = new AllowanceLedger({
+      accountId,
+      lendingStartsAtMs: quietUntilMs,
+      nextLeaseNumber,
+      leaseDurationMs: lifeMs,
+    });
     this.#ledgers.set(accountId, ledger);
     return ledger;
   }
--- a/src/application/direct/_direct_attempt.ts
+++ b/src/application/direct/_direct_attempt.ts
@@ -105,7 +105,8 @@
     this.#stallDetector = new StallDetector({
       ...options,
       predictedFirstByteMs: this.#predictedFirstByteMs,
-      onStall: () => this.#abandon('no data arrived within the stall limit', ServerOutcome.TimedOut),
+      onStall: () =>
+        this.#abandon('no data arrived within the stall limit', ServerOutcome.TimedOut),
     });
   }
 
--- a/src/application/direct/_peer_stats.ts
+++ b/src/application/direct/_peer_stats.ts
@@ -151,7 +151,10 @@
    * @param source - incarnation of the peer's process
    * @param notice - the announcement
    */
-  applyWaitingNotice(source: string, { serviceId, calls, firstUrgency }: WaitingNoticeMessage): void {
+  applyWaitingNotice(
+    source: string,
+    { serviceId, calls, firstUrgency }: WaitingNoticeMessage,
+  ): void {
     this.#update(source, ({ waitingCalls, firstWaiting }) => ({
       waitingCalls: { ...waitingCalls, [serviceId]: calls },
       firstWaiting: { ...firstWaiting, [serviceId]: firstUrgency },
--- a/src/application/direct/_report_builder.ts
+++ b/src/application/direct/_report_builder.ts
@@ -46,9 +46,7 @@
     // When peers that are not in its roster take a member for a relay, the member only helps
     // them to find a relay and reports no stats of its own.
     const hasStats = scope === ReportScope.Member || role.isRelay;
-    const stats = hasStats
-      ? buildStats({ incarnations, scope, receiver: incarnation })
-      : NO_STATS;
+    const stats = hasStats ? buildStats({ incarnations, scope, receiver: incarnation }) : NO_STATS;
     // A report of another scope may have left entries out, so its acknowledgement doesn't count.
     const ackedRevision = lastReport?.heardScope === scope ? lastReport.heardRosterRevision : 0;
     return {
--- a/src/application/direct/_warmup_tracker.ts
+++ b/src/application/direct/_warmup_tracker.ts
@@ -62,7 +62,7 @@
 
   /** @param entry - registry entry that was just read */
   recordEntry({ id, serviceId, warmupLeftMs }: BackendServerEntry): void {
-    const { clock, log, findWarmupLimit: findWarmupLimit } = this.#options;
+    const { clock, log, findWarmupLimit } = this.#options;
     const wasCold = this.#warmAtMs.has(id);
     if (warmupLeftMs === 0) {
       this.#warmAtMs.delete(id);
@@ -96,7 +96,7 @@
    * @param load - load of the backend server, which holds the pace
    */
   updatePace(entry: BackendServerEntry, load: ServerLoad): void {
-    const { clock, findWarmupLimit: findWarmupLimit } = this.#options;
+    const { clock, findWarmupLimit } = this.#options;
     const limit = findWarmupLimit(entry.serviceId);
     if (!limit) return;
     const warmAtMs = this.#computeWarmAtMs(entry, limit);
--- a/src/application/direct/direct_call.ts
+++ b/src/application/direct/direct_call.ts
@@ -129,7 +129,10 @@
       this.shed(0);
       return;
     }
-    const pass = services.crashes.acquirePermit(this.#options.contentId, this.#attempts.hasTimeForTrial);
+    const pass = services.crashes.acquirePermit(
+      this.#options.contentId,
+      this.#attempts.hasTimeForTrial,
+    );
     if (pass.kind === PermitKind.Wait) {
       this.#waitForPass();
       return;
@@ -172,7 +175,8 @@
 
   #resubmit(): void {
     const { queue, services } = this.#options;
-    this.latestStartAtMs = services.clock.nowMs() + computeMaxFailoverWaitMs(this.#attempts.timeLeftMs);
+    this.latestStartAtMs =
+      services.clock.nowMs() + computeMaxFailoverWaitMs(this.#attempts.timeLeftMs);
     queue.submit(this);
   }
 
--- a/src/application/direct/direct_gateway.ts
+++ b/src/application/direct/direct_gateway.ts
@@ -3,7 +3,11 @@
  *
  * @module
  */
-import { OutputEstimator, RetryBudgetShare, ReturningCallerDetector } from '../../domain/direct/mod.js';
+import {
+  OutputEstimator,
+  RetryBudgetShare,
+  ReturningCallerDetector,
+} from '../../domain/direct/mod.js';
 import type { RetryBounds } from '../../domain/direct/mod.js';
 import { ErrorKind, LogLevel, SchedulerError } from '../../domain/errors/mod.js';
 import { computeRank, pickService } from '../../domain/routing/mod.js';
--- a/src/application/direct/server_ending_storms_test.ts
+++ b/src/application/direct/server_ending_storms_test.ts
@@ -23,7 +23,10 @@
   // Guards against a content that crashes four servers more than three seconds after its third
   // crash. Three crashing contents and failing racks take down most of eleven servers at once,
   // so contents that ran beside each other are told apart late.
-  t.same(await simulateStorm(t, { seed: 85, calmRounds: CALM_ROUNDS }), { heldSound: [], sentOn: [] });
+  t.same(await simulateStorm(t, { seed: 85, calmRounds: CALM_ROUNDS }), {
+    heldSound: [],
+    sentOn: [],
+  });
 });
 
 t.test('a storm from the first second on quarantines no harmless content', async (t) => {
@@ -37,7 +40,11 @@
   // Guards against trials without a result: stalled, at a failing rack, or of callers that
   // disconnected.
   for (const seed of [16, 41, 199, 375, 1_149]) {
-    t.same(await simulateStorm(t, { seed, calmRounds: 0 }), { heldSound: [], sentOn: [] }, `${seed}`);
+    t.same(
+      await simulateStorm(t, { seed, calmRounds: 0 }),
+      { heldSound: [], sentOn: [] },
+      `${seed}`,
+    );
   }
 });
 
@@ -52,13 +59,21 @@
 t.test('a server failure during a trial quarantines no harmless content', async (t) => {
   // Guards against a crash that only coincides with a trial and is attributed to its content.
   for (const seed of [2_160, 2_269, 3_256]) {
-    t.same(await simulateStorm(t, { seed, calmRounds: 0 }), { heldSound: [], sentOn: [] }, `${seed}`);
+    t.same(
+      await simulateStorm(t, { seed, calmRounds: 0 }),
+      { heldSound: [], sentOn: [] },
+      `${seed}`,
+    );
   }
 });
 
 t.test('a storm in which servers fail by themselves twice has nothing sound held', async (t) => {
   // Guards against two crashes that only coincide with one content and are attributed to it.
   for (const seed of [2_145, 4_357]) {
-    t.same(await simulateStorm(t, { seed, calmRounds: 0 }), { heldSound: [], sentOn: [] }, `${seed}`);
+    t.same(
+      await simulateStorm(t, { seed, calmRounds: 0 }),
+      { heldSound: [], sentOn: [] },
+      `${seed}`,
+    );
   }
 });
--- a/src/application/direct/server_registry_test.ts
+++ b/src/application/direct/server_registry_test.ts
@@ -2,7 +2,11 @@
 import { buildServer, startDirectHost } from '../../../test/support/direct_host.js';
 import { NO_STATS } from '../../../test/support/server_registries.js';
 import type { DirectHost } from '../../../test/support/direct_host.js';
-import { formatIncarnationId, EXPIRED_ENTRY_GRACE_MS, ServerOutcome } from '../../domain/backend_servers/mod.js';
+import {
+  formatIncarnationId,
+  EXPIRED_ENTRY_GRACE_MS,
+  ServerOutcome,
+} from '../../domain/backend_servers/mod.js';
 import { settle } from '../../../test/support/virtual_clock.js';
 
 function listIds(host: DirectHost): string[] {
--- a/src/application/dispatcher/_server_poller.ts
+++ b/src/application/dispatcher/_server_poller.ts
@@ -67,7 +67,11 @@
   async #readLoad(group: HostedGroup, server: BackendServer): Promise<void> {
     const load = await this.#options.backend.readLoad(server);
     const serverState = group.scheduler.pool.findServer(server.id);
-    serverState?.recordLoadReport(load.running + load.waiting, load.leaving, this.#options.clock.nowMs());
+    serverState?.recordLoadReport(
+      load.running + load.waiting,
+      load.leaving,
+      this.#options.clock.nowMs(),
+    );
     this.#options.onBackendServerLoad?.(server.id, load.leaving);
   }
 
--- a/src/application/dispatcher/dispatcher_loss_test.ts
+++ b/src/application/dispatcher/dispatcher_loss_test.ts
@@ -196,7 +196,9 @@
   if (!first || !second || !owner) throw new Error('no hosts');
   fleet.setState(first, PeerState.Suspected);
   const heldSlot = await owner.slots.acquire(fleet.buildSlotRequest());
-  const pendingSlots = [1, 2, 3].map(() => trackPromise(owner.slots.acquire(fleet.buildSlotRequest())));
+  const pendingSlots = [1, 2, 3].map(() =>
+    trackPromise(owner.slots.acquire(fleet.buildSlotRequest())),
+  );
   await settle();
   const countSlotRequests = (): number =>
     fleet.hub.delivered.filter(({ message }) => message.type === PeerMessageType.SlotRequest)
@@ -224,8 +226,12 @@
   const fleet = new DispatchFleet({ slots: 1 });
   const [dispatcher, next, owner] = fleet.sortByResponsibility() as unknown as FixtureHost[];
   if (!dispatcher || !next || !owner) throw new Error('no hosts');
-  await dispatcher.slots.acquire(fleet.buildSlotRequest({ deadlineAtMs: fleet.clock.nowMs() + 99_000 }));
-  trackPromise(owner.slots.acquire(fleet.buildSlotRequest({ deadlineAtMs: fleet.clock.nowMs() + 99_000 })));
+  await dispatcher.slots.acquire(
+    fleet.buildSlotRequest({ deadlineAtMs: fleet.clock.nowMs() + 99_000 }),
+  );
+  trackPromise(
+    owner.slots.acquire(fleet.buildSlotRequest({ deadlineAtMs: fleet.clock.nowMs() + 99_000 })),
+  );
   await fleet.clock.advance(20_000);
   fleet.kill(dispatcher);
   await settle();
--- a/src/application/dispatcher/slot_client_test.ts
+++ b/src/application/dispatcher/slot_client_test.ts
@@ -64,7 +64,9 @@
     const [dispatcher, owner] = fleet.sortByResponsibility();
     await owner.slots.acquire(fleet.buildSlotRequest());
     const caller = new AbortController();
-    const abortedRequest = trackPromise(owner.slots.acquire(fleet.buildSlotRequest({ signal: caller.signal })));
+    const abortedRequest = trackPromise(
+      owner.slots.acquire(fleet.buildSlotRequest({ signal: caller.signal })),
+    );
     const lateRequest = trackPromise(
       owner.slots.acquire(fleet.buildSlotRequest({ deadlineAtMs: fleet.clock.nowMs() + 5_000 })),
     );
@@ -141,7 +143,9 @@
   const slotRequest = { deadlineAtMs: fleet.clock.nowMs() + 1_500, tier: Tier.Urgent };
   const pendingSlots = Array.from({ length: 2 }, () =>
     trackPromise(
-      fleet.hosts[0].slots.acquire(fleet.buildSlotRequest({ ...slotRequest, expectedOutputTokens: 60 })),
+      fleet.hosts[0].slots.acquire(
+        fleet.buildSlotRequest({ ...slotRequest, expectedOutputTokens: 60 }),
+      ),
     ),
   );
   await settle();
--- a/src/application/entry_host/at_most_once_test.ts
+++ b/src/application/entry_host/at_most_once_test.ts
@@ -7,7 +7,11 @@
 import t from 'tap';
 import fc from 'fast-check';
 import { RunOutcome, SchedulerError } from '../../domain/errors/mod.js';
-import { buildExpectedAnswer, CallBehaviour, FakeBackend } from '../../../test/support/fake_backend.js';
+import {
+  buildExpectedAnswer,
+  CallBehaviour,
+  FakeBackend,
+} from '../../../test/support/fake_backend.js';
 import { buildIdentity, FakePeerHub } from '../../../test/support/fake_peer_network.js';
 import { ACCOUNT, OwnerHost } from '../../../test/support/owner_hosts.js';
 import type { OwnerWorld } from '../../../test/support/owner_hosts.js';
--- a/src/application/membership/_freshness_tracker.ts
+++ b/src/application/membership/_freshness_tracker.ts
@@ -56,7 +56,8 @@
   start(): void {
     this.detectPause();
     this.#startTimer = this.#options.clock.setTimer(START_TIMEOUT_MS, () => {
-      if (this.#pauseDetector.resumedAtMs === this.#startedAtMs) this.acceptRefresh(this.#startedAtMs);
+      if (this.#pauseDetector.resumedAtMs === this.#startedAtMs)
+        this.acceptRefresh(this.#startedAtMs);
     });
   }
 
--- a/src/application/membership/_peer_directory.ts
+++ b/src/application/membership/_peer_directory.ts
@@ -219,7 +219,10 @@
     return { identity: this.#options.self, state: this.#getSelfState(), silentMs: 0 };
   }
 
-  #buildView({ identity, lastContactAtMs: heardAtMs }: EntryHostRecord, nowMs: number): EntryHostView {
+  #buildView(
+    { identity, lastContactAtMs: heardAtMs }: EntryHostRecord,
+    nowMs: number,
+  ): EntryHostView {
     const state = this.#states.get(identity.incarnation) ?? PeerState.Live;
     return { identity, state, silentMs: Math.max(0, nowMs - heardAtMs) };
   }
--- a/src/application/owner/_slot_wait.ts
+++ b/src/application/owner/_slot_wait.ts
@@ -32,7 +32,10 @@
  * @returns the slot
  * @throws SchedulerError with run outcome `not_run`
  */
-export async function waitForSlot(context: SlotWaitContext, slotRequest: SlotRequest): Promise<Slot> {
+export async function waitForSlot(
+  context: SlotWaitContext,
+  slotRequest: SlotRequest,
+): Promise<Slot> {
   const isolation = new AbortController();
   const freshnessCheck = startFreshnessCheck(context, isolation);
   const signal = AbortSignal.any([slotRequest.signal, isolation.signal]);
--- a/src/application/owner/owner_service_test.ts
+++ b/src/application/owner/owner_service_test.ts
@@ -6,7 +6,11 @@
  */
 import t from 'tap';
 import { ErrorKind, RunOutcome, SchedulerError } from '../../domain/errors/mod.js';
-import { buildExpectedAnswer, CallBehaviour, FakeBackend } from '../../../test/support/fake_backend.js';
+import {
+  buildExpectedAnswer,
+  CallBehaviour,
+  FakeBackend,
+} from '../../../test/support/fake_backend.js';
 import { buildIdentity, FakePeerHub } from '../../../test/support/fake_peer_network.js';
 import {
   ACCOUNT,
@@ -139,7 +143,10 @@
 t.test(
   'a backend server that stalls after the body is reported at the deadline, never as not run',
   async (t) => {
-    const fixture = new OwnerFixture([CallBehaviour.SilentAfterBody, CallBehaviour.SilentAfterBody]);
+    const fixture = new OwnerFixture([
+      CallBehaviour.SilentAfterBody,
+      CallBehaviour.SilentAfterBody,
+    ]);
     const notice = fixture.send(await fixture.assign(), 'notice');
     const lookup = fixture.send(undefined, 'lookup');
     await fixture.clock.advance(DEADLINE_MS + 1);
--- a/src/caller/caller_client_test.ts
+++ b/src/caller/caller_client_test.ts
@@ -33,7 +33,9 @@
   });
   t.strictSame(await readAll(reply), STREAM_BODY);
   t.match(reply, { requestId: 'request-1', status: 200, resumes: 0 });
-  t.match(owner.listReceived('POST', '/v1/requests'), [{ headers: { 'idempotency-key': 'key-1' } }]);
+  t.match(owner.listReceived('POST', '/v1/requests'), [
+    { headers: { 'idempotency-key': 'key-1' } },
+  ]);
   t.match(owner.listReceived('POST', CHAT_PATH), [
     {
       body: CHAT_CALL.body,
@@ -95,7 +97,11 @@
   const error = { message: 'cut', code: 'answer_cut', run: 'ran', retryAfterMs: 0 };
   const event = `data: ${JSON.stringify({ error })}\n\n`;
   const cases: readonly (readonly [FakeHandler, FakeHandler, string])[] = [
-    [(request, response) => response.writeHead(200, STREAM_HEADERS).end(event), handleResume, 'answer_cut'],
+    [
+      (request, response) => response.writeHead(200, STREAM_HEADERS).end(event),
+      handleResume,
+      'answer_cut',
+    ],
     [
       (request, response) => sendThenClose(response, STREAM_BODY.subarray(0, 30)),
       (request, response) =>
@@ -127,7 +133,10 @@
     other: (request, response) => response.writeHead(200, STREAM_HEADERS).end(STREAM_BODY),
   });
   t.strictSame(await readAll(await client.send(CHAT_CALL)), STREAM_BODY);
-  const calls = [...owner.listReceived('POST', CHAT_PATH), ...other.listReceived('POST', CHAT_PATH)];
+  const calls = [
+    ...owner.listReceived('POST', CHAT_PATH),
+    ...other.listReceived('POST', CHAT_PATH),
+  ];
   t.strictSame(
     calls.map(({ headers, body }) => [headers['request-id'], body]),
     [
--- a/src/commands/_entry_process.ts
+++ b/src/commands/_entry_process.ts
@@ -70,7 +70,7 @@
       },
       keepAddressMs: settings.keepAddressMs,
       limitMs: settings.stopLimitMs,
-      whenForced: whenForced,
+      whenForced,
     });
     // Answers that are forwarded for other owners, or that slow callers still read, get the rest
     // of the stop limit. A forced stop grants them only the close timeout.
--- a/src/domain/backend_servers/server_directory_test.ts
+++ b/src/domain/backend_servers/server_directory_test.ts
@@ -1,5 +1,10 @@
 import t from 'tap';
-import { EntryEffect, formatIncarnationId, EXPIRED_ENTRY_GRACE_MS, ServerDirectory } from './mod.js';
+import {
+  EntryEffect,
+  formatIncarnationId,
+  EXPIRED_ENTRY_GRACE_MS,
+  ServerDirectory,
+} from './mod.js';
 import type { BackendServerEntry } from './mod.js';
 
 function buildEntry(id: string, changes: Partial<BackendServerEntry> = {}): BackendServerEntry {
--- a/src/domain/backend_servers/slot_share_test.ts
+++ b/src/domain/backend_servers/slot_share_test.ts
@@ -27,7 +27,8 @@
             nowMs,
             randomFraction: next(),
           };
-          while (load.share.hasSlot({ ...conditions, freeSlots: load.freeSlots })) load.recordStart(WORK);
+          while (load.share.hasSlot({ ...conditions, freeSlots: load.freeSlots }))
+            load.recordStart(WORK);
         }
       });
       const taken = loads.reduce((total, load) => total + load.ownInFlight, 0);
--- a/src/domain/crashes/crash_ledger.ts
+++ b/src/domain/crashes/crash_ledger.ts
@@ -227,7 +227,8 @@
    */
   expire(nowMs: number): void {
     this.#table.list().forEach((suspect) => {
-      const retentionMs = suspect.suspectedCrashCount > 0 ? SUSPECT_RETENTION_MS : CLEARED_RETENTION_MS;
+      const retentionMs =
+        suspect.suspectedCrashCount > 0 ? SUSPECT_RETENTION_MS : CLEARED_RETENTION_MS;
       if (nowMs - suspect.lastSeenAtMs <= retentionMs) return;
       this.#table.remove(suspect);
       this.#revision += 1;
@@ -237,7 +238,8 @@
   #applyNotice(notice: CrashNote, nowMs: number): boolean {
     const { contentId, crashId, state, isVouched = false, startedAgoMs, endedAgoMs } = notice;
     const { seenAgoMs, trials = [] } = notice;
-    const retentionMs = state === CrashState.Suspected ? SUSPECT_RETENTION_MS : CLEARED_RETENTION_MS;
+    const retentionMs =
+      state === CrashState.Suspected ? SUSPECT_RETENTION_MS : CLEARED_RETENTION_MS;
     if (seenAgoMs > retentionMs && !this.#table.find(contentId)) return false;
     const suspect = this.#table.getOrCreate(contentId);
     const mustAnnounceSeen = suspect.recordSeen(nowMs - seenAgoMs);
--- a/src/domain/crashes/crash_ledger_test.ts
+++ b/src/domain/crashes/crash_ledger_test.ts
@@ -150,7 +150,10 @@
   t.ok(ledger.isHeld('a'));
   ledger.expire(NOW_MS + 2 * SUSPECT_RETENTION_MS + 1);
   t.equal(ledger.size, 0);
-  const stale = buildCrashes(['a']).map((note) => ({ ...note, seenAgoMs: SUSPECT_RETENTION_MS + 1 }));
+  const stale = buildCrashes(['a']).map((note) => ({
+    ...note,
+    seenAgoMs: SUSPECT_RETENTION_MS + 1,
+  }));
   t.same(ledger.apply(stale, NOW_MS), [], 'notices from peers that are too old');
 });
 
--- a/src/domain/crashes/trial_schedule.ts
+++ b/src/domain/crashes/trial_schedule.ts
@@ -45,7 +45,11 @@
  * @param progress - progress of a content's trials
  * @returns the earliest time of the next trial; Infinity once the trials are used up
  */
-export function computeNextTrialAtMs({ sinceMs, trialCount, lastTrialAtMs }: TrialProgress): number {
+export function computeNextTrialAtMs({
+  sinceMs,
+  trialCount,
+  lastTrialAtMs,
+}: TrialProgress): number {
   if (lastTrialAtMs === undefined) return sinceMs + FIRST_TRIAL_DELAY_MS;
   return lastTrialAtMs + (NEXT_TRIAL_DELAYS_MS[trialCount - 1] ?? Infinity);
 }
--- a/src/domain/direct/wait_queue_test.ts
+++ b/src/domain/direct/wait_queue_test.ts
@@ -72,7 +72,9 @@
     while ((returns[0]?.atMs ?? Infinity) <= nowMs) {
       returns.shift();
       const startByMs = nowMs + WAIT_MS;
-      queue.add(order(buildCall('back', { arrivedAtMs: nowMs, isLate: true, latestStartAtMs: startByMs })));
+      queue.add(
+        order(buildCall('back', { arrivedAtMs: nowMs, isLate: true, latestStartAtMs: startByMs })),
+      );
     }
     const refused = queue.removeExpired(nowMs).filter(({ name }) => name === 'new');
     refused.forEach(() => returns.push({ atMs: nowMs + RETURN_MS }));
--- a/src/domain/direct/wait_success_tracker_test.ts
+++ b/src/domain/direct/wait_success_tracker_test.ts
@@ -5,7 +5,11 @@
 const LATE = 3;
 
 /** Records the outcomes of waits that end every 20 ms. */
-function recordWaits(tracker: WaitSuccessTracker, urgency: number, outcomes: readonly boolean[]): number {
+function recordWaits(
+  tracker: WaitSuccessTracker,
+  urgency: number,
+  outcomes: readonly boolean[],
+): number {
   outcomes.forEach((isGranted, index) => tracker.record(urgency, isGranted, index * 20));
   return outcomes.length * 20;
 }
--- a/src/domain/limits/allowance_ledger.ts
+++ b/src/domain/limits/allowance_ledger.ts
@@ -163,7 +163,9 @@
   #pickIncarnation(id: string, context: LedgerContext): string | undefined {
     const entry = this.#entries.get(id);
     const isHeard = entry !== undefined && context.nowMs - entry.lastHeardAtMs < this.#leaseMs;
-    return isHeard ? entry.incarnation : (context.reachableIncarnations.get(id) ?? entry?.incarnation);
+    return isHeard
+      ? entry.incarnation
+      : (context.reachableIncarnations.get(id) ?? entry?.incarnation);
   }
 
   #getOrCreateEntry(id: string, incarnation: string): LedgerEntry {
--- a/src/domain/limits/mod.ts
+++ b/src/domain/limits/mod.ts
@@ -23,6 +23,10 @@
 export { AllowanceLedger } from './allowance_ledger.js';
 export type { AllowanceLedgerOptions } from './allowance_ledger.js';
 export type { DemandReport, LedgerContext, LedgerGrant } from './ledger_types.js';
-export { ACK_REQUEST_NUMBER, RESTRICTION_DURATION_FACTOR, LEASE_DURATION_MS } from './lease_times.js';
+export {
+  ACK_REQUEST_NUMBER,
+  RESTRICTION_DURATION_FACTOR,
+  LEASE_DURATION_MS,
+} from './lease_times.js';
 export { SharedBucket } from './shared_bucket.js';
 export type { PeerReport, SharedBucketLimit, SharedBucketOptions } from './shared_bucket.js';
--- a/src/domain/membership/entry_host_table_test.ts
+++ b/src/domain/membership/entry_host_table_test.ts
@@ -1,5 +1,11 @@
 import t from 'tap';
-import { EntryHostTable, StaleReadFilter, PauseDetector, PeerState, sortForCallers } from './mod.js';
+import {
+  EntryHostTable,
+  StaleReadFilter,
+  PauseDetector,
+  PeerState,
+  sortForCallers,
+} from './mod.js';
 import type { EntryHostIdentity, EntryHostView } from './mod.js';
 
 const SUSPECT_MS = 2_000;
--- a/src/domain/membership/leaving_backend_servers_test.ts
+++ b/src/domain/membership/leaving_backend_servers_test.ts
@@ -35,7 +35,11 @@
   [
     'a newer list in which another host changed',
     1_000,
-    buildList(11, buildHost(ListedHostState.Live, 5), buildHost(ListedHostState.Live, 11, 'engine-2')),
+    buildList(
+      11,
+      buildHost(ListedHostState.Live, 5),
+      buildHost(ListedHostState.Live, 11, 'engine-2'),
+    ),
     true,
   ],
   [
@@ -45,7 +49,12 @@
     true,
   ],
   ['a newer list that lacks it', 1_000, buildList(11), true],
-  ['a new write of its entry as live', 1_000, buildList(11, buildHost(ListedHostState.Live, 11)), false],
+  [
+    'a new write of its entry as live',
+    1_000,
+    buildList(11, buildHost(ListedHostState.Live, 11)),
+    false,
+  ],
   [
     'a newer list that shows it live after nobody repeated the note',
     NOTE_STALE_AFTER_MS,
--- a/src/domain/scheduling/_warm_search_test.ts
+++ b/src/domain/scheduling/_warm_search_test.ts
@@ -88,7 +88,9 @@
   async (t) => {
     const group = createGroup(buildSpecs(2, 1));
     ['engine-0', 'engine-1'].forEach((id, index) =>
-      PREFIX.forEach((hash) => group.pool.findServer(id)?.hints.recordStored(`${index}/${hash}`, 0)),
+      PREFIX.forEach((hash) =>
+        group.pool.findServer(id)?.hints.recordStored(`${index}/${hash}`, 0),
+      ),
     );
     const submit = (key: string, prefix: number): void => {
       const blockHashes = PREFIX.map((hash) => `${prefix}/${hash}`);
--- a/src/domain/scheduling/group_scheduler_test.ts
+++ b/src/domain/scheduling/group_scheduler_test.ts
@@ -92,7 +92,11 @@
       const held = this.group.pool.listHeld();
       const slot = held[command.index % Math.max(1, held.length)];
       if (slot)
-        this.group.release(slot.grantId, { ...HEALTHY_RESULT, verdict: command.verdict }, this.#nowMs);
+        this.group.release(
+          slot.grantId,
+          { ...HEALTHY_RESULT, verdict: command.verdict },
+          this.#nowMs,
+        );
     }
     this.group.updateServers(buildSpecs(3, 2, this.#drainingIndexes), this.#nowMs);
     this.#check(this.group.run(this.#nowMs));
--- a/src/load/arrivals_test.ts
+++ b/src/load/arrivals_test.ts
@@ -1,6 +1,12 @@
 import fc from 'fast-check';
 import t from 'tap';
-import { buildDefaultPlan, computePlanDurationMs, listArrivals, LoadRandom, parseLoadPlan } from './mod.js';
+import {
+  buildDefaultPlan,
+  computePlanDurationMs,
+  listArrivals,
+  LoadRandom,
+  parseLoadPlan,
+} from './mod.js';
 import type { LoadPlan } from './mod.js';
 
 function buildPlan(requestsPerSecond: number): LoadPlan {
--- a/test/support/crash_fleet.ts
+++ b/test/support/crash_fleet.ts
@@ -183,7 +183,7 @@
   }
 
   #serve(exchange: FakeExchange): void {
-    const { address, incarnationId: incarnationId, request } = exchange.request;
+    const { address, incarnationId, request } = exchange.request;
     const serverId = address.split(':')[0] as string;
     const isUp = this.#incarnations.get(serverId) === incarnationId;
     if (!isUp) {
@@ -193,10 +193,12 @@
       return;
     }
     const body = request.body.toString();
-    this.arrivals.push({ atMs: this.clock.nowMs(), body, incarnationId: incarnationId });
+    this.arrivals.push({ atMs: this.clock.nowMs(), body, incarnationId });
     this.#running.set(exchange, serverId);
     if (this.#random.nextFraction() < (this.#options.errorFraction ?? 0)) {
-      this.clock.setTimer(ERROR_DELAY_MS, () => this.#finish(exchange, () => exchange.sendResponse(500)));
+      this.clock.setTimer(ERROR_DELAY_MS, () =>
+        this.#finish(exchange, () => exchange.sendResponse(500)),
+      );
       return;
     }
     if (this.#isCrashing(body)) {
--- a/test/support/fake_backend.ts
+++ b/test/support/fake_backend.ts
@@ -86,7 +86,8 @@
     const behaviour = backend.behaviours.shift() ?? CallBehaviour.Answered;
     await backend.wait(CONTINUE_DELAY_MS);
     await gate.waitUntilRunning();
-    if (behaviour === CallBehaviour.SilentBeforeContinue) await backend.wait(call.continueTimeoutMs);
+    if (behaviour === CallBehaviour.SilentBeforeContinue)
+      await backend.wait(call.continueTimeoutMs);
     if (
       behaviour === CallBehaviour.SilentBeforeContinue ||
       behaviour === CallBehaviour.Refused ||
@@ -155,7 +156,10 @@
       const from = Math.max(offset, Math.floor(chunkLength * at));
       const to = at === CHUNK_COUNT - 1 ? run.text.length : Math.floor(chunkLength * (at + 1));
       if (to > from) yield Buffer.from(run.text.slice(from, to));
-      if (at === 1 && (behaviour === CallBehaviour.CutMidway || behaviour === CallBehaviour.DiesMidway)) {
+      if (
+        at === 1 &&
+        (behaviour === CallBehaviour.CutMidway || behaviour === CallBehaviour.DiesMidway)
+      ) {
         throw new BackendCallError(BackendCallStage.Answering, behaviour);
       }
     }
--- a/test/support/server_registries.ts
+++ b/test/support/server_registries.ts
@@ -18,7 +18,11 @@
 };
 
 /** Context of a feed read under normal conditions. */
-export const NORMAL_READ_CONTEXT = { wasAway: false, ageMs: 0, askedAt: { steadyMs: 0, wallMs: 0 } };
+export const NORMAL_READ_CONTEXT = {
+  wasAway: false,
+  ageMs: 0,
+  askedAt: { steadyMs: 0, wallMs: 0 },
+};
 
 /** @returns a server registry that decodes entries as JSON and rejects values that are no object */
 export function createServerRegistry(clock: Clock, hostCount = 3): ServerRegistry {
