--- a/src/domain/crashes/_derive_state.ts
+++ b/src/domain/crashes/_derive_state.ts
@@ -20,10 +20,10 @@
 const MIN_CRASHES_AMID_UNRELATED = 2;
 
 /**
- * Largest expected difference between times in notices from different entry hosts, in
+ * Largest expected difference between times in crash notes from different entry hosts, in
  * milliseconds.
  */
-const NOTICE_TIME_TOLERANCE_MS = 250;
+const NOTE_TIME_TOLERANCE_MS = 250;
 
 /**
  * Time after which a content that ran at only one crash, and has not returned to crash another
@@ -42,7 +42,7 @@
   readonly counts: CrashSuspectCounts;
   readonly nowMs: number;
   /**
-   * Time that notices about other runs at a crash may take to arrive, in milliseconds. Crashes
+   * Time that crash notes about other runs at a crash may take to arrive, in milliseconds. Crashes
    * younger than this don't count yet.
    */
   readonly settleMs: number;
@@ -58,7 +58,7 @@
 export function listCountedTrials(suspect: Suspect): readonly Trial[] {
   const thirdRun = suspect.listSuspectedRuns()[MIN_CRASHES_FOR_PROBATION - 1];
   if (!thirdRun) return [];
-  const sinceMs = thirdRun.endedAtMs - NOTICE_TIME_TOLERANCE_MS;
+  const sinceMs = thirdRun.endedAtMs - NOTE_TIME_TOLERANCE_MS;
   return suspect.trials.filter(({ startedAtMs, isVoid }) => startedAtMs > sinceMs && !isVoid);
 }
 
@@ -142,7 +142,7 @@
 ): boolean {
   const [firstTrial] = listCountedTrials(suspect);
   if (!firstTrial) return false;
-  const sinceMs = firstTrial.startedAtMs - NOTICE_TIME_TOLERANCE_MS;
+  const sinceMs = firstTrial.startedAtMs - NOTE_TIME_TOLERANCE_MS;
   const soleSuspectRuns = listSoleSuspectRuns(suspect, runs, counts);
   const trialRuns = soleSuspectRuns
     .filter((run) => runs.indexOf(run) >= MIN_CRASHES_FOR_PROBATION && run.startedAtMs >= sinceMs)
--- a/src/domain/crashes/_suspect.ts
+++ b/src/domain/crashes/_suspect.ts
@@ -211,7 +211,7 @@
 }
 
 /**
- * Merges a second notice about a run into the known one.
+ * Merges a second crash note about a run into the known one.
  *
  * @returns whether the known run changed
  */
@@ -227,7 +227,7 @@
  * Counts consecutive crashes. Servers that crash together, such as those of one rack, end many
  * runs of a popular content at once; these count as one crash. A request that really crashes its
  * servers does so again each time it is resent. As times reported by other entry hosts are off by
- * the notice's delay, a run counts as later than a crash if most of it is.
+ * the crash note's delay, a run counts as later than a crash if most of it is.
  *
  * @param runs - runs in order of their end
  * @returns length of the longest series in which each run started after the previous crash
--- a/src/domain/crashes/_suspect_notes.ts
+++ b/src/domain/crashes/_suspect_notes.ts
@@ -1,5 +1,5 @@
 /**
- * Builds the crash notices that other entry hosts receive about a content.
+ * Builds the crash notes that other entry hosts receive about a content.
  *
  * @module
  */
@@ -12,21 +12,21 @@
  *
  * @param suspect - the content
  * @param nowMs - monotonic time in milliseconds
- * @returns one notice per run
+ * @returns one crash note per run
  */
-export function listNotices(suspect: Suspect, nowMs: number): CrashNote[] {
+export function listNotes(suspect: Suspect, nowMs: number): CrashNote[] {
   return [...suspect.runs.values()]
     .sort((a, b) => Number(a.state === CrashState.Cleared) - Number(b.state === CrashState.Cleared))
-    .map((run) => buildNotice(suspect, run, nowMs));
+    .map((run) => buildNote(suspect, run, nowMs));
 }
 
 /**
  * @param suspect - a content
  * @param run - one of its runs
  * @param nowMs - monotonic time in milliseconds
- * @returns the notice for peers
+ * @returns the crash note for peers
  */
-export function buildNotice(suspect: Suspect, run: SuspectRun, nowMs: number): CrashNote {
+export function buildNote(suspect: Suspect, run: SuspectRun, nowMs: number): CrashNote {
   const trials = suspect.trials.map(({ id, startedAtMs, isVoid }) => ({
     id,
     startedAgoMs: nowMs - startedAtMs,
--- a/src/domain/crashes/crash_ledger.ts
+++ b/src/domain/crashes/crash_ledger.ts
@@ -11,7 +11,7 @@
 import { deriveState } from './_derive_state.js';
 import { MIN_CRASHES_FOR_PROBATION, SuspectState } from './_suspect.js';
 import type { Suspect, Trial } from './_suspect.js';
-import { buildNotice, listNotices } from './_suspect_notes.js';
+import { buildNote, listNotes } from './_suspect_notes.js';
 import { SuspectTable } from './_suspect_table.js';
 
 /**
@@ -22,8 +22,8 @@
 export const SUSPECT_RETENTION_MS = 600_000;
 
 /**
- * How long a content with no crash left against it is remembered, in milliseconds: late notices
- * may arrive for that long.
+ * How long a content with no crash left against it is remembered, in milliseconds: late crash
+ * notes may arrive for that long.
  */
 const CLEARED_RETENTION_MS = 60_000;
 
@@ -39,7 +39,7 @@
 
 /** Settings of the ledger. */
 export interface CrashLedgerOptions {
-  /** @returns time that notices about other runs at a crash may take, in milliseconds */
+  /** @returns time that crash notes about other runs at a crash may take, in milliseconds */
   readonly getNoteDelayMs: () => number;
 }
 
@@ -61,7 +61,7 @@
 
   #revision = 0;
 
-  /** @param options - settings. Default: notices arrive at once */
+  /** @param options - settings. Default: crash notes arrive at once */
   constructor(options: CrashLedgerOptions = { getNoteDelayMs: () => 0 }) {
     this.#options = options;
   }
@@ -97,13 +97,13 @@
    * @param contentId - ID of the content
    * @param trial - the trial
    * @param nowMs - monotonic time in milliseconds
-   * @returns notices for peers
+   * @returns crash notes for peers
    */
   recordTrial(contentId: string, trial: Trial, nowMs: number): CrashNote[] {
     const suspect = this.#table.find(contentId);
     if (!suspect?.addTrial(trial)) return [];
     this.#revision += 1;
-    return listNotices(suspect, nowMs).slice(0, 1);
+    return listNotes(suspect, nowMs).slice(0, 1);
   }
 
   /**
@@ -138,28 +138,28 @@
    *
    * @param contentId - ID of the content
    * @param nowMs - monotonic time in milliseconds
-   * @returns notices for peers, which keep them from forgetting the content too early
+   * @returns crash notes for peers, which keep them from forgetting the content too early
    */
   recordSeen(contentId: string, nowMs: number): CrashNote[] {
     const suspect = this.#table.find(contentId);
-    return suspect?.recordSeen(nowMs) ? listNotices(suspect, nowMs) : [];
+    return suspect?.recordSeen(nowMs) ? listNotes(suspect, nowMs) : [];
   }
 
   /**
-   * Applies notices from this or another entry host.
+   * Applies crash notes from this or another entry host.
    *
-   * @param notices - notices about runs
+   * @param notes - crash notes
    * @param nowMs - monotonic time in milliseconds
-   * @returns the notices that added something
+   * @returns the crash notes that added something
    */
-  apply(notices: readonly CrashNote[], nowMs: number): CrashNote[] {
-    const newNotices = notices.filter((notice) => this.#applyNotice(notice, nowMs));
-    if (newNotices.length > 0) this.review(nowMs);
+  apply(notes: readonly CrashNote[], nowMs: number): CrashNote[] {
+    const newNotes = notes.filter((note) => this.#applyNote(note, nowMs));
+    if (newNotes.length > 0) this.review(nowMs);
     const quarantinedIds = new Set(
-      notices.filter(({ isHeld }) => isHeld).map(({ contentId }) => contentId),
+      notes.filter(({ isHeld }) => isHeld).map(({ contentId }) => contentId),
     );
     quarantinedIds.forEach((contentId) => this.#adoptQuarantine(contentId, nowMs));
-    return newNotices;
+    return newNotes;
   }
 
   /**
@@ -167,15 +167,15 @@
    *
    * @param contentId - ID of the content
    * @param nowMs - monotonic time in milliseconds
-   * @returns notices for peers
+   * @returns crash notes for peers
    */
   clearContent(contentId: string, nowMs: number): CrashNote[] {
     const suspect = this.#table.find(contentId);
     if (!suspect) return [];
     const crashIds = suspect.listSuspectedRuns().map(({ crashId }) => crashId);
-    const notices = crashIds.flatMap((crashId) => this.#clearRun(suspect, crashId, nowMs));
-    if (notices.length > 0) this.review(nowMs);
-    return notices;
+    const notes = crashIds.flatMap((crashId) => this.#clearRun(suspect, crashId, nowMs));
+    if (notes.length > 0) this.review(nowMs);
+    return notes;
   }
 
   /**
@@ -183,13 +183,13 @@
    *
    * @param crashId - ID of the supposed crash
    * @param nowMs - monotonic time in milliseconds
-   * @returns notices for peers
+   * @returns crash notes for peers
    */
   clearCrash(crashId: string, nowMs: number): CrashNote[] {
     const suspects = this.#table.listByCrashes([crashId]);
-    const notices = suspects.flatMap((suspect) => this.#clearRun(suspect, crashId, nowMs));
-    if (notices.length > 0) this.review(nowMs);
-    return notices;
+    const notes = suspects.flatMap((suspect) => this.#clearRun(suspect, crashId, nowMs));
+    if (notes.length > 0) this.review(nowMs);
+    return notes;
   }
 
   /**
@@ -205,19 +205,19 @@
   /**
    * @param contentId - ID of a content
    * @param nowMs - monotonic time in milliseconds
-   * @returns all notices about it
+   * @returns all crash notes about it
    */
   listByContent(contentId: string, nowMs: number): CrashNote[] {
     const suspect = this.#table.find(contentId);
-    return suspect ? listNotices(suspect, nowMs) : [];
+    return suspect ? listNotes(suspect, nowMs) : [];
   }
 
   /**
    * @param nowMs - monotonic time in milliseconds
-   * @returns all notices, those about quarantined contents first
+   * @returns all crash notes, those about quarantined contents first
    */
   list(nowMs: number): CrashNote[] {
-    return this.#table.listByRetentionPriority().flatMap((suspect) => listNotices(suspect, nowMs));
+    return this.#table.listByRetentionPriority().flatMap((suspect) => listNotes(suspect, nowMs));
   }
 
   /**
@@ -235,9 +235,9 @@
     });
   }
 
-  #applyNotice(notice: CrashNote, nowMs: number): boolean {
-    const { contentId, crashId, state, isVouched = false, startedAgoMs, endedAgoMs } = notice;
-    const { seenAgoMs, trials = [] } = notice;
+  #applyNote(note: CrashNote, nowMs: number): boolean {
+    const { contentId, crashId, state, isVouched = false, startedAgoMs, endedAgoMs } = note;
+    const { seenAgoMs, trials = [] } = note;
     const retentionMs =
       state === CrashState.Suspected ? SUSPECT_RETENTION_MS : CLEARED_RETENTION_MS;
     if (seenAgoMs > retentionMs && !this.#table.find(contentId)) return false;
@@ -266,12 +266,12 @@
     const run = suspect.clear(crashId);
     if (!run) return [];
     this.#revision += 1;
-    return [buildNotice(suspect, run, nowMs)];
+    return [buildNote(suspect, run, nowMs)];
   }
 
   /**
-   * Adopts another host's quarantine of a content that is on probation here. Notices arrive at
-   * different times on different hosts, so that hosts which know equally many crashes may still
+   * Adopts another host's quarantine of a content that is on probation here. Crash notes arrive
+   * at different times on different hosts, so that hosts which know equally many crashes may still
    * decide differently.
    */
   #adoptQuarantine(contentId: string, nowMs: number): void {
--- a/src/domain/crashes/crash_ledger_test.ts
+++ b/src/domain/crashes/crash_ledger_test.ts
@@ -7,7 +7,7 @@
 const SEED = 47;
 const NOW_MS = 1_000_000;
 
-/** Builds a notice of a run that started and ended the given milliseconds ago. */
+/** Builds a crash note of a run that started and ended the given milliseconds ago. */
 function buildNote(contentId: string, crashId: string, ago: readonly [number, number]): CrashNote {
   const [startedAgoMs, endedAgoMs] = ago;
   const state = CrashState.Suspected;
@@ -22,7 +22,7 @@
   };
 }
 
-/** Builds notices of consecutive crashes, each with the contents that were running there. */
+/** Builds crash notes of consecutive crashes, each with the contents that were running there. */
 function buildCrashes(contents: readonly string[], first = 0): CrashNote[] {
   return contents.flatMap((names, index) => {
     const endedAgoMs = 10_000 - (first + index) * 100;
@@ -58,10 +58,10 @@
   t.notOk(ledger.isHeld('a'), 'two simultaneous groups count as two crashes');
 });
 
-t.test('consecutive crashes are told apart even if notices are late', async (t) => {
+t.test('consecutive crashes are told apart even if crash notes are late', async (t) => {
   // Guards against letting a request crash a fourth and a fifth server: its repeats reach two
-  // hosts in turn, each right after the previous answer, so by the arrival times of the notices,
-  // a run has started before the previous one ended.
+  // hosts in turn, each right after the previous answer, so by the arrival times of the crash
+  // notes, a run has started before the previous one ended.
   const ledger = new CrashLedger();
   ledger.apply([buildNote('a', 's-1', [110, 98])], NOW_MS);
   ledger.apply([buildNote('a', 's-2', [100, 90])], NOW_MS);
@@ -70,8 +70,8 @@
 });
 
 t.test('a quarantine is adopted by hosts that know the crashes', async (t) => {
-  // Guards against one entry host that still sends what all others quarantine: notices reach it
-  // late, so that two crashes look like one to it.
+  // Guards against one entry host that still sends what all others quarantine: crash notes reach
+  // it late, so that two crashes look like one to it.
   const ledger = new CrashLedger();
   const late = [1, 2, 3].map((number) => buildNote('a', `s-${number}`, [120, 100 - number]));
   ledger.apply(late, NOW_MS);
@@ -80,7 +80,7 @@
   t.ok(ledger.isHeld('a'));
   const fewer = createLedger(['b', 'b']);
   fewer.apply([{ ...buildNote('b', 's-1', [120, 100]), isHeld: true }], NOW_MS);
-  t.notOk(fewer.isHeld('b'), 'a notice alone is not enough');
+  t.notOk(fewer.isHeld('b'), 'a crash note alone is not enough');
 });
 
 t.test('two contents that ran together at all crashes are not quarantined', async (t) => {
@@ -119,7 +119,7 @@
   t.equal(
     alive.apply(buildCrashes(['a', 'a', 'a']), NOW_MS).length,
     0,
-    'old notices change nothing',
+    'old crash notes change nothing',
   );
   t.notOk(alive.isHeld('a'));
 });
@@ -154,10 +154,10 @@
     ...note,
     seenAgoMs: SUSPECT_RETENTION_MS + 1,
   }));
-  t.same(ledger.apply(stale, NOW_MS), [], 'notices from peers that are too old');
+  t.same(ledger.apply(stale, NOW_MS), [], 'crash notes from peers that are too old');
 });
 
-t.test('hosts that exchange all notices agree, whatever their order', async () => {
+t.test('hosts that exchange all crash notes agree, whatever their order', async () => {
   const host = fc.nat(2);
   const content = fc.constantFrom('a', 'b', 'c', 'd');
   const crash = fc.nat(7);
--- a/src/domain/crashes/crash_note.ts
+++ b/src/domain/crashes/crash_note.ts
@@ -1,5 +1,5 @@
 /**
- * Notices about runs that ended with the crash of a backend server.
+ * Crash notes: reports about runs that ended with the crash of a backend server.
  *
  * @module
  */
@@ -34,7 +34,7 @@
   readonly state: CrashState;
   /** Whether the content was answered within a minute before the crash. Default: false. */
   readonly isVouched?: boolean;
-  /** Whether the sender of the notice quarantines the content. */
+  /** Whether the sender of the crash note quarantines the content. */
   readonly isHeld: boolean;
   /** Time since the run was sent, and since it broke off, in milliseconds. */
   readonly startedAgoMs: number;
--- a/src/domain/crashes/mod.ts
+++ b/src/domain/crashes/mod.ts
@@ -1,6 +1,6 @@
 /**
  * Detects requests that crash the backend servers which run them. Entry hosts share their
- * observations, and each decides by them: `ledger.apply([notice], nowMs);
+ * observations, and each decides by them: `ledger.apply([note], nowMs);
  * ledger.isHeld(contentId)`.
  *
  * @module
--- a/src/domain/crashes/probation_list_test.ts
+++ b/src/domain/crashes/probation_list_test.ts
@@ -7,8 +7,8 @@
 const SETTLED_MS = 50;
 
 /**
- * Builds notices of consecutive crashes, the last one 100 ms ago. Each string names the contents
- * that were running at a crash, one letter each.
+ * Builds crash notes of consecutive crashes, the last one 100 ms ago. Each string names the
+ * contents that were running at a crash, one letter each.
  */
 function buildCrashes(contents: readonly string[], firstId = 0): CrashNote[] {
   return contents.flatMap((names, index) => {
@@ -86,7 +86,7 @@
   t.ok(ledger.isHeld('a'));
 });
 
-t.test('a trial that never ran does not count, in whatever order notices arrive', async (t) => {
+t.test('a trial that never ran does not count, in whatever order notes arrive', async (t) => {
   const ledger = createLedger(['ab', 'ab', 'ab']);
   const other = createLedger(['ab', 'ab', 'ab']);
   const trial = { id: 't', startedAtMs: NOW_MS, isVoid: false };
@@ -120,11 +120,11 @@
   'a content answered shortly before its crashes is quarantined only after a trial',
   async (t) => {
     const ledger = new CrashLedger();
-    const notices = buildCrashes(['a', 'a', 'a', 'a']).map((note) => ({
+    const notes = buildCrashes(['a', 'a', 'a', 'a']).map((note) => ({
       ...note,
       isVouched: true,
     }));
-    ledger.apply(notices, NOW_MS);
+    ledger.apply(notes, NOW_MS);
     t.notOk(ledger.isHeld('a'));
     t.match(ledger.probationList.findProgress('a'), { trialCount: 0 });
     crashInTrial(ledger, 'a', NOW_MS);
