--- a/src/application/allowances/_account_limiter.ts
+++ b/src/application/allowances/_account_limiter.ts
@@ -110,8 +110,8 @@
   }
 
   /** @returns number of the lease held from a lender's incarnation; 0 without a lease */
-  getLeaseNumber(home: string): number {
-    return this.#leaseHolder.getLeaseNumber(home);
+  getLeaseNumber(lenderIncarnation: string): number {
+    return this.#leaseHolder.getLeaseNumber(lenderIncarnation);
   }
 
   /** Applies a received lease. @returns false when the lease is outdated */
--- a/src/application/allowances/_allowance_lender.ts
+++ b/src/application/allowances/_allowance_lender.ts
@@ -95,20 +95,20 @@
   #getOrCreateLedger(accountId: string): AllowanceLedger {
     const known = this.#ledgers.get(accountId);
     if (known) return known;
-    const { leaseDurationMs: leaseLifeMs } = this.#options;
+    const { leaseDurationMs } = this.#options;
     // An earlier lender, or an earlier incarnation of this one, may have granted leases that
     // still run.
-    const quietUntilMs = this.#knownIdsChangedAtMs + leaseLifeMs;
+    const lendingStartsAtMs = this.#knownIdsChangedAtMs + leaseDurationMs;
     const nextLeaseNumber = (): number => {
       this.#lastLeaseNumber += 1;
       return this.#lastLeaseNumber;
     };
-    const lifeMs = leaseLifeMs;
+    const durationMs = leaseDurationMs;
     const ledger = new AllowanceLedger({
       accountId,
-      lendingStartsAtMs: quietUntilMs,
+      lendingStartsAtMs,
       nextLeaseNumber,
-      leaseDurationMs: lifeMs,
+      leaseDurationMs: durationMs,
     });
     this.#ledgers.set(accountId, ledger);
     return ledger;
--- a/src/application/allowances/allowance_bound_test.ts
+++ b/src/application/allowances/allowance_bound_test.ts
@@ -18,7 +18,7 @@
   CutLink = 'cut_link',
   Partition = 'partition',
   Pause = 'pause',
-  RestartHome = 'restart_home',
+  RestartLender = 'restart_home',
   Restart = 'restart',
 }
 
@@ -74,7 +74,7 @@
   if (fault.kind === Fault.Partition) setPartition(hosts, fault.host, isStart);
   if (!isStart) return;
   if (fault.kind === Fault.Pause) hosts.setPaused(a, fault.steps * STEP_MS);
-  if (fault.kind === Fault.RestartHome) hosts.start(hosts.home);
+  if (fault.kind === Fault.RestartLender) hosts.start(hosts.home);
   if (fault.kind === Fault.Restart) hosts.start(a);
 }
 
@@ -150,7 +150,7 @@
     fc.property(buildRuns(kinds), (run) => {
       const hosts = runRandom(run);
       const restarts = run.faults.filter(({ kind }) =>
-        [Fault.Restart, Fault.RestartHome].includes(kind),
+        [Fault.Restart, Fault.RestartLender].includes(kind),
       ).length;
       const stated = computeBurstBounds(restarts);
       const seen = computeObservedBursts(hosts);
@@ -195,7 +195,7 @@
 t.test('AllowanceManager keeps the burst bound through restarts', async (t) => {
   // Guards against an account that gets nearly twice its limit after its lender restarts. The
   // new incarnation does not know the leases granted before and lends the same share again.
-  checkRuns([Fault.RestartHome, Fault.Restart, Fault.Partition], 2 * LIMITS.inFlight, (line) =>
+  checkRuns([Fault.RestartLender, Fault.Restart, Fault.Partition], 2 * LIMITS.inFlight, (line) =>
     t.comment(line),
   );
   t.pass('no window exceeds the burst bound');
--- a/src/application/allowances/allowance_manager.ts
+++ b/src/application/allowances/allowance_manager.ts
@@ -191,7 +191,7 @@
     else peers.send(lender.incarnation, message);
   }
 
-  /** Numbers all accounts in one sequence, so that a limiter created anew repeats no number. */
+  /** Numbers all accounts in one sequence, so that a re-created limiter repeats no number. */
   #takeRequestNumber(limiter: AccountLimiter): number {
     this.#lastRequestNumber += 1;
     limiter.recordLeaseRequest(this.#lastRequestNumber, this.#options.clock.nowMs());
@@ -235,7 +235,7 @@
     const limiter = this.#getOrCreateLimiter(account);
     const previousShare = limiter.share;
     const lease = {
-      home: from.incarnation,
+      lenderIncarnation: from.incarnation,
       leaseNumber: message.leaseNumber,
       requestNumber: message.requestNumber,
       share: message,
--- a/src/application/allowances/allowance_manager_test.ts
+++ b/src/application/allowances/allowance_manager_test.ts
@@ -80,9 +80,9 @@
   const hosts = startHosts();
   const before = hosts.messageCount;
   runDemand(hosts, pickBorrower(hosts), 5, 20);
-  const perLife = (hosts.messageCount - before) / (20_000 / LEASE_DURATION_MS);
-  t.comment(`messages per lease duration, requests and leases together: ${perLife}`);
-  t.ok(perLife <= 5);
+  const messagesPerLease = (hosts.messageCount - before) / (20_000 / LEASE_DURATION_MS);
+  t.comment(`messages per lease duration, requests and leases together: ${messagesPerLease}`);
+  t.ok(messagesPerLease <= 5);
 });
 
 t.test(
--- a/src/application/allowances/mod.ts
+++ b/src/application/allowances/mod.ts
@@ -2,7 +2,7 @@
  * Enforces the limits of client accounts across entry hosts without shared state.
  * Each entry host admits requests by its own token buckets; for active accounts it
  * borrows from the account's allowance lender what other entry hosts don't use:
- * `keeper.start(); keeper.admit(account, 900).release(850)`.
+ * `manager.start(); manager.admit(account, 900).release(850)`.
  *
  * @module
  */
--- a/src/application/crashes/_crash_note_exchange.ts
+++ b/src/application/crashes/_crash_note_exchange.ts
@@ -86,9 +86,9 @@
   }
 
   #handleUpdate(from: EntryHostIdentity, { kind, digest, notes }: CrashUpdateMessage): void {
-    const { applyNotes: apply, paths } = this.#options;
-    const news = apply(notes);
-    this.#sendNews(paths.listForwardTargets(from), news);
+    const { applyNotes, paths } = this.#options;
+    const newNotes = applyNotes(notes);
+    this.#sendNews(paths.listForwardTargets(from), newNotes);
     if (kind === CrashUpdateKind.News || kind === CrashUpdateKind.Answer) return;
     const ownDigest = this.#computeDigest();
     if (ownDigest === digest) return;
--- a/src/application/crashes/_trial_queue.ts
+++ b/src/application/crashes/_trial_queue.ts
@@ -101,8 +101,8 @@
    *   wait; undefined when calls may wait or the content is not on probation
    */
   computeRetryAfterMs(contentId: string): number | undefined {
-    const doubt = this.#options.ledger.probationList.findProgress(contentId);
-    return doubt && this.#computeRetryAfterMs(doubt);
+    const progress = this.#options.ledger.probationList.findProgress(contentId);
+    return progress && this.#computeRetryAfterMs(progress);
   }
 
   /**
@@ -114,13 +114,14 @@
    */
   acquirePermit(contentId: string, hasTime: boolean): Permit {
     const { ledger, clock, log, metrics } = this.#options;
-    const doubt = ledger.probationList.findProgress(contentId);
-    if (!doubt) return FREE_PERMIT;
+    const progress = ledger.probationList.findProgress(contentId);
+    if (!progress) return FREE_PERMIT;
     if (!hasTime) return WAIT_PERMIT;
     const nowMs = clock.nowMs();
-    if (this.#isTrialOpen() || nowMs < this.#computeTurnAtMs(contentId, doubt)) return WAIT_PERMIT;
+    if (this.#isTrialOpen() || nowMs < this.#computeTurnAtMs(contentId, progress))
+      return WAIT_PERMIT;
     const id = this.#options.random.nextHex(TRIAL_ID_BYTES);
-    log.write(LogLevel.Warn, 'request_tried', { contentId, trial: doubt.trialCount + 1 });
+    log.write(LogLevel.Warn, 'request_tried', { contentId, trial: progress.trialCount + 1 });
     metrics.count('request_trials_total');
     const trial = { id, startedAtMs: nowMs, isVoid: false };
     this.#options.notifyPeers(ledger.recordTrial(contentId, trial, nowMs));
@@ -151,13 +152,13 @@
   wakeCalls(): void {
     const isOpen = this.#isTrialOpen();
     [...this.#requestedContents].forEach(([contentId, requested]) => {
-      const doubt = this.#options.ledger.probationList.findProgress(contentId);
-      if (doubt && this.#computeRetryAfterMs(doubt) === undefined) {
-        const isDue = this.#options.clock.nowMs() >= this.#computeTurnAtMs(contentId, doubt);
+      const progress = this.#options.ledger.probationList.findProgress(contentId);
+      if (progress && this.#computeRetryAfterMs(progress) === undefined) {
+        const isDue = this.#options.clock.nowMs() >= this.#computeTurnAtMs(contentId, progress);
         if (isDue && !isOpen) wakeLatest(requested.waiting, 1);
         return;
       }
-      if (doubt) this.#options.refuseCalls(contentId);
+      if (progress) this.#options.refuseCalls(contentId);
       this.#requestedContents.delete(contentId);
       wakeLatest(requested.waiting, Infinity);
     });
@@ -169,10 +170,10 @@
     this.#requestedContents.clear();
   }
 
-  #computeRetryAfterMs(doubt: TrialProgress): number | undefined {
+  #computeRetryAfterMs(progress: TrialProgress): number | undefined {
     const nowMs = this.#options.clock.nowMs();
-    const delayMs = computeNextStepAtMs(doubt) - nowMs;
-    const isOpen = nowMs - (doubt.lastTrialAtMs ?? -Infinity) < MAX_WAIT_MS;
+    const delayMs = computeNextStepAtMs(progress) - nowMs;
+    const isOpen = nowMs - (progress.lastTrialAtMs ?? -Infinity) < MAX_WAIT_MS;
     return delayMs <= MAX_WAIT_MS || isOpen ? undefined : delayMs;
   }
 
@@ -189,9 +190,9 @@
     return created;
   }
 
-  #computeTurnAtMs(contentId: string, doubt: TrialProgress): number {
+  #computeTurnAtMs(contentId: string, progress: TrialProgress): number {
     const requested = this.#getOrCreateRequested(contentId);
-    const { trialCount } = doubt;
+    const { trialCount } = progress;
     if (requested.rank?.trialCount !== trialCount) {
       requested.rank = { trialCount, value: this.#computeRank(contentId, trialCount) };
     }
@@ -201,7 +202,7 @@
     );
     const fromMs =
       Math.max(requested.requestedSinceMs, this.#noTrialSinceMs) + position * TURN_STEP_MS;
-    return computeTurnAtMs(doubt, fromMs, requested.rank.value);
+    return computeTurnAtMs(progress, fromMs, requested.rank.value);
   }
 
   /** Checks for an open trial; two trials at the same server at once would prove nothing. */
--- a/src/application/crashes/mod.ts
+++ b/src/application/crashes/mod.ts
@@ -1,6 +1,7 @@
 /**
  * Detects and quarantines contents that crash backend servers, together with all entry hosts:
- * `keeper.noteLost(run)`, `keeper.noteAnswered(run)`, `keeper.findRefusal(contentId)`.
+ * `quarantine.recordLostRun(run)`, `quarantine.recordAnswer(run)`,
+ * `quarantine.findRefusal(contentId)`.
  *
  * @module
  */
--- a/src/application/direct/_answer_relay.ts
+++ b/src/application/direct/_answer_relay.ts
@@ -141,8 +141,8 @@
   }
 
   override write(bytes: Buffer): void {
-    const { bytes: wholeEvents, count, lastId } = this.#splitter.split(bytes);
-    if (wholeEvents.length === 0) return;
+    const { bytes: completeEvents, count, lastId } = this.#splitter.split(bytes);
+    if (completeEvents.length === 0) return;
     const nowMs = this.#nowMs();
     if (this.#hasBegun) {
       this.#longestPauseMs = Math.max(this.#longestPauseMs, nowMs - this.#lastEventsAtMs);
@@ -152,7 +152,7 @@
     if (!this.#hasBegun) this.#reply.writeHead(this.#head);
     this.#hasBegun = true;
     this.#lastEventId = lastId ?? this.#lastEventId;
-    this.#reply.write(wholeEvents);
+    this.#reply.write(completeEvents);
   }
 
   override end(): void {
--- a/src/application/direct/_crash_evidence.ts
+++ b/src/application/direct/_crash_evidence.ts
@@ -16,7 +16,7 @@
 
 /**
  * Reports attempts whose backend server may have crashed, and those that were answered, to the
- * crash keeper.
+ * crash quarantine.
  */
 export class CrashEvidence {
   readonly #services: DirectServices;
@@ -24,7 +24,7 @@
   readonly #contentId: string;
 
   /**
-   * @param services - give access to the crash keeper and the backend servers
+   * @param services - give access to the crash quarantine and the backend servers
    * @param contentId - content ID of the call
    */
   constructor(services: DirectServices, contentId: string) {
--- a/src/application/direct/_probation_wait.ts
+++ b/src/application/direct/_probation_wait.ts
@@ -12,7 +12,7 @@
 
 /** Handlers for the end of the wait. At most one of them is called, and only once. */
 export interface ProbationWaitHandlers {
-  /** Called when the call may ask for a pass again. */
+  /** Called when the call may request a permit again. */
   readonly onResume: () => void;
   /** @param error - refusal to send to the caller */
   readonly onExpired: (error: SchedulerError) => void;
--- a/src/application/direct/_roster_log.ts
+++ b/src/application/direct/_roster_log.ts
@@ -21,7 +21,7 @@
     this.#log.write(LogLevel.Info, 'entry_host_seen', { entryHost: id, incarnation, peerUrl });
   }
 
-  /** @param identity - an entry host that no live process vouches for any more */
+  /** @param identity - an entry host that no live process reports as heard any more */
   logSilent({ id }: EntryHostIdentity): void {
     this.#log.write(LogLevel.Warn, 'entry_host_silent', { entryHost: id });
   }
--- a/src/application/direct/_sent_reports.ts
+++ b/src/application/direct/_sent_reports.ts
@@ -33,8 +33,8 @@
   /** Starts a new report: takes the next sequence number and records the send time. */
   beginReport(): void {
     this.#sequence += 1;
-    const moment = { steadyMs: this.#clock.nowMs(), wallMs: this.#clock.wallMs() };
-    this.#sentAt.set(this.#sequence, moment);
+    const reading = { steadyMs: this.#clock.nowMs(), wallMs: this.#clock.wallMs() };
+    this.#sentAt.set(this.#sequence, reading);
     this.#sentAt.delete(this.#sequence - MAX_REMEMBERED_REPORTS);
   }
 
--- a/src/application/direct/_warmup_tracker.ts
+++ b/src/application/direct/_warmup_tracker.ts
@@ -104,8 +104,8 @@
       load.warmup.configure(warmAtMs, 0);
       return;
     }
-    const { senderCount: senders, intervalMs } = deriveWarmupShare(limit.requestsPerSecond);
-    load.warmup.configure(warmAtMs, this.#isSender(entry.id, senders) ? intervalMs : Infinity);
+    const { senderCount, intervalMs } = deriveWarmupShare(limit.requestsPerSecond);
+    load.warmup.configure(warmAtMs, this.#isSender(entry.id, senderCount) ? intervalMs : Infinity);
   }
 
   /**
--- a/src/application/direct/direct_call.ts
+++ b/src/application/direct/direct_call.ts
@@ -129,12 +129,12 @@
       this.shed(0);
       return;
     }
-    const pass = services.crashes.acquirePermit(
+    const permit = services.crashes.acquirePermit(
       this.#options.contentId,
       this.#attempts.hasTimeForTrial,
     );
-    if (pass.kind === PermitKind.Wait) {
-      this.#waitForPass();
+    if (permit.kind === PermitKind.Wait) {
+      this.#waitForPermit();
       return;
     }
     this.#attempts.recordSent();
@@ -155,18 +155,18 @@
       stream: this.#stream,
       tokensPerEvent: this.#options.tokensPerEvent,
       // A trial stays where it is: its result is worth more than a server that may be faster.
-      mayFailOver: () => pass.kind !== PermitKind.Trial && this.#attempts.mayRunAgain(),
+      mayFailOver: () => permit.kind !== PermitKind.Trial && this.#attempts.mayRunAgain(),
       request: buildBackendRequest(
         { request, account, timeLeftMs: this.#attempts.timeLeftMs, stream: this.#stream },
         server,
       ),
-      onEnd: (end) => this.#handleAttemptResult(id, end, pass),
+      onEnd: (end) => this.#handleAttemptResult(id, end, permit),
     });
     this.#attempt.start();
   }
 
   /** Waits while a trial shows whether the call's content crashes backend servers. */
-  #waitForPass(): void {
+  #waitForPermit(): void {
     this.#probationWait = new ProbationWait(this.#options, this.deadlineAtMs, {
       onResume: () => this.#resubmit(),
       onExpired: (error) => this.fail(error, { reason: 'its content is on probation' }),
@@ -206,10 +206,10 @@
       this.mayHaveRun && error.status === 503
         ? new SchedulerError(ErrorKind.BackendServerLost)
         : error;
-    const { hasStarted: hasBegun } = this.#options.reply;
-    if (hasBegun) this.#options.reply.abort();
+    const { hasStarted } = this.#options.reply;
+    if (hasStarted) this.#options.reply.abort();
     else this.#options.reply.sendError(reportedError);
-    this.#end(hasBegun ? 'call_broken_off' : 'call_refused', {
+    this.#end(hasStarted ? 'call_broken_off' : 'call_refused', {
       kind: reportedError.kind,
       run: reportedError.run,
       retryAfterMs: reportedError.retryAfterMs,
@@ -235,8 +235,8 @@
     this.fail(new SchedulerError(ErrorKind.EntryHostStopping));
   }
 
-  #handleAttemptResult(serverId: string, result: AttemptResult, pass: Permit): void {
-    if (!mayAttemptHaveRun(result)) pass.returnUnused();
+  #handleAttemptResult(serverId: string, result: AttemptResult, permit: Permit): void {
+    if (!mayAttemptHaveRun(result)) permit.returnUnused();
     this.#attempt = undefined;
     this.excluded.add(serverId);
     this.#crashEvidence.recordAttempt(serverId, result);
--- a/src/application/direct/direct_gateway.ts
+++ b/src/application/direct/direct_gateway.ts
@@ -145,7 +145,7 @@
 
   /** Dispatches waiting calls to slots that have become free at other entry hosts. */
   dispatchWaiting(): void {
-    this.#queues.listEntries().forEach(([, line]) => line.dispatchWaiting());
+    this.#queues.listEntries().forEach(([, queue]) => queue.dispatchWaiting());
   }
 
   /**
--- a/src/application/direct/feed_distributor_test.ts
+++ b/src/application/direct/feed_distributor_test.ts
@@ -22,7 +22,7 @@
 
   readonly distributor: FeedDistributor;
 
-  readonly knowledgeAge = new ConfirmedAge();
+  readonly storeViewAge = new ConfirmedAge();
 
   readonly keys = new Set<string>();
 
@@ -78,7 +78,7 @@
   }
 
   get ageMs(): number {
-    return this.knowledgeAge.computeAgeMs(this.#readClock());
+    return this.storeViewAge.computeAgeMs(this.#readClock());
   }
 
   start(): void {
@@ -92,7 +92,7 @@
   }
 
   #confirm({ askedAt, ageMs }: FeedContext): void {
-    this.knowledgeAge.confirm(askedAt, this.#readClock(), ageMs);
+    this.storeViewAge.confirm(askedAt, this.#readClock(), ageMs);
   }
 
   #readClock(): { readonly steadyMs: number; readonly wallMs: number } {
@@ -240,6 +240,6 @@
   t.ok(sentAt);
   clock.jump(10_000);
   const now = { steadyMs: clock.nowMs(), wallMs: clock.wallMs() };
-  if (sentAt) receiver.knowledgeAge.confirm(sentAt, now, 0);
+  if (sentAt) receiver.storeViewAge.confirm(sentAt, now, 0);
   t.ok(receiver.ageMs >= 10_000);
 });
--- a/src/application/direct/feed_follower.ts
+++ b/src/application/direct/feed_follower.ts
@@ -172,7 +172,7 @@
   }
 
   *#readSnapshot(): Step<void> {
-    const { feed, onSnapshot: onAll, onStoreRead: onRead } = this.#options;
+    const { feed, onSnapshot, onStoreRead } = this.#options;
     const askedAt = this.#readClock();
     const { items, revision } = yield* settle(feed.readAll(''));
     const wasFilledByPeer = this.#revision !== undefined && !this.#hasLostHistory;
@@ -189,8 +189,8 @@
     this.#hasLostHistory = false;
     this.#presentKeys.clear();
     items.forEach(({ key }) => this.#presentKeys.add(key));
-    onAll(items, context);
-    if (update) onRead(update, context);
+    onSnapshot(items, context);
+    if (update) onStoreRead(update, context);
     this.#recordSuccess();
   }
 
@@ -212,7 +212,7 @@
   }
 
   *#readChanges(after: number, waitMs: number): Step<void> {
-    const { feed, onStoreRead: onRead } = this.#options;
+    const { feed, onStoreRead } = this.#options;
     const askedAt = this.#readClock();
     // The first read after a failure doesn't wait, to notice the store's return at once.
     const maxWaitMs = this.#failureCount > 0 ? PROBE_WAIT_MS : waitMs;
@@ -221,7 +221,7 @@
     const context = { askedAt, ageMs: 0, wasAway: this.#wasStoreAway() };
     this.#hasGap = false;
     this.#apply(update, context);
-    onRead(update, context);
+    onStoreRead(update, context);
     this.#recordSuccess();
   }
 
--- a/src/application/direct/host_reports.ts
+++ b/src/application/direct/host_reports.ts
@@ -197,11 +197,11 @@
   }
 
   #runRound(): void {
-    const { clock, onReachableFraction: onReach } = this.#options;
+    const { clock, onReachableFraction } = this.#options;
     this.#expire();
     this.#updateRole();
     const reachableCount = this.#received.countReachable(this.#role.origin, clock.nowMs());
-    onReach(Math.min(1, (reachableCount + 1) / this.knownCount));
+    onReachableFraction(Math.min(1, (reachableCount + 1) / this.knownCount));
     this.#roster.updateSelf(this.#options.getState());
     this.#sendRound();
   }
--- a/src/application/owner/_run_request.ts
+++ b/src/application/owner/_run_request.ts
@@ -85,7 +85,7 @@
   const excluded: string[] = [];
   context.retries.recordAttempt();
   for (let attempt = 1; ; attempt += 1) {
-    const { slot, pass } = yield* acquirePermit(context, request, {
+    const { slot, permit } = yield* acquirePermit(context, request, {
       requestId: request.record.id.text,
       serviceId: call.service.id,
       accountId: call.account.accountId,
@@ -100,7 +100,7 @@
       signal: request.signal,
     });
     const result = yield* useSlot(context, request, call, slot, deadlineAtMs);
-    if (!request.record.isHandedOver) pass.returnUnused();
+    if (!request.record.isHandedOver) permit.returnUnused();
     if (!result.mayRetry) return result;
     checkMayRetry(context, request, result, { attempt, deadlineAtMs });
     if (result.use.outcome === SlotOutcome.Refused) excluded.push(slot.backendServer.id);
@@ -108,14 +108,14 @@
   }
 }
 
-/** A granted slot, together with the crash keeper's permission to send the request. */
+/** A granted slot, together with the permit to send the request. */
 interface DispatchPermit {
   readonly slot: Slot;
-  readonly pass: Permit;
+  readonly permit: Permit;
 }
 
 /**
- * Waits for a slot and for the permission to use it. While another request with the same
+ * Waits for a slot and for a permit to send the request. While another request with the same
  * content is on trial, the slot is released, and a new one is requested afterwards.
  */
 function* acquirePermit(
@@ -130,10 +130,10 @@
       slot.release(UNUSED_SLOT);
       throw refusal;
     }
-    const pass = context.crashes.acquirePermit(request.contentId);
-    if (pass.kind !== PermitKind.Wait) return { slot, pass };
+    const permit = context.crashes.acquirePermit(request.contentId);
+    if (permit.kind !== PermitKind.Wait) return { slot, permit };
     slot.release(UNUSED_SLOT);
-    yield* settle(waitForPass(context, request));
+    yield* settle(waitForPermit(context, request));
   }
 }
 
@@ -145,7 +145,7 @@
 }
 
 /** Waits until another request with the same content has shown whether it crashes servers. */
-function waitForPass({ crashes }: RunContext, request: OwnedRequest): Promise<void> {
+function waitForPermit({ crashes }: RunContext, request: OwnedRequest): Promise<void> {
   const { signal, contentId } = request;
   return new Promise((resolve, reject) => {
     const stopWaiting = crashes.waitForPermit(contentId, resolve);
@@ -178,8 +178,8 @@
 }
 
 /**
- * Reports to the crash keeper that the attempt was answered, or that the server was lost.
- * The keeper probes a lost server to tell a crash from a failed request. Losses at a
+ * Reports to the crash quarantine that the attempt was answered, or that the server was lost.
+ * The quarantine probes a lost server to tell a crash from a failed request. Losses at a
  * draining server are not reported, as it is expected to end.
  */
 function reportRun(
--- a/src/application/owner/owner_service.ts
+++ b/src/application/owner/owner_service.ts
@@ -193,7 +193,7 @@
   #refuseQuarantined(contentId: string): void {
     const waiting = this.#ledger
       .listOpen()
-      .filter(({ isHandedOver: hasLeft }) => !hasLeft)
+      .filter(({ isHandedOver }) => !isHandedOver)
       .flatMap(({ id }) => this.#requests.get(id.nonce) ?? [])
       .filter((request) => request.contentId === contentId);
     const refusal = this.#options.crashes.findRefusal(contentId);
--- a/src/application/views/configuration_view.ts
+++ b/src/application/views/configuration_view.ts
@@ -58,7 +58,7 @@
   /** @param backendServerId - a backend server's ID. @returns the backend server */
   abstract findBackendServer(backendServerId: string): BackendServer | undefined;
 
-  /** @param engineKindId - an engine kind's ID. @returns the kind with its nominal figures */
+  /** @param engineKindId - an engine kind's ID. @returns the kind with its nominal speed */
   abstract findEngineKind(engineKindId: string): EngineKind | undefined;
 
   /** @param handler - called after each change that has taken effect */
--- a/src/domain/crashes/_derive_state.ts
+++ b/src/domain/crashes/_derive_state.ts
@@ -45,7 +45,7 @@
    * Time that crash notes about other runs at a crash may take to arrive, in milliseconds. Crashes
    * younger than this don't count yet.
    */
-  readonly settleMs: number;
+  readonly noteDelayMs: number;
 }
 
 /**
@@ -89,11 +89,11 @@
   const runs = suspect.listSuspectedRuns();
   if (runs.length < MIN_CRASHES_FOR_PROBATION) return SuspectState.Free;
   if (suspect.isHeld) return SuspectState.Quarantined;
-  const { nowMs, settleMs } = evidence;
-  const settled = runs.filter(({ endedAtMs }) => endedAtMs <= nowMs - settleMs);
+  const { nowMs, noteDelayMs } = evidence;
+  const countedRuns = runs.filter(({ endedAtMs }) => endedAtMs <= nowMs - noteDelayMs);
   const mustQuarantine =
-    isProvenByCrashes(suspect, settled, evidence) ||
-    isProvenByTrial(suspect, settled, evidence) ||
+    isProvenByCrashes(suspect, countedRuns, evidence) ||
+    isProvenByTrial(suspect, countedRuns, evidence) ||
     hasExhaustedTrials(suspect, nowMs);
   return mustQuarantine ? SuspectState.Quarantined : SuspectState.Probation;
 }
--- a/src/domain/crashes/_suspect.ts
+++ b/src/domain/crashes/_suspect.ts
@@ -61,7 +61,7 @@
 
   #lastSeenAtMs = Number.NEGATIVE_INFINITY;
 
-  /** When peers were last told that the content is still requested. */
+  /** When peers were last notified that the content is still requested. */
   #announcedAtMs = Number.NEGATIVE_INFINITY;
 
   #state = SuspectState.Free;
--- a/src/domain/crashes/crash_ledger.ts
+++ b/src/domain/crashes/crash_ledger.ts
@@ -118,8 +118,8 @@
       (suspect) => suspect.state !== SuspectState.Free || mayNeedProbation(suspect),
     );
     if (toReview.length === 0) return;
-    const settleMs = this.#options.getNoteDelayMs();
-    const evidence = { counts: new CrashSuspectCounts(suspects), nowMs, settleMs };
+    const noteDelayMs = this.#options.getNoteDelayMs();
+    const evidence = { counts: new CrashSuspectCounts(suspects), nowMs, noteDelayMs };
     toReview.forEach((suspect) => {
       const state = deriveState(suspect, evidence);
       if (state !== suspect.state) this.#setState(suspect, state, nowMs);
@@ -254,8 +254,8 @@
       endedAtMs,
     });
     if (hasNewRun) this.#table.addCrash(suspect, crashId);
-    const newTrials = trials.filter(({ id, startedAgoMs: agoMs, isVoid: hasNotRun = false }) =>
-      suspect.addTrial({ id, startedAtMs: nowMs - agoMs, isVoid: hasNotRun }),
+    const newTrials = trials.filter(({ id, startedAgoMs: agoMs, isVoid = false }) =>
+      suspect.addTrial({ id, startedAtMs: nowMs - agoMs, isVoid }),
     );
     const hasChanged = hasNewRun || newTrials.length > 0;
     if (hasChanged) this.#revision += 1;
--- a/src/domain/direct/wait_queue.ts
+++ b/src/domain/direct/wait_queue.ts
@@ -77,7 +77,7 @@
    * @returns the removed calls
    */
   removeExpired(nowMs: number): T[] {
-    const expired = this.#calls.filter(({ latestStartAtMs: startByMs }) => startByMs <= nowMs);
+    const expired = this.#calls.filter(({ latestStartAtMs }) => latestStartAtMs <= nowMs);
     expired.forEach((call) => this.remove(call));
     return expired;
   }
--- a/src/domain/limits/allowance_ledger_test.ts
+++ b/src/domain/limits/allowance_ledger_test.ts
@@ -155,7 +155,7 @@
 
   #sendLease(borrower: Borrower, grant: LedgerGrant | undefined): void {
     if (!grant) return;
-    const lease = { ...grant, home: String(this.#lenderIncarnation) };
+    const lease = { ...grant, lenderIncarnation: String(this.#lenderIncarnation) };
     this.#send(() => borrower.holder.accept(lease, this.nowMs));
   }
 
@@ -199,7 +199,7 @@
 function mergePeaks(peaks: readonly Peak[]): Peak {
   return {
     sum: Math.max(...peaks.map(({ sum }) => sum)),
-    largestShare: Math.max(...peaks.map(({ largestShare: lent }) => lent)),
+    largestShare: Math.max(...peaks.map(({ largestShare }) => largestShare)),
   };
 }
 
--- a/src/domain/limits/lease_holder.ts
+++ b/src/domain/limits/lease_holder.ts
@@ -13,7 +13,7 @@
 /** A lease as received from the lender. */
 export interface ReceivedLease {
   /** Incarnation of the lender. */
-  readonly home: string;
+  readonly lenderIncarnation: string;
   /** Increases with each lease of that incarnation for this account. */
   readonly leaseNumber: number;
   /** Number of the newest request that the lender had received when it sent the lease. */
@@ -62,7 +62,9 @@
    * @returns whether the lease was accepted
    */
   accept(lease: ReceivedLease, nowMs: number): boolean {
-    const isOlder = lease.home === this.#held?.home && lease.leaseNumber <= this.#held.leaseNumber;
+    const isOlder =
+      lease.lenderIncarnation === this.#held?.lenderIncarnation &&
+      lease.leaseNumber <= this.#held.leaseNumber;
     if (isOlder) return false;
     const sentAtMs = this.#requestSentAtMs.get(lease.requestNumber) ?? -Infinity;
     this.#held = {
@@ -78,7 +80,7 @@
    * @returns number of the held lease if that lender sent it; 0 otherwise
    */
   getLeaseNumber(lenderIncarnation: string): number {
-    return this.#held?.home === lenderIncarnation ? this.#held.leaseNumber : 0;
+    return this.#held?.lenderIncarnation === lenderIncarnation ? this.#held.leaseNumber : 0;
   }
 
   /**
--- a/src/domain/limits/share_test.ts
+++ b/src/domain/limits/share_test.ts
@@ -34,8 +34,8 @@
 t.test('the allowance lender does not depend on the order of the host list', async (t) => {
   fc.assert(
     fc.property(LISTED, fc.string(), (listed, account) => {
-      const home = pickAllowanceLender(account, listed);
-      return home !== undefined && home === pickAllowanceLender(account, [...listed].reverse());
+      const lender = pickAllowanceLender(account, listed);
+      return lender !== undefined && lender === pickAllowanceLender(account, [...listed].reverse());
     }),
     { seed: 42, numRuns: 200 },
   );
--- a/src/domain/membership/entry_host_table.ts
+++ b/src/domain/membership/entry_host_table.ts
@@ -125,8 +125,8 @@
    */
   prune(nowMs: number, isListed: (id: string) => boolean): readonly EntryHostIdentity[] {
     const forgotten = [...this.#records.values()].filter(
-      ({ identity, lastContactAtMs: heardAtMs }) =>
-        nowMs - heardAtMs > this.#options.forgetAfterMs && !isListed(identity.id),
+      ({ identity, lastContactAtMs }) =>
+        nowMs - lastContactAtMs > this.#options.forgetAfterMs && !isListed(identity.id),
     );
     forgotten.forEach((record) => this.#removeRecord(record, nowMs));
     this.#replacedAtMs.forEach((atMs, incarnation) => {
--- a/src/domain/overlay/roster.ts
+++ b/src/domain/overlay/roster.ts
@@ -186,7 +186,7 @@
   listPresumedLive(): readonly HostState[] {
     return this.#listCached(
       RosterListName.Presumed,
-      ({ isHeard, hasBeenHeard: wasHeard }) => isHeard || !wasHeard,
+      ({ isHeard, hasBeenHeard }) => isHeard || !hasBeenHeard,
     );
   }
 
--- a/src/domain/places/warmup_share_test.ts
+++ b/src/domain/places/warmup_share_test.ts
@@ -49,9 +49,9 @@
       fc.array(attemptTimes),
       (limit, size, attempts) => {
         const names = Array.from({ length: size }, (_, index) => `entry-${index}`);
-        const { senderCount: senders, intervalMs } = deriveWarmupShare(limit);
+        const { senderCount, intervalMs } = deriveWarmupShare(limit);
         const views = new Map(names.map((name) => [name, names]));
-        const sent = listSenders(views, 's-1', senders).flatMap((_name, index) =>
+        const sent = listSenders(views, 's-1', senderCount).flatMap((_name, index) =>
           simulateSends(
             [...(attempts[index] ?? [0, 1, 2])].sort((a, b) => a - b),
             intervalMs,
@@ -73,9 +73,9 @@
       const half = Math.ceil(size / 2);
       const sides = [names.slice(0, half), names.slice(half)];
       const views = new Map(sides.flatMap((side) => side.map((name) => [name, side] as const)));
-      const { senderCount: senders, intervalMs } = deriveWarmupShare(limit);
+      const { senderCount, intervalMs } = deriveWarmupShare(limit);
       const everyMs = Array.from({ length: 3_000 }, (_, index) => index);
-      const sent = listSenders(views, 's-1', senders).flatMap(() =>
+      const sent = listSenders(views, 's-1', senderCount).flatMap(() =>
         simulateSends(everyMs, intervalMs),
       );
       return countMostInSecond(sent) <= limit;
@@ -87,15 +87,15 @@
 
 t.test('a partition whose sides remember each other keeps the senders', async (t) => {
   const names = Array.from({ length: 60 }, (_, index) => `entry-${index}`);
-  const { senderCount: senders } = deriveWarmupShare(32);
+  const { senderCount } = deriveWarmupShare(32);
   const views = new Map(names.map((name) => [name, names]));
-  t.equal(listSenders(views, 's-1', senders).length, senders);
+  t.equal(listSenders(views, 's-1', senderCount).length, senderCount);
 });
 
 t.test('deriveWarmupShare() allows requests at any limit', async (t) => {
   [0.5, 1, 2, 3, 7, 32, 500].forEach((limit) => {
-    const { senderCount: senders, intervalMs } = deriveWarmupShare(limit);
-    t.ok(senders >= 1 && intervalMs < 1_100, `${limit} a second`);
+    const { senderCount, intervalMs } = deriveWarmupShare(limit);
+    t.ok(senderCount >= 1 && intervalMs < 1_100, `${limit} a second`);
   });
 });
 
