--- a/src/application/entry_host/_call_resolver.ts
+++ b/src/application/entry_host/_call_resolver.ts
@@ -15,7 +15,7 @@
 > & {
   readonly traceparent: string | undefined;
   /** Whether the caller can read the answer again under its request ID. */
-  readonly canComeBack: boolean;
+  readonly mayReconnect: boolean;
 };
 
 /**
@@ -43,7 +43,7 @@
     headers: call.headers,
     body: call.body,
     deadlineMs: resolveDeadline(call.account, work, call.deadlineMs),
-    mayReconnect: call.canComeBack,
+    mayReconnect: call.mayReconnect,
     traceparent: call.traceparent,
   };
 }
--- a/src/application/entry_host/owned_calls.ts
+++ b/src/application/entry_host/owned_calls.ts
@@ -41,8 +41,8 @@
    * @returns the resolved call, as its owner runs it
    * @throws SchedulerError when the service is unknown or the contract does not allow the call
    */
-  resolve(call: Omit<ReceivedCall, 'canComeBack'>): OwnedCall {
-    return resolveCall(this.#options.configuration, { ...call, canComeBack: false });
+  resolve(call: Omit<ReceivedCall, 'mayReconnect'>): OwnedCall {
+    return resolveCall(this.#options.configuration, { ...call, mayReconnect: false });
   }
 
   /**
@@ -53,9 +53,9 @@
    * @returns the resolved call, as its owner runs it
    * @throws SchedulerError when the service is unknown or the contract does not allow the call
    */
-  resolveForId(call: Omit<ReceivedCall, 'canComeBack'>, id: RequestId): OwnedCall {
+  resolveForId(call: Omit<ReceivedCall, 'mayReconnect'>, id: RequestId): OwnedCall {
     try {
-      return resolveCall(this.#options.configuration, { ...call, canComeBack: true });
+      return resolveCall(this.#options.configuration, { ...call, mayReconnect: true });
     } catch (error) {
       throw error instanceof SchedulerError ? this.correctRunOutcome(id, error) : error;
     }
