--- a/src/application/crashes/_trial_queue_test.ts
+++ b/src/application/crashes/_trial_queue_test.ts
@@ -9,7 +9,7 @@
 t.test('entry hosts behind relays run three trials of a content in total', async (t) => {
   // Guards against entry hosts that each run their own trials because notes of a trial have not
   // reached them.
-  const hosts = new CrashLine(t, ['a', 'relay-1', 'relay-2', 'b']);
+  const hosts = new CrashChain(t, ['a', 'relay-1', 'relay-2', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await hosts.crash(crash % 2, ['x', 'y']);
   const triedAtMs: number[] = [];
   for (let look = 0; look < 400; look += 1) {
@@ -32,7 +32,7 @@
 t.test('callers between trials get a retry-after time', async (t) => {
   // Guards against a refusal without a retry-after time, or with ten minutes, while a trial may
   // still be answered.
-  const hosts = new CrashLine(t, ['a', 'relay', 'b']);
+  const hosts = new CrashChain(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await hosts.crash(0, ['x', 'y']);
   const [quarantine] = hosts.keepers as [CrashQuarantine];
   const delaysMs: (number | undefined)[] = [];
@@ -48,7 +48,7 @@
 });
 
 t.test('waiting calls are woken when their content is cleared or quarantined', async (t) => {
-  const hosts = new CrashLine(t, ['a', 'relay', 'b']);
+  const hosts = new CrashChain(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await hosts.crash(0, ['x', 'y']);
   const [quarantine] = hosts.keepers as [CrashQuarantine];
   const woken: string[] = [];
--- a/src/application/crashes/crash_quarantine_test.ts
+++ b/src/application/crashes/crash_quarantine_test.ts
@@ -7,7 +7,7 @@
   // Guards against one half of the fleet sending a content that the other half refuses. Servers
   // crash under calls of a host that is linked to its relay only, and the relay does not forward
   // the notes.
-  const hosts = new CrashLine(t, ['a', 'relay-1', 'relay-2', 'b']);
+  const hosts = new CrashChain(t, ['a', 'relay-1', 'relay-2', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await hosts.crash(0, ['x']);
   t.same(
     [0, 1, 2, 3].map((index) => hosts.isHeld(index, 'x')),
@@ -16,7 +16,7 @@
 });
 
 t.test('lost crash notes are repaired by the next digests', async (t) => {
-  const hosts = new CrashLine(t, ['a', 'relay', 'b']);
+  const hosts = new CrashChain(t, ['a', 'relay', 'b']);
   hosts.hub.silence('relay', 'b');
   for (let crash = 0; crash < 3; crash += 1) await hosts.crash(0, ['x']);
   t.notOk(hosts.isHeld(2, 'x'));
@@ -29,7 +29,7 @@
   // Guards against attributing a run that broke at a live server to that server's earlier crash.
   // The crash note arrives seconds late, the run breaks right after it, and the arrival time is
   // taken for the time of the crash.
-  const hosts = new CrashLine(t, ['a', 'relay', 'b']);
+  const hosts = new CrashChain(t, ['a', 'relay', 'b']);
   hosts.hub.silence('relay', 'b');
   await hosts.crash(0, ['x']);
   hosts.hub.heal('relay', 'b');
@@ -42,7 +42,7 @@
 });
 
 t.test('crashes observed by several hosts are combined', async (t) => {
-  const hosts = new CrashLine(t, ['a', 'relay', 'b']);
+  const hosts = new CrashChain(t, ['a', 'relay', 'b']);
   for (const index of [0, 1, 2]) await hosts.crash(index, ['x', `beside ${index}`]);
   await hosts.crash(0, ['x']);
   t.ok(hosts.isHeld(2, 'x'));
@@ -52,7 +52,7 @@
 t.test(
   'a relay that reaches the server clears the suspects of a host that is cut off',
   async (t) => {
-    const hosts = new CrashLine(t, ['a', 'relay', 'b']);
+    const hosts = new CrashChain(t, ['a', 'relay', 'b']);
     const [probe] = hosts.probes as [FakeProbe];
     probe.isCut = true;
     for (let crash = 0; crash < 4; crash += 1) {
@@ -72,7 +72,7 @@
   // Guards against refusing a popular content while servers fail for other reasons. The content
   // runs everywhere at all times, so also at each server that crashes, and only answers after the
   // crashes count as evidence for it.
-  const hosts = new CrashLine(t, ['a', 'relay', 'b']);
+  const hosts = new CrashChain(t, ['a', 'relay', 'b']);
   const startedAtMs = hosts.clock.nowMs();
   hosts.keepers[2]?.recordAnswer({
     contentId: 'popular',
@@ -88,7 +88,7 @@
 });
 
 t.test('no message is sent while no server has crashed', async (t) => {
-  const hosts = new CrashLine(t, ['a', 'relay', 'b']);
+  const hosts = new CrashChain(t, ['a', 'relay', 'b']);
   await hosts.clock.advance(10_000);
   t.same(hosts.listMessages(), []);
   t.same(hosts.probes[0]?.asked, []);
@@ -98,7 +98,7 @@
   // Guards against crash notes that saturate the links between entry hosts. A caller sends new
   // contents all the time, servers crash under hundreds of them, and every note ever seen is sent
   // again and again.
-  const hosts = new CrashLine(t, ['a', 'relay', 'b']);
+  const hosts = new CrashChain(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 20; crash += 1) {
     const contentIds = Array.from({ length: 200 }, (_, index) => `${crash} ${index}`);
     await hosts.crash(crash % 3, contentIds);
@@ -112,7 +112,7 @@
 });
 
 t.test('hosts with the same knowledge send only digests', async (t) => {
-  const hosts = new CrashLine(t, ['a', 'relay', 'b']);
+  const hosts = new CrashChain(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await hosts.crash(0, ['x']);
   const before = hosts.listMessages().length;
   await hosts.clock.advance(5_000);
