--- a/src/application/allowances/allowance_bound_test.ts
+++ b/src/application/allowances/allowance_bound_test.ts
@@ -74,7 +74,7 @@
   if (fault.kind === Fault.Partition) setPartition(hosts, fault.host, isStart);
   if (!isStart) return;
   if (fault.kind === Fault.Pause) hosts.setPaused(a, fault.steps * STEP_MS);
-  if (fault.kind === Fault.RestartLender) hosts.start(hosts.home);
+  if (fault.kind === Fault.RestartLender) hosts.start(hosts.lender);
   if (fault.kind === Fault.Restart) hosts.start(a);
 }
 
--- a/src/application/allowances/allowance_manager_test.ts
+++ b/src/application/allowances/allowance_manager_test.ts
@@ -15,7 +15,7 @@
 }
 
 function pickBorrower(hosts: AllowanceHosts): string {
-  return IDS.find((id) => id !== hosts.home) ?? '';
+  return IDS.find((id) => id !== hosts.lender) ?? '';
 }
 
 /** Sends requests at a constant rate. @returns the number admitted in each second */
@@ -45,7 +45,7 @@
 
 t.test('AllowanceManager shifts the limit when the demand shifts', async (t) => {
   const hosts = startHosts({ maxDelayMs: 5 });
-  const [first = '', second = ''] = IDS.filter((id) => id !== hosts.home);
+  const [first = '', second = ''] = IDS.filter((id) => id !== hosts.lender);
   runDemand(hosts, first, 200, 4);
   const admitted = runDemand(hosts, second, 200, 6);
   t.comment(`admitted per second of 80 after the shift: ${admitted.join(' ')}`);
@@ -92,7 +92,7 @@
     [2, 4, 8, 16, 32].forEach((count) => {
       const ids = Array.from({ length: count }, (_, index) => `eh-${index + 1}`);
       const hosts = startHosts({ ids });
-      const id = ids.find((one) => one !== hosts.home) ?? '';
+      const id = ids.find((one) => one !== hosts.lender) ?? '';
       runDemand(hosts, id, 200, 5);
       const before = hosts.messageCount;
       runDemand(hosts, id, 200, SECONDS);
@@ -148,7 +148,7 @@
   t.equal(refusedFirst.length, 6);
   t.ok(hosts.refused.every(({ kind }) => kind === ErrorKind.InFlightLimited));
   hosts.advance(10 * LEASE_DURATION_MS);
-  const id = refusedFirst.find((refused) => refused !== hosts.home) ?? '';
+  const id = refusedFirst.find((refused) => refused !== hosts.lender) ?? '';
   const admitted = runDemand(hosts, id, 10, 4, 500);
   t.comment(`admitted per second where the base share is zero: ${admitted.join(' ')}`);
   t.ok(admitted.slice(1).every((count) => count >= 2));
--- a/src/application/crashes/_trial_queue_test.ts
+++ b/src/application/crashes/_trial_queue_test.ts
@@ -13,7 +13,7 @@
   for (let crash = 0; crash < 3; crash += 1) await hosts.crash(crash % 2, ['x', 'y']);
   const triedAtMs: number[] = [];
   for (let look = 0; look < 400; look += 1) {
-    hosts.keepers.forEach((quarantine) => {
+    hosts.quarantines.forEach((quarantine) => {
       if (quarantine.acquirePermit('x').kind === PermitKind.Trial)
         triedAtMs.push(hosts.clock.nowMs());
     });
@@ -34,7 +34,7 @@
   // still be answered.
   const hosts = new CrashChain(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await hosts.crash(0, ['x', 'y']);
-  const [quarantine] = hosts.keepers as [CrashQuarantine];
+  const [quarantine] = hosts.quarantines as [CrashQuarantine];
   const delaysMs: (number | undefined)[] = [];
   for (let look = 0; look < 80; look += 1) {
     quarantine.acquirePermit('x');
@@ -50,14 +50,14 @@
 t.test('waiting calls are woken when their content is cleared or quarantined', async (t) => {
   const hosts = new CrashChain(t, ['a', 'relay', 'b']);
   for (let crash = 0; crash < 3; crash += 1) await hosts.crash(0, ['x', 'y']);
-  const [quarantine] = hosts.keepers as [CrashQuarantine];
+  const [quarantine] = hosts.quarantines as [CrashQuarantine];
   const woken: string[] = [];
   quarantine.waitForPermit('x', () => woken.push('x'));
   quarantine.waitForPermit('y', () => woken.push('y'));
   quarantine.waitForPermit('y', () => woken.push('left'))();
   const startedAtMs = hosts.clock.nowMs();
   const run = { contentId: 'y', serverId: 's-9', startedAtMs, hasSucceeded: true };
-  hosts.keepers[2]?.recordAnswer(run);
+  hosts.quarantines[2]?.recordAnswer(run);
   await hosts.clock.advance(100);
   t.same(woken.sort(), ['x', 'y'], 'x is the only suspect left, and quarantined');
   t.ok(hosts.isHeld(0, 'x'));
--- a/src/application/crashes/crash_quarantine_test.ts
+++ b/src/application/crashes/crash_quarantine_test.ts
@@ -37,7 +37,7 @@
   hosts.ended.clear();
   const endedAtMs = hosts.clock.nowMs();
   const run = { serverId: 's-1', address: 's-1:80', startedAtMs: endedAtMs - 50, endedAtMs };
-  hosts.keepers[2]?.recordLostRun({ ...run, contentId: 'y' });
+  hosts.quarantines[2]?.recordLostRun({ ...run, contentId: 'y' });
   t.same(hosts.probes[2]?.asked, ['s-1:80']);
 });
 
@@ -74,7 +74,7 @@
   // crashes count as evidence for it.
   const hosts = new CrashChain(t, ['a', 'relay', 'b']);
   const startedAtMs = hosts.clock.nowMs();
-  hosts.keepers[2]?.recordAnswer({
+  hosts.quarantines[2]?.recordAnswer({
     contentId: 'popular',
     serverId: 's-0',
     startedAtMs,
--- a/test/support/allowance_hosts.ts
+++ b/test/support/allowance_hosts.ts
@@ -110,7 +110,7 @@
   }
 
   /** ID of the entry host that is the allowance lender of the account. */
-  get home(): string {
+  get lender(): string {
     return pickAllowanceLender(ACCOUNT_ID, this.options.ids) ?? '';
   }
 
--- a/test/support/crash_chain.ts
+++ b/test/support/crash_chain.ts
@@ -63,7 +63,7 @@
   /** Reachability of the crashed servers by address. */
   readonly ended = new Map<string, Reachability>();
 
-  readonly keepers: CrashQuarantine[] = [];
+  readonly quarantines: CrashQuarantine[] = [];
 
   readonly probes: FakeProbe[] = [];
 
@@ -95,7 +95,7 @@
     });
     keeper.start();
     t.teardown(() => keeper.stop());
-    this.keepers.push(keeper);
+    this.quarantines.push(keeper);
     this.probes.push(probe);
   }
 
@@ -108,13 +108,13 @@
     const endedAtMs = this.clock.nowMs();
     const startedAtMs = endedAtMs - 50;
     contentIds.forEach((contentId) => {
-      this.keepers[index]?.recordLostRun({ serverId, address, contentId, startedAtMs, endedAtMs });
+      this.quarantines[index]?.recordLostRun({ serverId, address, contentId, startedAtMs, endedAtMs });
     });
     await this.clock.advance(100);
   }
 
   isHeld(index: number, contentId: string): boolean {
-    return this.keepers[index]?.findRefusal(contentId)?.kind === ErrorKind.RequestHeld;
+    return this.quarantines[index]?.findRefusal(contentId)?.kind === ErrorKind.RequestHeld;
   }
 
   /** @returns all messages with crash notes that were delivered, in order */
