--- a/src/application/crashes/crash_quarantine_test.ts
+++ b/src/application/crashes/crash_quarantine_test.ts
@@ -38,7 +38,7 @@
   const endedAtMs = hosts.clock.nowMs();
   const run = { serverId: 's-1', address: 's-1:80', startedAtMs: endedAtMs - 50, endedAtMs };
   hosts.quarantines[2]?.recordLostRun({ ...run, contentId: 'y' });
-  t.same(hosts.probes[2]?.asked, ['s-1:80']);
+  t.same(hosts.probes[2]?.checkedAddresses, ['s-1:80']);
 });
 
 t.test('crashes observed by several hosts are combined', async (t) => {
@@ -91,7 +91,7 @@
   const hosts = new CrashChain(t, ['a', 'relay', 'b']);
   await hosts.clock.advance(10_000);
   t.same(hosts.listMessages(), []);
-  t.same(hosts.probes[0]?.asked, []);
+  t.same(hosts.probes[0]?.checkedAddresses, []);
 });
 
 t.test('messages stay bounded while callers invent new contents', async (t) => {
--- a/test/support/crash_chain.ts
+++ b/test/support/crash_chain.ts
@@ -108,7 +108,13 @@
     const endedAtMs = this.clock.nowMs();
     const startedAtMs = endedAtMs - 50;
     contentIds.forEach((contentId) => {
-      this.quarantines[index]?.recordLostRun({ serverId, address, contentId, startedAtMs, endedAtMs });
+      this.quarantines[index]?.recordLostRun({
+        serverId,
+        address,
+        contentId,
+        startedAtMs,
+        endedAtMs,
+      });
     });
     await this.clock.advance(100);
   }
